--- a/benchmarks/bench_admission.py
+++ b/benchmarks/bench_admission.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict
 from pathlib import Path
 
-from rackswitch.admission.tests.played_load import (
+from rackswitch.admission.tests.simulated_load import (
     AdmissionPlay,
     IdealPlay,
     PolledPlay,
--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -64,7 +64,7 @@
     }
 
 
-async def measure(daemons: int, seconds: float, most_channels: int = 64) -> dict[str, object]:
+async def measure(daemons: int, seconds: float, max_channels: int = 64) -> dict[str, object]:
     before_mb = rss_mb()
     heartbeat_seconds = 2.0 if daemons > SLOWER_ABOVE else 1.0
     fleet = EmbeddedFleet(
@@ -78,7 +78,7 @@
     )
     await fleet.start()
     for daemon in fleet.daemons.values():
-        daemon.context.links.most_channels = most_channels
+        daemon.context.links.max_channels = max_channels
     memory_mb = (rss_mb() - before_mb) / daemons
     await asyncio.sleep(SETTLE_SECONDS)
     cpu, traffic, calls, wall = time.process_time(), loopback_bytes(), fleet.kv.calls, time.time()
@@ -88,7 +88,7 @@
     row: dict[str, object] = {
         "daemons": daemons,
         "heartbeat_seconds": heartbeat_seconds,
-        "most_channels": most_channels,
+        "most_channels": max_channels,
         "cpu_percent_per_daemon": round(100 * (time.process_time() - cpu) / elapsed / daemons, 2),
         "kb_per_second_per_daemon": round(
             (loopback_bytes() - traffic) / elapsed / daemons / 1000, 2
--- a/benchmarks/bench_limits.py
+++ b/benchmarks/bench_limits.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from rackswitch.limits import RateLimit, ShareBook
+from rackswitch.limits import RateLimit, ShareLedger
 
 RESULTS = Path(__file__).parent / "results"
 LIMIT = 300.0
@@ -42,7 +42,7 @@
     """The shipped shares, with news and loans that take their time."""
 
     def __init__(self, daemons: int, rng: random.Random):
-        self.limits = [RateLimit(ShareBook(LIMIT / daemons)) for _ in range(daemons)]
+        self.limits = [RateLimit(ShareLedger(LIMIT / daemons)) for _ in range(daemons)]
         self.rng = rng
         self.sequence = 0
         self.pending: list[tuple[float, int, int, int, float]] = []
@@ -87,7 +87,7 @@
 
 class StaticSplit:
     def __init__(self, daemons: int, rng: random.Random):
-        self.limits = [RateLimit(ShareBook(LIMIT / daemons)) for _ in range(daemons)]
+        self.limits = [RateLimit(ShareLedger(LIMIT / daemons)) for _ in range(daemons)]
         self.calls = 0
 
     def take(self, daemon: int, now: float) -> bool:
@@ -101,7 +101,7 @@
     """One bucket in the key-value service, one call a request; closed in an outage."""
 
     def __init__(self, daemons: int, rng: random.Random):
-        self.limit = RateLimit(ShareBook(LIMIT))
+        self.limit = RateLimit(ShareLedger(LIMIT))
         self.calls = 0
 
     def take(self, daemon: int, now: float) -> bool:
--- a/benchmarks/bench_membership.py
+++ b/benchmarks/bench_membership.py
@@ -11,7 +11,7 @@
 from rackswitch.membership.tests.test_core import Network
 
 RESULTS = Path(__file__).parent / "results"
-MOST_PERIODS = 120
+MAX_PERIODS = 120
 
 
 def detection(daemons: int, deaths: int) -> dict[str, object]:
@@ -20,7 +20,7 @@
         network.period()
     network.dead = {f"d{n}" for n in range(deaths)}
     first_half = 0
-    for period in range(1, MOST_PERIODS + 1):
+    for period in range(1, MAX_PERIODS + 1):
         network.period()
         left = [len(set(network.views[name].live()) & network.dead) for name in network.living()]
         if not first_half and sum(left) <= len(left) * deaths / 2:
--- a/benchmarks/bench_placing.py
+++ b/benchmarks/bench_placing.py
@@ -19,12 +19,12 @@
 from rackswitch.routing import (
     POLICIES,
     ListedTarget,
-    LoadPicture,
-    LoadWord,
+    LoadEstimator,
+    ReportedLoad,
     RoutedRequest,
     Target,
     WorkKind,
-    choose_place,
+    choose_target,
 )
 
 RESULTS = Path(__file__).parent / "results"
@@ -32,7 +32,7 @@
 TICK_SECONDS = 0.05
 PLAYED_SECONDS = 30.0
 GRID_SECONDS = 2 * PLAYED_SECONDS
-LEAST_PACE, MOST_PACE = 0.55, 1.2
+MIN_PACE, MAX_PACE = 0.55, 1.2
 NOISE_FACTOR, NOISE_SHARE, NOISE_SECONDS = 2.5, 0.15, 0.6
 SLOW_FACTOR, SLOW_SHARE = 6.0, 0.2
 SLOW_FROM_SECONDS, SLOW_UNTIL_SECONDS = 10.0, 18.0
@@ -85,10 +85,10 @@
         self.spans.append((begins, ends))
         return begins, ends
 
-    def word(self, at_seconds: float) -> LoadWord:
+    def word(self, at_seconds: float) -> ReportedLoad:
         running = sum(begins <= at_seconds < ends for begins, ends in self.spans)
         waiting = sum(at_seconds < begins for begins, _ in self.spans)
-        return LoadWord(running, waiting, self.listed.slots, self.pace(at_seconds), at_seconds)
+        return ReportedLoad(running, waiting, self.listed.slots, self.pace(at_seconds), at_seconds)
 
 
 @dataclass(slots=True)
@@ -97,7 +97,7 @@
 
     targets: list[PlayedTarget]
     rng: random.Random
-    picture: LoadPicture = field(default_factory=LoadPicture)
+    picture: LoadEstimator = field(default_factory=LoadEstimator)
     paces: EnginePaces = field(default_factory=EnginePaces)
     known: list[Target] = field(default_factory=list)
 
@@ -140,7 +140,7 @@
     usual = decider.picture.usual_units("s", kind)
     places = [decider.picture.place(t.listed, kind, usual, now) for t in decider.targets]
     run_seconds = decider.picture.usual_run_seconds("s", kind)
-    return places.index(choose_place(places, units, run_seconds, decider.rng))
+    return places.index(choose_target(places, units, run_seconds, decider.rng))
 
 
 def perfect(decider: Decider, kind: WorkKind, work_seconds: float, now: float) -> int:
@@ -165,7 +165,7 @@
     slow = set(rng.sample(range(count), round(SLOW_SHARE * count)))
     targets = []
     for number in range(count):
-        usual = rng.uniform(LEAST_PACE, MOST_PACE)
+        usual = rng.uniform(MIN_PACE, MAX_PACE)
         paces = [usual] * ticks
         for tick in range(0, ticks, spell_ticks):
             if rng.random() < NOISE_SHARE:
--- a/benchmarks/bench_rollout.py
+++ b/benchmarks/bench_rollout.py
@@ -28,7 +28,7 @@
     of = {name: partition_of(name, partitions) for name in version}
     members = [[name for name in version if of[name] == p] for p in range(partitions)]
     rules = [RouteChoice(serves="m")]
-    now, allowance, decided, orders_sent, most_out = 0.0, reads_per_second, 0.0, 0, 0
+    now, allowance, decided, orders_sent, max_out = 0.0, reads_per_second, 0.0, 0, 0
     while any(v != 2 for v in version.values()) and now < 120:
         now += TICK_SECONDS
         allowance = min(reads_per_second, allowance + TICK_SECONDS * reads_per_second)
@@ -55,7 +55,7 @@
                     wait = (1 - allowance) / reads_per_second
                     allowance -= 1
                 done_at[order.engine] = now + wait + LOAD_SECONDS * rng.uniform(0.8, 1.3)
-        most_out = max(most_out, len(done_at))
+        max_out = max(max_out, len(done_at))
     return {
         "engines": engines,
         "partitions": partitions,
@@ -63,7 +63,7 @@
         "store_reads_per_second": reads_per_second,
         "seconds": round(now, 2),
         "orders": orders_sent,
-        "most_unavailable_share": round(most_out / engines, 2),
+        "most_unavailable_share": round(max_out / engines, 2),
         "decision_ms_per_partition_tick": round(
             1000 * decided / (now / TICK_SECONDS) / partitions, 3
         ),
--- a/benchmarks/bench_sharing.py
+++ b/benchmarks/bench_sharing.py
@@ -16,23 +16,23 @@
 
 from rackswitch.jobs import (
     BEGIN_PATIENCE_SECONDS,
+    EngineCapacity,
     EngineLoad,
     EngineOccupancy,
-    EngineRoom,
     ItemPhase,
     ItemProgress,
     Job,
     JobItem,
     JobLedger,
     LengthForecast,
-    RunGaps,
+    PieceIntervals,
     SlackOrder,
     TextPiece,
-    free_room,
-    paces_to_be_had,
+    available_paces,
+    free_capacity,
     plan_starts,
     should_move,
-    spare_rooms,
+    spare_capacities,
     urgency_levels,
     urgency_of,
 )
@@ -45,7 +45,7 @@
 SLOTS = 6
 USUAL_SECONDS = 0.04
 BATCH_SHARE = 0.01
-FIRST_PIECE_PATIENCE_SECONDS = 2.0
+FIRST_PIECE_TIMEOUT_SECONDS = 2.0
 MEDIAN_PIECES, LONG_SHARE, LONG_TIMES = 18, 0.1, 5
 LENGTH_SPREAD = 0.25
 MEAN_PIECES = 26.0
@@ -84,7 +84,7 @@
     progress: ItemProgress
     began_seconds: float
     made: float = 0.0
-    gaps: RunGaps = field(default_factory=RunGaps)
+    gaps: PieceIntervals = field(default_factory=PieceIntervals)
 
 
 @dataclass(slots=True)
@@ -196,7 +196,7 @@
         self.lengths[id(item)] = pieces
         return item
 
-    def _rooms(self, owner: Owner) -> list[EngineRoom]:
+    def _rooms(self, owner: Owner) -> list[EngineCapacity]:
         rooms = []
         for engine in self.engines.values():
             own = owner.occupancy.own.get(engine.name, 0)
@@ -208,9 +208,9 @@
                 run.owner is owner and self.now >= run.began_seconds + BEGIN_PATIENCE_SECONDS
                 for _, _, run in engine.queue
             )
-            room = free_room(SLOTS, own, queued, others, float("inf"), self.way.shares_room)
+            room = free_capacity(SLOTS, own, queued, others, float("inf"), self.way.shares_room)
             rooms.append(
-                EngineRoom(
+                EngineCapacity(
                     engine.name,
                     "s",
                     room.slots,
@@ -225,7 +225,7 @@
     def _plan(self, owner: Owner) -> None:
         rooms = self._rooms(owner)
         services = dict.fromkeys(owner.jobs, "s")
-        paces = paces_to_be_had(rooms)
+        paces = available_paces(rooms)
         order = SlackOrder(services, owner.due_seconds, owner.class_of, paces, owner.forecast)
         starts = plan_starts(
             owner.jobs.values(), rooms, services, owner.due_seconds, self.now, owner.forecast,
@@ -247,7 +247,7 @@
         waiting = any(ledger.waiting(self.now) for ledger in owner.jobs.values())
         if self.way.shares_room:
             rooms = [room for room in rooms if room.runs < room.slots]
-        spare = {} if waiting else spare_rooms(rooms)
+        spare = {} if waiting else spare_capacities(rooms)
         if "s" in spare:
             self._move(owner, spare["s"])
 
@@ -274,7 +274,7 @@
         for entry in list(engine.queue):
             run = entry[2]
             ended = run.ledger.ended
-            if ended or self.now >= run.began_seconds + FIRST_PIECE_PATIENCE_SECONDS:
+            if ended or self.now >= run.began_seconds + FIRST_PIECE_TIMEOUT_SECONDS:
                 engine.queue.remove(entry)
                 heapq.heapify(engine.queue)
                 self._end(engine, run)
--- a/benchmarks/bench_trainer.py
+++ b/benchmarks/bench_trainer.py
@@ -53,7 +53,7 @@
 )
 
 
-def least_seconds(trainer: TrainerStandIn, engines: int) -> float:
+def min_seconds(trainer: TrainerStandIn, engines: int) -> float:
     """Return the least time all samples take on the engines, however well they are placed."""
     tokens = 0
     for step in range(1, STEPS + 1):
@@ -113,10 +113,10 @@
         "callers": callers,
         "idle_share": round(record.idle_seconds / wall, 3),
         "idle_seconds": round(record.idle_seconds, 2),
-        "least_generation_seconds": round(least_seconds(trainer, profile.model_engines), 2),
+        "least_generation_seconds": round(min_seconds(trainer, profile.model_engines), 2),
         "wall_seconds": round(wall, 2),
         "staleness_mean_versions": round(record.staleness_sum / record.samples, 2),
-        "staleness_most_versions": record.staleness_most,
+        "staleness_most_versions": record.staleness_max,
         "kv_writes_per_1000_samples": round(1000 * (fleet.kv.writes - writes) / record.samples),
         "caller_p50_ms": caller.record.percentile_ms(50) if callers else None,
         "caller_p99_ms": caller.record.percentile_ms(99) if callers else None,
--- a/rackswitch/admission/concurrency.py
+++ b/rackswitch/admission/concurrency.py
@@ -18,10 +18,10 @@
 FIRST_LIMIT = 4.0
 """Calls at once before anything is known of a service."""
 
-LEAST_LIMIT = 0.1
+MIN_LIMIT = 0.1
 """Calls at once; above 0, so that a daemon never stops trying."""
 
-MOST_LIMIT = 256.0
+MAX_LIMIT = 256.0
 """Calls at once."""
 
 SPACED_BELOW = 1.0
@@ -37,7 +37,7 @@
 """Added to the limit while answers come without a queue. By time and not for each answer, so that
 daemons with low limits rise as fast as others and all come to the same limit."""
 
-MOST_RAISE_SECONDS = 0.5
+MAX_RAISE_SECONDS = 0.5
 """Most time between two answers that raises the limit; of a longer pause nothing is known."""
 
 RAISE_FACTOR = 1.5
@@ -57,7 +57,7 @@
 """After a refusal nothing is sent for this share of a usual call's time, so that some call may have
 ended by then."""
 
-MOST_CLOSED_SECONDS = 0.25
+MAX_CLOSED_SECONDS = 0.25
 """Most of that pause: where calls take long, one of another daemon may end sooner."""
 
 FADE_SECONDS = 1.0
@@ -85,7 +85,7 @@
 FIRST_GAP_SECONDS = 0.05
 """Usual time between two answers before two were heard."""
 
-MOST_GAP_SECONDS = 0.5
+MAX_GAP_SECONDS = 0.5
 """Longer times between two answers count as this much: there was nothing to ask for."""
 
 
@@ -193,12 +193,12 @@
         self.is_told_free = waiting == 0 and running <= FREE_SHARE * slots
         if waiting > QUEUE_SHARE * slots:
             self._crowded_at_seconds = now_seconds
-            self.limit = max(LEAST_LIMIT, self.limit * LOWER_FACTOR)
+            self.limit = max(MIN_LIMIT, self.limit * LOWER_FACTOR)
         elif self.limit > SPACED_BELOW and not self._was_in_use():
             # What is not used shows nothing, and would let a sudden crowd of calls go at once.
             return
         elif self.is_told_free:
-            self.limit = min(MOST_LIMIT, self.limit * RAISE_FACTOR)
+            self.limit = min(MAX_LIMIT, self.limit * RAISE_FACTOR)
         else:
             self._raise(now_seconds)
 
@@ -208,7 +208,7 @@
         if not self._was_in_use():
             return
         if now_seconds >= self._crowded_at_seconds + FADE_SECONDS:
-            self.limit = min(MOST_LIMIT, self.limit * RAISE_FACTOR)
+            self.limit = min(MAX_LIMIT, self.limit * RAISE_FACTOR)
         else:
             self._raise(now_seconds)
 
@@ -228,7 +228,7 @@
         self._closed_until_seconds = now_seconds + CLOSED_SHARE * usual_seconds
         if not self._is_lowered_since_answer:
             self._is_lowered_since_answer = True
-            self.limit = max(LEAST_LIMIT, self.limit * REFUSED_FACTOR)
+            self.limit = max(MIN_LIMIT, self.limit * REFUSED_FACTOR)
 
     def crowding(self, now_seconds: float) -> float:
         """Return the share of answers that told lately of a full target, fading with their age.
@@ -254,7 +254,7 @@
     def _note_word(self, is_full: bool, now_seconds: float) -> None:
         """Take in whether a target that answered had no free slot."""
         crowding = self.crowding(now_seconds)
-        gap_seconds = max(0.0, min(MOST_GAP_SECONDS, now_seconds - self._told_at_seconds))
+        gap_seconds = max(0.0, min(MAX_GAP_SECONDS, now_seconds - self._told_at_seconds))
         self._gap_seconds += GAP_SMOOTHING * (gap_seconds - self._gap_seconds)
         self._told_at_seconds = now_seconds
         self._crowding = crowding + CROWDING_SMOOTHING * (is_full - crowding)
@@ -263,8 +263,8 @@
         """Add what the time since the last answer without a queue allows."""
         since_seconds = max(0.0, now_seconds - self._raised_at_seconds)
         self._raised_at_seconds = now_seconds
-        raise_calls = RAISE_CALLS_PER_SECOND * min(MOST_RAISE_SECONDS, since_seconds)
-        self.limit = min(MOST_LIMIT, self.limit + raise_calls)
+        raise_calls = RAISE_CALLS_PER_SECOND * min(MAX_RAISE_SECONDS, since_seconds)
+        self.limit = min(MAX_LIMIT, self.limit + raise_calls)
 
     def _pass_time(self, now_seconds: float) -> None:
         """Let time pass; a clock that steps back or far ahead neither takes nor gives credit."""
@@ -275,7 +275,7 @@
         self._crowded_at_seconds = min(self._crowded_at_seconds, now_seconds)
         self._refused_at_seconds = min(self._refused_at_seconds, now_seconds)
         self._told_at_seconds = min(self._told_at_seconds, now_seconds)
-        most_closed_seconds = now_seconds + MOST_CLOSED_SECONDS
-        self._closed_until_seconds = min(self._closed_until_seconds, most_closed_seconds)
+        max_closed_seconds = now_seconds + MAX_CLOSED_SECONDS
+        self._closed_until_seconds = min(self._closed_until_seconds, max_closed_seconds)
         if self.limit < SPACED_BELOW and now_seconds >= self._crowded_at_seconds + FADE_SECONDS:
             self.limit = SPACED_BELOW
--- a/rackswitch/admission/wants.py
+++ b/rackswitch/admission/decisions.py
@@ -6,12 +6,12 @@
 __all__ = [
     "LEAST_URGENT_RANK",
     "REWARD_RANK",
-    "CallWant",
+    "AdmissionRequest",
     "RefuseCall",
     "RefusalCause",
     "SendCall",
     "Ticket",
-    "WaitForRoom",
+    "WaitInQueue",
 ]
 
 LEAST_URGENT_RANK = 9
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallWant:
+class AdmissionRequest:
     """A call that asks for room.
 
     Attributes
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WaitForRoom:
+class WaitInQueue:
     """The call waits; it is told when it may go or is refused.
 
     Attributes
--- a/rackswitch/admission/fair_queue.py
+++ b/rackswitch/admission/fair_queue.py
@@ -9,7 +9,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from rackswitch.admission.wants import CallWant
+from rackswitch.admission.decisions import AdmissionRequest
 
 __all__ = ["FairQueue"]
 
@@ -23,13 +23,13 @@
 
     Attributes
     ----------
-    calls : list of (bool, float, int, CallWant)
+    calls : list of (bool, float, int, AdmissionRequest)
         A heap: whether it is new (not back), its deadline, its number, the call.
     deficit_seconds : float
         Work that its turns have earned and its calls not yet used.
     """
 
-    calls: list[tuple[bool, float, int, CallWant]] = field(default_factory=list)
+    calls: list[tuple[bool, float, int, AdmissionRequest]] = field(default_factory=list)
     deficit_seconds: float = 0.0
 
 
@@ -50,7 +50,7 @@
     def __len__(self) -> int:
         return self._count
 
-    def add(self, want: CallWant) -> int:
+    def add(self, want: AdmissionRequest) -> int:
         """Add a call; return the number by which it is taken out."""
         queue = self._tenants.get(want.tenant)
         if queue is None:
@@ -67,7 +67,7 @@
         self._gone.add(number)
         self._count -= 1
 
-    def ahead_of(self, want: CallWant) -> int:
+    def ahead_of(self, want: AdmissionRequest) -> int:
         """Return how many waiting calls would go before a new one.
 
         Of its own tenant, all that have less time left. Of each other tenant at most as many as
@@ -120,7 +120,7 @@
             return number
         return None
 
-    def _alive(self, tenant: str) -> list[tuple[bool, float, int, CallWant]]:
+    def _alive(self, tenant: str) -> list[tuple[bool, float, int, AdmissionRequest]]:
         queue = self._tenants.get(tenant)
         calls = queue.calls if queue is not None else []
         return [entry for entry in calls if entry[2] not in self._gone]
--- a/rackswitch/admission/returns.py
+++ b/rackswitch/admission/patience.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, field
 
-__all__ = ["UsualPatience"]
+__all__ = ["PatienceEstimate"]
 
 BACK_SHARE = 0.9
 """A caller with less left than this share of the usual time at first has been refused before."""
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class UsualPatience:
+class PatienceEstimate:
     """How long callers wait at first, by kind of call."""
 
     _left_seconds: dict[str, float] = field(default_factory=dict)
--- a/rackswitch/admission/refusals.py
+++ b/rackswitch/admission/refusals.py
@@ -1,19 +1,19 @@
 """When a refused caller should come back."""
 
-from rackswitch.admission.wants import LEAST_URGENT_RANK, CallWant, RefuseCall
-from rackswitch.requests import return_delay_seconds
+from rackswitch.admission.decisions import LEAST_URGENT_RANK, AdmissionRequest, RefuseCall
+from rackswitch.requests import retry_delay_seconds
 
-__all__ = ["return_at_seconds"]
+__all__ = ["next_retry_at_seconds"]
 
-LEAST_RETURN_SECONDS = 0.1
+MIN_RETRY_AFTER_SECONDS = 0.1
 """Room does not change in less: some calls have to end first."""
 
 RETURN_SHARE = 0.25
 """Part of the time that a caller has left in which it comes back, so that it can be served then."""
 
 
-def return_at_seconds(
-    want: CallWant, refusal: RefuseCall, draw: float, now_seconds: float
+def next_retry_at_seconds(
+    want: AdmissionRequest, refusal: RefuseCall, draw: float, now_seconds: float
 ) -> float:
     """Return when a refused caller should come back (monotonic).
 
@@ -22,7 +22,7 @@
 
     Parameters
     ----------
-    want : CallWant
+    want : AdmissionRequest
         What it asked for.
     refusal : RefuseCall
         How it was refused.
@@ -32,7 +32,7 @@
         Monotonic clock.
     """
     left_seconds = max(0.0, want.deadline_seconds - now_seconds)
-    most_seconds = max(LEAST_RETURN_SECONDS, RETURN_SHARE * left_seconds)
-    base_seconds = min(most_seconds, max(LEAST_RETURN_SECONDS, refusal.wait_seconds))
+    max_seconds = max(MIN_RETRY_AFTER_SECONDS, RETURN_SHARE * left_seconds)
+    base_seconds = min(max_seconds, max(MIN_RETRY_AFTER_SECONDS, refusal.wait_seconds))
     rank = min(want.rank, LEAST_URGENT_RANK)
-    return now_seconds + return_delay_seconds(base_seconds, rank, draw)
+    return now_seconds + retry_delay_seconds(base_seconds, rank, draw)
--- a/rackswitch/admission/service_room.py
+++ b/rackswitch/admission/service_admission.py
@@ -1,26 +1,26 @@
 """One daemon's decisions about one service: send now, wait, or refuse.
 
-A target's word is its last statement about its own load (`rackswitch.routing.load_words`).
+A target's word is its last statement about its own load (`rackswitch.routing.reported_load`).
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
 from rackswitch.admission.concurrency import ConcurrencyLimit
-from rackswitch.admission.shares import MEMORY_SECONDS, DecayingRate, TenantShares
-from rackswitch.admission.waiting_room import MOST_PASSED, WaitingRoom
-from rackswitch.admission.wants import (
-    CallWant,
+from rackswitch.admission.decisions import (
+    AdmissionRequest,
     RefusalCause,
     RefuseCall,
     SendCall,
     Ticket,
-    WaitForRoom,
+    WaitInQueue,
 )
+from rackswitch.admission.shares import MEMORY_SECONDS, DecayingRate, TenantShares
+from rackswitch.admission.wait_queue import MAX_PASSED, WaitQueue
 from rackswitch.requests import RetryBudget
-from rackswitch.routing import Place
+from rackswitch.routing import TargetEstimate
 
-__all__ = ["RoomDecision", "ServiceRoom"]
+__all__ = ["AdmissionDecision", "ServiceAdmission"]
 
 FIRST_WORK_SECONDS = 0.05
 """Usual time of a kind of call before one was answered; about that of a look-up."""
@@ -53,20 +53,20 @@
 """Calls that the first rank may go beyond the limit while worse ranks want room: these make up for
 it, as the limit falls by what it costs."""
 
-LEAST_CROWDING = 0.3
+MIN_CROWDING = 0.3
 """Share of answers of full targets (`ConcurrencyLimit.crowding`) from which calls are refused."""
 
 REFUSAL_LIFE_SECONDS = 0.1
 """How long a target's refusal counts as word of a crowd."""
 
-MOST_TRIAL_CALLS = 2
+MAX_TRIAL_CALLS = 2
 """Calls that are sent at once beyond the limit to learn whether targets take calls again."""
 
-RoomDecision = SendCall | WaitForRoom | RefuseCall
+AdmissionDecision = SendCall | WaitInQueue | RefuseCall
 
 
 @dataclass(slots=True)
-class ServiceRoom:
+class ServiceAdmission:
     """What one daemon knows of one service's room, and the calls that wait for it.
 
     Every call is asked for once and then is sent, leaves, or is refused; one that was sent has
@@ -76,7 +76,7 @@
     ----------
     limit : ConcurrencyLimit
         Calls at once.
-    room : WaitingRoom
+    room : WaitQueue
         The calls that wait.
     retries : RetryBudget
         Repeats of failed calls, callers' and reward calls alike.
@@ -85,7 +85,7 @@
     """
 
     limit: ConcurrencyLimit = field(default_factory=ConcurrencyLimit)
-    room: WaitingRoom = field(default_factory=WaitingRoom)
+    room: WaitQueue = field(default_factory=WaitQueue)
     retries: RetryBudget = field(default_factory=RetryBudget)
     work_seconds: dict[str, float] = field(default_factory=dict)
     _shares: dict[int, TenantShares] = field(default_factory=dict)
@@ -93,15 +93,19 @@
     _target_count: int = 0
 
     def ask(
-        self, want: CallWant, places: Sequence[Place], draw: float, now_seconds: float
-    ) -> RoomDecision:
+        self,
+        want: AdmissionRequest,
+        places: Sequence[TargetEstimate],
+        draw: float,
+        now_seconds: float,
+    ) -> AdmissionDecision:
         """Decide about a call that has just come.
 
         Parameters
         ----------
-        want : CallWant
+        want : AdmissionRequest
             The call.
-        places : sequence of Place
+        places : sequence of TargetEstimate
             What is believed of the service's targets; none if nothing is known.
         draw : float
             Random, in [0, 1).
@@ -127,14 +131,14 @@
         elif cause is None:
             cause = self._cause_not_to_wait(want, wait_seconds, now_seconds)
         if cause is None:
-            return WaitForRoom(self.room.add(want), wait_seconds)
+            return WaitInQueue(self.room.add(want), wait_seconds)
         if has_room_to_spare(places):
             # With half a target free, this takes room from nobody.
             return self._send(want, now_seconds)
         self._refused(want, cause, now_seconds)
         return RefuseCall(cause, wait_seconds)
 
-    def ask_again(self, want: CallWant, now_seconds: float) -> RoomDecision:
+    def ask_again(self, want: AdmissionRequest, now_seconds: float) -> AdmissionDecision:
         """Decide about a call that was sent and that a target did not begin.
 
         It waits as one that is back, until it cannot be answered within its aim. Where no target
@@ -147,10 +151,10 @@
             return RefuseCall(RefusalCause.ALL_REFUSE, wait_seconds)
         if not self.room.has_room(want):
             return RefuseCall(RefusalCause.ROOM_FULL, wait_seconds)
-        return WaitForRoom(self.room.add(replace(want, is_back=True)), wait_seconds)
+        return WaitInQueue(self.room.add(replace(want, is_back=True)), wait_seconds)
 
     def due(
-        self, places: Sequence[Place], now_seconds: float
+        self, places: Sequence[TargetEstimate], now_seconds: float
     ) -> list[tuple[Ticket, SendCall | RefuseCall]]:
         """Take out the waiting calls that go now, in their order, and those that go no more.
 
@@ -175,7 +179,7 @@
         return decided
 
     def _out_of_time(
-        self, places: Sequence[Place], now_seconds: float
+        self, places: Sequence[TargetEstimate], now_seconds: float
     ) -> list[tuple[Ticket, SendCall | RefuseCall]]:
         """Take out the waiting calls that can wait no longer; they go where any target has room."""
         over = [
@@ -219,7 +223,7 @@
         self.retries.pass_time(now_seconds)
         return self.retries.try_spend()
 
-    def repeat(self, want: CallWant, now_seconds: float) -> None:
+    def repeat(self, want: AdmissionRequest, now_seconds: float) -> None:
         """Count a call in that is sent again at once after it failed."""
         self._count_in(want, now_seconds)
 
@@ -235,12 +239,12 @@
         """Note that a waiting call's caller has gone."""
         self.room.remove(ticket)
 
-    def ended(self, want: CallWant, took_seconds: float | None) -> None:
+    def ended(self, want: AdmissionRequest, took_seconds: float | None) -> None:
         """Note that a call that was sent has ended.
 
         Parameters
         ----------
-        want : CallWant
+        want : AdmissionRequest
             The call.
         took_seconds : float or None
             How long its target took; None if it gave no answer.
@@ -274,7 +278,7 @@
         return {tenant: rate / whole for tenant, rate in totals.items()} if whole > 0 else {}
 
     def _cause(
-        self, want: CallWant, shares: TenantShares, draw: float, now_seconds: float
+        self, want: AdmissionRequest, shares: TenantShares, draw: float, now_seconds: float
     ) -> RefusalCause | None:
         """Return whether a call is beyond its tenant's share while room is short."""
         if draw < shares.pass_share(want.tenant, now_seconds):
@@ -300,7 +304,7 @@
         They refuse at once, and may take the next call: no call is refused for what became of
         another one.
         """
-        return self._all_refused() and self.limit.in_flight < MOST_TRIAL_CALLS
+        return self._all_refused() and self.limit.in_flight < MAX_TRIAL_CALLS
 
     def _is_uncrowded(self, now_seconds: float) -> bool:
         """Return whether no crowd is known and the limit has room, but for its spacing."""
@@ -312,9 +316,9 @@
         """Return whether targets told lately that they are full, or one refused a call."""
         if self.limit.was_refused_since(now_seconds - REFUSAL_LIFE_SECONDS):
             return True
-        return self.limit.crowding(now_seconds) > LEAST_CROWDING
+        return self.limit.crowding(now_seconds) > MIN_CROWDING
 
-    def _goes_now(self, want: CallWant, now_seconds: float) -> bool:
+    def _goes_now(self, want: AdmissionRequest, now_seconds: float) -> bool:
         if self.room.ahead_of(want) > 0:
             return False
         is_first = self._is_first(want.rank, now_seconds)
@@ -323,7 +327,7 @@
         return self.limit.may_send(work_seconds, is_first, now_seconds, ahead_calls)
 
     def _cause_not_to_wait(
-        self, want: CallWant, wait_seconds: float, now_seconds: float
+        self, want: AdmissionRequest, wait_seconds: float, now_seconds: float
     ) -> RefusalCause | None:
         if not self.room.has_room(want):
             return RefusalCause.ROOM_FULL
@@ -334,23 +338,23 @@
             return RefusalCause.WAIT_TOO_LONG
         return None
 
-    def _send(self, want: CallWant, now_seconds: float) -> SendCall:
+    def _send(self, want: AdmissionRequest, now_seconds: float) -> SendCall:
         self.room.went(want.rank)
         self._count_in(want, now_seconds)
         return SendCall()
 
-    def _count_in(self, want: CallWant, now_seconds: float) -> None:
+    def _count_in(self, want: AdmissionRequest, now_seconds: float) -> None:
         work_seconds = self._work_seconds(want.kind)
         self.limit.sent(work_seconds, now_seconds)
         shares = self._shares.setdefault(want.rank, TenantShares())
         shares.sent(want.tenant, work_seconds, now_seconds)
 
-    def _refused(self, want: CallWant, cause: RefusalCause, now_seconds: float) -> None:
+    def _refused(self, want: AdmissionRequest, cause: RefusalCause, now_seconds: float) -> None:
         self.room.refused(want.rank)
         if cause is not RefusalCause.OVER_SHARE:
             self._shares.setdefault(want.rank, TenantShares()).found_no_room(now_seconds)
 
-    def _wait_seconds(self, want: CallWant, now_seconds: float) -> float:
+    def _wait_seconds(self, want: AdmissionRequest, now_seconds: float) -> float:
         """Return how long a call would probably wait, better ranks going before it."""
         work_seconds = self._work_seconds(want.kind)
         usual_seconds = self._usual_seconds()
@@ -366,7 +370,7 @@
 
     def _share_left(self, rank: int, now_seconds: float) -> float:
         """Return the part of the limit that better ranks leave to a rank."""
-        least = 1 / (MOST_PASSED + 1)
+        least = 1 / (MAX_PASSED + 1)
         if self.room.is_overdue(rank):
             return 1.0
         better = sum(
@@ -389,12 +393,12 @@
 
     def _wanting_ranks(self, now_seconds: float) -> list[int]:
         """Return the ranks that wanted more than a call or so lately."""
-        least_rate = FIRST_RANK_CALLS * self._usual_seconds() / MEMORY_SECONDS
+        min_rate = FIRST_RANK_CALLS * self._usual_seconds() / MEMORY_SECONDS
         return [
-            rank for rank, rate in self._wanted.items() if rate.per_second(now_seconds) > least_rate
+            rank for rank, rate in self._wanted.items() if rate.per_second(now_seconds) > min_rate
         ]
 
-    def _latest_seconds(self, want: CallWant) -> float:
+    def _latest_seconds(self, want: AdmissionRequest) -> float:
         """Return when a call has to go to be answered in time."""
         work_seconds = self._work_seconds(want.kind)
         return min(want.aim_seconds, want.deadline_seconds) - work_seconds
@@ -412,7 +416,7 @@
         return sum(self.work_seconds.values()) / len(self.work_seconds)
 
 
-def are_crowded(places: Sequence[Place]) -> bool:
+def are_crowded(places: Sequence[TargetEstimate]) -> bool:
     """Return whether all targets have long queues, by words that still hold."""
     return bool(places) and all(
         place.waiting > CROWDED_QUEUE_SHARE * max(1, place.slots)
@@ -421,7 +425,7 @@
     )
 
 
-def has_room_to_spare(places: Sequence[Place]) -> bool:
+def has_room_to_spare(places: Sequence[TargetEstimate]) -> bool:
     """Return whether a target is half free, by a word that still holds."""
     return any(
         place.free_slots >= FREE_SHARE * max(1, place.slots)
--- a/rackswitch/admission/shares.py
+++ b/rackswitch/admission/shares.py
@@ -17,7 +17,7 @@
 MEMORY_SECONDS = 20.0
 """Span of the rates; long, as one daemon sees a small tenant's calls seconds apart."""
 
-MOST_TENANTS = 1024
+MAX_TENANTS = 1024
 """Tenants whose rates are kept; those with the least are forgotten first."""
 
 LOWER_FACTOR = 0.8
@@ -33,7 +33,7 @@
 ALONE_FACTOR = 1.05
 """A tenant is alone, and is not cut, if all together want at most this many times what it wants."""
 
-LEAST_ROOM_SHARE = 0.05
+MIN_ROOM_SHARE = 0.05
 """Least `room_share`, so that it can grow again."""
 
 RAISE_FACTOR = 1.02
@@ -133,7 +133,7 @@
         if now_seconds < self._lowered_at_seconds + MOMENT_SECONDS:
             return
         self._lowered_at_seconds = now_seconds
-        self.room_share = max(LEAST_ROOM_SHARE, LOWER_FACTOR * self.room_share)
+        self.room_share = max(MIN_ROOM_SHARE, LOWER_FACTOR * self.room_share)
 
     def left_room(self) -> None:
         """Note that a call beyond its tenant's share was refused while there was room: more is."""
@@ -161,6 +161,6 @@
     def _rate(
         self, rates: dict[str, DecayingRate], tenant: str, now_seconds: float
     ) -> DecayingRate:
-        if tenant not in rates and len(rates) >= MOST_TENANTS:
+        if tenant not in rates and len(rates) >= MAX_TENANTS:
             del rates[min(rates, key=lambda name: rates[name].per_second(now_seconds))]
         return rates.setdefault(tenant, DecayingRate(at_seconds=now_seconds))
--- a/rackswitch/admission/tests/played_load.py
+++ b/rackswitch/admission/tests/simulated_load.py
@@ -12,18 +12,18 @@
 
 from rackswitch.admission import (
     REWARD_RANK,
-    CallWant,
+    AdmissionRequest,
     RefuseCall,
     SendCall,
-    ServiceRoom,
+    ServiceAdmission,
     Ticket,
-    WaitForRoom,
+    WaitInQueue,
 )
-from rackswitch.admission.returns import UsualPatience
-from rackswitch.admission.service_room import has_room_to_spare
+from rackswitch.admission.patience import PatienceEstimate
+from rackswitch.admission.service_admission import has_room_to_spare
 from rackswitch.admission.shares import fair_rate
-from rackswitch.requests import return_delay_seconds
-from rackswitch.routing import Place
+from rackswitch.requests import retry_delay_seconds
+from rackswitch.routing import TargetEstimate
 
 WORK_SECONDS = 0.033
 REWARD_WORK_SECONDS = 0.107
@@ -289,7 +289,7 @@
             def not_begun() -> None:
                 own[number] -= 1
                 if tries[0] >= POLLS or self.now >= caller.deadline_seconds:
-                    refused(return_delay_seconds(WORK_SECONDS, caller.rank, self.rng.random()))
+                    refused(retry_delay_seconds(WORK_SECONDS, caller.rank, self.rng.random()))
                 else:
                     self.at(self.now + POLL_SECONDS, send)
 
@@ -321,7 +321,7 @@
         if wait > aim - WORK_SECONDS:
             self.waiting.remove(entry)
             heapq.heapify(self.waiting)
-            refused(return_delay_seconds(0.1, caller.rank, self.rng.random()))
+            refused(retry_delay_seconds(0.1, caller.rank, self.rng.random()))
 
     def _fill(self) -> None:
         while self.waiting:
@@ -331,7 +331,7 @@
             _, _, _, caller, served, refused = heapq.heappop(self.waiting)
             aim = AIM_SECONDS if caller.rank != REWARD_RANK else REWARD_DEADLINE_SECONDS
             if self.now + WORK_SECONDS > caller.arrived_seconds + aim:
-                refused(return_delay_seconds(0.1, caller.rank, self.rng.random()))
+                refused(retry_delay_seconds(0.1, caller.rank, self.rng.random()))
                 continue
 
             def answered(running, waiting, pace, served=served) -> None:
@@ -343,24 +343,24 @@
 
 
 class AdmissionPlay(Play):
-    """The shipped decisions, one `ServiceRoom` a daemon."""
+    """The shipped decisions, one `ServiceAdmission` a daemon."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        self.rooms = [ServiceRoom() for _ in range(self.sizes.daemons)]
-        self.patience = [UsualPatience() for _ in range(self.sizes.daemons)]
+        self.rooms = [ServiceAdmission() for _ in range(self.sizes.daemons)]
+        self.patience = [PatienceEstimate() for _ in range(self.sizes.daemons)]
         self.waits: list[dict[Ticket, tuple]] = [{} for _ in range(self.sizes.daemons)]
         self.looks = [float("inf")] * self.sizes.daemons
         self.seen = [[Seen() for _ in range(self.sizes.targets)] for _ in range(self.sizes.daemons)]
 
-    def places(self, daemon: int) -> list[Place]:
+    def places(self, daemon: int) -> list[TargetEstimate]:
         return [self._place(number, seen) for number, seen in enumerate(self.seen[daemon])]
 
-    def _place(self, number: int, seen: Seen) -> Place:
+    def _place(self, number: int, seen: Seen) -> TargetEstimate:
         age = self.now - seen.at_seconds
         fade = math.exp(-age / WORD_FADE_SECONDS)
         running = min(float(self.sizes.slots), seen.running * fade + seen.sent_since)
-        return Place(
+        return TargetEstimate(
             str(number),
             self.sizes.slots,
             running,
@@ -375,7 +375,7 @@
         room = self.rooms[daemon]
         left = caller.deadline_seconds - self.now
         aim = AIM_SECONDS if caller.rank != REWARD_RANK else REWARD_DEADLINE_SECONDS
-        want = CallWant(
+        want = AdmissionRequest(
             str(caller.number),
             caller.kind,
             caller.tenant,
@@ -393,7 +393,7 @@
     def _carry_out(self, daemon, caller, want, decision, served, refused) -> None:
         if isinstance(decision, SendCall):
             self._send(daemon, caller, want, served, refused)
-        elif isinstance(decision, WaitForRoom):
+        elif isinstance(decision, WaitInQueue):
             self.waits[daemon][decision.ticket] = (caller, want, served, refused)
             self._look_later(daemon)
         else:
@@ -402,7 +402,7 @@
     def _refuse(self, daemon, caller, decision: RefuseCall, refused) -> None:
         self.tally.refused_while_shown_free += has_room_to_spare(self.places(daemon))
         base = max(0.1, decision.wait_seconds)
-        refused(return_delay_seconds(base, min(caller.rank, 9), self.rng.random()))
+        refused(retry_delay_seconds(base, min(caller.rank, 9), self.rng.random()))
 
     def _send(self, daemon, caller, want, served, refused) -> None:
         room = self.rooms[daemon]
--- a/rackswitch/admission/tests/test_concurrency.py
+++ b/rackswitch/admission/tests/test_concurrency.py
@@ -5,10 +5,10 @@
 from rackswitch.admission.concurrency import (
     BORROWED_CALLS,
     FIRST_LIMIT,
-    LEAST_LIMIT,
+    MIN_LIMIT,
     ConcurrencyLimit,
 )
-from rackswitch.admission.service_room import LEAST_CROWDING
+from rackswitch.admission.service_admission import MIN_CROWDING
 
 SLOTS = 6
 
@@ -24,11 +24,11 @@
 def test_queues_lower_the_limit_and_their_end_raises_it():
     limit = ConcurrencyLimit()
     now_seconds = crowded(limit, 0.0)
-    assert limit.limit == LEAST_LIMIT
+    assert limit.limit == MIN_LIMIT
     for _ in range(20):
         now_seconds += 0.02
         limit.answered(1, 0, SLOTS, now_seconds)
-    assert limit.limit > LEAST_LIMIT
+    assert limit.limit > MIN_LIMIT
 
 
 def test_refusals_of_one_moment_count_once():
@@ -48,7 +48,7 @@
             limit.sent(0.04, now_seconds)
             limit.ended()
             sent += 1
-    assert 1 <= sent <= 1 + 0.8 * LEAST_LIMIT / 0.04 + 0.1 / 0.04
+    assert 1 <= sent <= 1 + 0.8 * MIN_LIMIT / 0.04 + 0.1 / 0.04
 
 
 def test_the_first_rank_goes_ahead_of_its_spacing_by_a_bounded_number():
@@ -83,7 +83,7 @@
             limit.sent(0.04, now_seconds)
             sent += 1
     assert sent <= 5 * 3
-    assert limit.limit >= LEAST_LIMIT
+    assert limit.limit >= MIN_LIMIT
 
 
 @pytest.mark.parametrize("tells", [True, False])
@@ -114,8 +114,8 @@
     # Guards against taking old words of full targets for the present.
     limit = ConcurrencyLimit()
     now_seconds = crowded(limit, 0.0, answers=20)
-    assert limit.crowding(now_seconds) > LEAST_CROWDING
-    assert limit.crowding(now_seconds + 0.3) < LEAST_CROWDING
+    assert limit.crowding(now_seconds) > MIN_CROWDING
+    assert limit.crowding(now_seconds + 0.3) < MIN_CROWDING
 
 
 def test_a_daemon_that_hears_little_remembers_a_crowd_from_answer_to_answer():
@@ -123,7 +123,7 @@
     limit = ConcurrencyLimit()
     for number in range(40):
         limit.answered(SLOTS, SLOTS, SLOTS, 0.15 * number)
-    assert limit.crowding(0.15 * 40) > LEAST_CROWDING
+    assert limit.crowding(0.15 * 40) > MIN_CROWDING
 
 
 def test_one_full_target_among_free_ones_is_no_crowd():
@@ -132,4 +132,4 @@
     for number in range(20):
         limit.answered(1, 0, SLOTS, 0.02 * number)
     limit.answered(SLOTS, 1, SLOTS, 0.4)
-    assert limit.crowding(0.4) <= LEAST_CROWDING
+    assert limit.crowding(0.4) <= MIN_CROWDING
--- a/rackswitch/admission/tests/test_fair_queue.py
+++ b/rackswitch/admission/tests/test_fair_queue.py
@@ -2,26 +2,30 @@
 
 import pytest
 
-from rackswitch.admission import CallWant
+from rackswitch.admission import AdmissionRequest
 from rackswitch.admission.fair_queue import FairQueue
-from rackswitch.admission.returns import UsualPatience
-from rackswitch.admission.waiting_room import MOST_BYTES, MOST_CALLS, MOST_PASSED, WaitingRoom
+from rackswitch.admission.patience import PatienceEstimate
+from rackswitch.admission.wait_queue import MAX_BYTES, MAX_CALLS, MAX_PASSED, WaitQueue
 
 WORK = {"short": 0.04, "long": 0.16}
 
 
-def want(name="r", tenant="a", rank=0, kind="short", deadline_seconds=10.0, **more) -> CallWant:
-    return CallWant(name, kind, tenant, rank, 10, 0.0, deadline_seconds, deadline_seconds, **more)
+def want(
+    name="r", tenant="a", rank=0, kind="short", deadline_seconds=10.0, **more
+) -> AdmissionRequest:
+    return AdmissionRequest(
+        name, kind, tenant, rank, 10, 0.0, deadline_seconds, deadline_seconds, **more
+    )
 
 
-def order(queue: FairQueue, wants: dict[int, CallWant]) -> list[str]:
+def order(queue: FairQueue, wants: dict[int, AdmissionRequest]) -> list[str]:
     names = []
     while (number := queue.take(WORK, 0.05)) is not None:
         names.append(wants[number].request_id)
     return names
 
 
-def fill(wants: list[CallWant]) -> tuple[FairQueue, dict[int, CallWant]]:
+def fill(wants: list[AdmissionRequest]) -> tuple[FairQueue, dict[int, AdmissionRequest]]:
     queue = FairQueue()
     return queue, {queue.add(each): each for each in wants}
 
@@ -83,8 +87,8 @@
 
 
 def test_ranks_go_first_but_pass_a_worse_one_only_so_often():
-    room = WaitingRoom()
-    names = [f"u{n}" for n in range(3 * MOST_PASSED)]
+    room = WaitQueue()
+    names = [f"u{n}" for n in range(3 * MAX_PASSED)]
     for name in names:
         room.add(want(name, rank=0))
     room.add(want("low0", rank=5))
@@ -92,21 +96,21 @@
     taken = []
     while (found := room.take(WORK, 0.05)) is not None:
         taken.append(found[1].request_id)
-    assert taken.index("low0") == MOST_PASSED
-    assert taken.index("low1") == 2 * MOST_PASSED + 1
+    assert taken.index("low0") == MAX_PASSED
+    assert taken.index("low1") == 2 * MAX_PASSED + 1
 
 
 def test_a_refused_rank_has_its_turn_when_one_of_its_calls_comes():
-    room = WaitingRoom()
+    room = WaitQueue()
     room.refused(5)
-    for _ in range(MOST_PASSED):
+    for _ in range(MAX_PASSED):
         room.went(0)
     room.add(want("urgent", rank=0))
     assert room.ahead_of(want("low", rank=5)) == 0
 
 
 def test_callers_that_leave_go_out_at_once():
-    room = WaitingRoom()
+    room = WaitQueue()
     tickets = [room.add(want(f"r{n}")) for n in range(3)]
     assert room.remove(tickets[0]) is not None
     assert room.remove(tickets[0]) is None
@@ -116,15 +120,15 @@
 
 
 def test_the_room_is_bounded_in_calls_and_bytes():
-    room = WaitingRoom()
-    assert not room.has_room(CallWant("r", "k", "t", 0, MOST_BYTES + 1, 0.0, 1.0, 1.0))
-    for number in range(MOST_CALLS):
+    room = WaitQueue()
+    assert not room.has_room(AdmissionRequest("r", "k", "t", 0, MAX_BYTES + 1, 0.0, 1.0, 1.0))
+    for number in range(MAX_CALLS):
         room.add(want(str(number)))
     assert not room.has_room(want())
 
 
 def test_a_caller_that_is_back_is_known_by_the_time_it_has_left():
-    patience = UsualPatience()
+    patience = PatienceEstimate()
     assert not patience.is_back("k", 0.8)
     assert not patience.is_back("k", 0.79)
     assert patience.is_back("k", 0.5)
--- a/rackswitch/admission/tests/test_service_room.py
+++ b/rackswitch/admission/tests/test_service_admission.py
@@ -6,38 +6,40 @@
 
 from rackswitch.admission import (
     REWARD_RANK,
-    CallWant,
+    AdmissionRequest,
     RefusalCause,
     RefuseCall,
     SendCall,
-    ServiceRoom,
-    WaitForRoom,
+    ServiceAdmission,
+    WaitInQueue,
 )
-from rackswitch.admission.service_room import FIRST_RANK_AHEAD_CALLS
+from rackswitch.admission.service_admission import FIRST_RANK_AHEAD_CALLS
 from rackswitch.admission.shares import TenantShares, fair_rate
-from rackswitch.routing import Place
+from rackswitch.routing import TargetEstimate
 
 SLOTS = 6
 
 
-def want(name="r", rank=0, tenant="a", now_seconds=0.0, aim_seconds=0.2, kind="k") -> CallWant:
+def want(
+    name="r", rank=0, tenant="a", now_seconds=0.0, aim_seconds=0.2, kind="k"
+) -> AdmissionRequest:
     deadline_seconds = now_seconds + 4 * aim_seconds
-    return CallWant(
+    return AdmissionRequest(
         name, kind, tenant, rank, 10, now_seconds, now_seconds + aim_seconds, deadline_seconds
     )
 
 
-def place(running: float, waiting: float = 0.0, age_seconds: float = 0.0) -> Place:
-    return Place("t", SLOTS, running, waiting, 1.0, 0.03, age_seconds, 0.001)
+def place(running: float, waiting: float = 0.0, age_seconds: float = 0.0) -> TargetEstimate:
+    return TargetEstimate("t", SLOTS, running, waiting, 1.0, 0.03, age_seconds, 0.001)
 
 
 FULL = [place(SLOTS, 10.0)]
 FREE = [place(0)]
 
 
-def full_room(now_seconds: float = 0.0) -> ServiceRoom:
+def full_room(now_seconds: float = 0.0) -> ServiceAdmission:
     """Return a room whose daemon has all the calls at the service that it may have."""
-    room = ServiceRoom()
+    room = ServiceAdmission()
     room.work_seconds["k"] = 0.04
     call = want("x", 0, "x", now_seconds)
     while isinstance(decision := room.ask(call, FULL, 0.5, now_seconds), SendCall):
@@ -47,7 +49,7 @@
 
 
 def test_a_call_goes_at_once_while_the_limit_allows():
-    room = ServiceRoom()
+    room = ServiceAdmission()
     assert isinstance(room.ask(want(), FULL, 0.5, 0.0), SendCall)
     assert room.limit.in_flight == 1
 
@@ -55,7 +57,7 @@
 def test_a_call_waits_if_it_can_and_goes_as_another_ends():
     room = full_room()
     decision = room.ask(want("waits"), FULL, 0.5, 0.0)
-    assert isinstance(decision, WaitForRoom)
+    assert isinstance(decision, WaitInQueue)
     assert room.due(FULL, 0.01) == []
     room.ended(want("x"), 0.04)
     room.ended(want("x"), 0.04)
@@ -97,7 +99,7 @@
 def test_a_call_that_a_target_did_not_begin_waits_while_it_has_time():
     room = full_room()
     call = want()
-    assert isinstance(room.ask_again(call, 0.05), WaitForRoom)
+    assert isinstance(room.ask_again(call, 0.05), WaitInQueue)
     decision = room.ask_again(call, call.deadline_seconds)
     assert decision.cause is RefusalCause.OUT_OF_TIME
 
@@ -169,13 +171,13 @@
 
 
 def test_shares_are_told_by_tenant():
-    room = ServiceRoom()
+    room = ServiceAdmission()
     for tenant in ("a", "a", "a", "b"):
         room.ask(want(tenant=tenant), FULL, 0.5, 0.0)
     assert room.served_shares(0.0) == pytest.approx({"a": 0.75, "b": 0.25})
 
 
-def refused_by_all(room: ServiceRoom, now_seconds: float) -> None:
+def refused_by_all(room: ServiceAdmission, now_seconds: float) -> None:
     """Let both targets refuse all that is sent until the room knows it."""
     for number in range(4):
         now_seconds += 0.1
@@ -187,7 +189,7 @@
 
 def test_while_all_targets_refuse_each_call_is_tried_and_then_refused_at_once():
     # Guards against refusing calls by what targets said before they came back.
-    room = ServiceRoom()
+    room = ServiceAdmission()
     refused_by_all(room, 0.0)
     for number in range(20):
         now_seconds = 1.0 + 0.01 * number
@@ -214,12 +216,12 @@
 
 def test_what_becomes_of_calls_on_trial_decides_about_those_behind_them():
     # Guards against refusing calls while a target that is back works on others.
-    room = ServiceRoom()
+    room = ServiceAdmission()
     refused_by_all(room, 0.0)
     trials = [want(f"t{number}", now_seconds=1.0) for number in range(2)]
     assert all(isinstance(room.ask(call, FULL * 2, 0.99, 1.0), SendCall) for call in trials)
     behind = room.ask(want("behind", 2, now_seconds=1.0), FULL * 2, 0.99, 1.0)
-    assert isinstance(behind, WaitForRoom)
+    assert isinstance(behind, WaitInQueue)
     for call in trials:
         room.ended(call, None)
         room.target_refused(1.002)
@@ -230,7 +232,7 @@
 
 def test_targets_that_are_back_are_sent_calls_without_a_pause():
     # Guards against a limit that refusals of an outage have lowered without end.
-    room = ServiceRoom()
+    room = ServiceAdmission()
     refused_by_all(room, 0.0)
     for number in range(50):
         room.target_refused(1.0 + 0.1 * number)
@@ -245,9 +247,9 @@
         room.ended(call, 0.04)
 
 
-def overloaded_room(now_seconds: float) -> ServiceRoom:
+def overloaded_room(now_seconds: float) -> ServiceAdmission:
     """Return a room with one tenant far over its share, and a crowd that is told of until then."""
-    room = ServiceRoom()
+    room = ServiceAdmission()
     room.work_seconds["k"] = 0.04
     shares = room._shares.setdefault(0, TenantShares())
     for number in range(200):
@@ -301,13 +303,13 @@
 
 def test_a_call_on_trial_goes_behind_better_ones_that_wait():
     # Guards against newcomers that overtake waiting calls where no crowd is known.
-    room = ServiceRoom()
+    room = ServiceAdmission()
     room.limit.limit = 0.5
     while isinstance(decision := room.ask(want("first"), [], 0.5, 0.0), SendCall):
         pass
-    assert isinstance(decision, WaitForRoom)
+    assert isinstance(decision, WaitInQueue)
     while room.limit.in_flight:
         room.ended(want("first"), 0.04)
     newcomer = room.ask(want("newcomer", 2, aim_seconds=2.0), [], 0.5, 0.0)
-    assert isinstance(newcomer, WaitForRoom)
+    assert isinstance(newcomer, WaitInQueue)
     assert room.due([], 0.0)[0] == (decision.ticket, SendCall())
--- a/rackswitch/admission/tests/test_played_load.py
+++ b/rackswitch/admission/tests/test_simulated_load.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rackswitch.admission.tests.played_load import (
+from rackswitch.admission.tests.simulated_load import (
     NETWORK_SECONDS,
     AdmissionPlay,
     PolledPlay,
--- a/rackswitch/admission/waiting_room.py
+++ b/rackswitch/admission/wait_queue.py
@@ -2,18 +2,18 @@
 
 from dataclasses import dataclass, field
 
+from rackswitch.admission.decisions import AdmissionRequest, Ticket
 from rackswitch.admission.fair_queue import FairQueue
-from rackswitch.admission.wants import CallWant, Ticket
 
-__all__ = ["MOST_PASSED", "WaitingRoom"]
+__all__ = ["MAX_PASSED", "WaitQueue"]
 
-MOST_CALLS = 256
+MAX_CALLS = 256
 """Calls that wait; behind more of them a call would be out of time before its turn."""
 
-MOST_BYTES = 64 * 1024 * 1024
+MAX_BYTES = 64 * 1024 * 1024
 """Bodies of all waiting calls together, which are kept in memory."""
 
-MOST_PASSED = 16
+MAX_PASSED = 16
 """Most calls of better ranks that go before one call of a rank that wants room: about one call in
 seventeen keeps a last rank moving, and costs the first rank little."""
 
@@ -38,10 +38,10 @@
 
 
 @dataclass(slots=True)
-class WaitingRoom:
+class WaitQueue:
     """Bounded in calls and bytes; ordered by rank, then in fair turns, then by time left.
 
-    Of the calls of better ranks no more than `MOST_PASSED` go before a rank that wants room.
+    Of the calls of better ranks no more than `MAX_PASSED` go before a rank that wants room.
 
     Attributes
     ----------
@@ -51,16 +51,16 @@
 
     body_bytes: int = 0
     _ranks: dict[int, _Rank] = field(default_factory=dict)
-    _tickets: dict[Ticket, CallWant] = field(default_factory=dict)
+    _tickets: dict[Ticket, AdmissionRequest] = field(default_factory=dict)
 
     def __len__(self) -> int:
         return len(self._tickets)
 
-    def has_room(self, want: CallWant) -> bool:
+    def has_room(self, want: AdmissionRequest) -> bool:
         """Return whether one more call may wait."""
-        return len(self) < MOST_CALLS and self.body_bytes + want.body_bytes <= MOST_BYTES
+        return len(self) < MAX_CALLS and self.body_bytes + want.body_bytes <= MAX_BYTES
 
-    def add(self, want: CallWant) -> Ticket:
+    def add(self, want: AdmissionRequest) -> Ticket:
         """Let a call wait."""
         rank = self._rank(want.rank)
         rank.wants_room = True
@@ -69,7 +69,7 @@
         self.body_bytes += want.body_bytes
         return ticket
 
-    def remove(self, ticket: Ticket) -> CallWant | None:
+    def remove(self, ticket: Ticket) -> AdmissionRequest | None:
         """Take a call out that need not wait any more; None if it is not here."""
         want = self._tickets.pop(ticket, None)
         if want is not None:
@@ -77,11 +77,11 @@
             self.body_bytes -= want.body_bytes
         return want
 
-    def ahead_of(self, want: CallWant) -> int:
+    def ahead_of(self, want: AdmissionRequest) -> int:
         """Return how many waiting calls would go before a new one."""
         own = self._ranks.get(want.rank)
         in_rank = own.queue.ahead_of(want) if own is not None else 0
-        if own is not None and own.passed >= MOST_PASSED:
+        if own is not None and own.passed >= MAX_PASSED:
             return in_rank
         better = sum(len(rank.queue) for number, rank in self._ranks.items() if number < want.rank)
         return in_rank + better + self._due_behind(want.rank)
@@ -91,12 +91,12 @@
         waiting = [number for number, rank in self._ranks.items() if len(rank.queue)]
         if not waiting:
             return None
-        overdue = [number for number in waiting if self._ranks[number].passed >= MOST_PASSED]
+        overdue = [number for number in waiting if self._ranks[number].passed >= MAX_PASSED]
         return min(overdue or waiting)
 
     def take(
         self, work_seconds_of: dict[str, float], usual_seconds: float
-    ) -> tuple[Ticket, CallWant] | None:
+    ) -> tuple[Ticket, AdmissionRequest] | None:
         """Take the next call out; None if none waits.
 
         Parameters
@@ -134,9 +134,9 @@
     def is_overdue(self, number: int) -> bool:
         """Return whether it is a rank's turn, as so many better ones went before it."""
         rank = self._ranks.get(number)
-        return rank is not None and rank.passed >= MOST_PASSED
+        return rank is not None and rank.passed >= MAX_PASSED
 
-    def waiting(self) -> dict[Ticket, CallWant]:
+    def waiting(self) -> dict[Ticket, AdmissionRequest]:
         """Return the calls that wait."""
         return dict(self._tickets)
 
@@ -145,7 +145,7 @@
         return sum(
             1
             for other, rank in self._ranks.items()
-            if other > number and rank.passed >= MOST_PASSED and len(rank.queue)
+            if other > number and rank.passed >= MAX_PASSED and len(rank.queue)
         )
 
     def _rank(self, number: int) -> _Rank:
--- a/rackswitch/capacity/__init__.py
+++ b/rackswitch/capacity/__init__.py
@@ -1,7 +1,7 @@
 """How many engines a service is to have, of which kind and where."""
 
 from rackswitch.capacity.demand import JobLoad, wanted_slots
-from rackswitch.capacity.engines import Capacity, EngineCounts, EngineKind, Place
+from rackswitch.capacity.engines import Capacity, EngineCounts, EngineKind, EngineLocation
 from rackswitch.capacity.planner import CapacityPlanner, EngineOrder, ServiceState
 from rackswitch.capacity.policies import CAPACITY_POLICIES, KIND_POLICIES
 
@@ -12,9 +12,9 @@
     "CapacityPlanner",
     "EngineCounts",
     "EngineKind",
+    "EngineLocation",
     "EngineOrder",
     "JobLoad",
-    "Place",
     "ServiceState",
     "wanted_slots",
 ]
--- a/rackswitch/capacity/engines.py
+++ b/rackswitch/capacity/engines.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-__all__ = ["Capacity", "EngineCounts", "EngineKind", "Place"]
+__all__ = ["Capacity", "EngineCounts", "EngineKind", "EngineLocation"]
 
 
 class EngineKind(Enum):
@@ -18,14 +18,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class EngineLocation:
     """A kind of engine in an availability zone; each place is ordered by itself."""
 
     zone: str
     kind: EngineKind
 
 
-EngineCounts = Counter[Place]
+EngineCounts = Counter[EngineLocation]
 """How many engines there are, or are ordered, in each place."""
 
 
@@ -54,11 +54,11 @@
     zone_prices: dict[str, float]
     reclaimable_price: float
 
-    def price(self, place: Place) -> float:
+    def price(self, place: EngineLocation) -> float:
         """Return the price of an engine's second in a place."""
         price = self.zone_prices[place.zone]
         return price * (self.reclaimable_price if place.kind is EngineKind.RECLAIMABLE else 1.0)
 
     def room(self, counts: EngineCounts, zone: str) -> int:
         """Return how many more engines a zone may have."""
-        return self.most - sum(counts[Place(zone, kind)] for kind in EngineKind)
+        return self.most - sum(counts[EngineLocation(zone, kind)] for kind in EngineKind)
--- a/rackswitch/capacity/planner.py
+++ b/rackswitch/capacity/planner.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from rackswitch.capacity.engines import Capacity, EngineCounts, EngineKind, Place
+from rackswitch.capacity.engines import Capacity, EngineCounts, EngineKind, EngineLocation
 from rackswitch.capacity.policies import KindPolicy
 
 __all__ = ["CapacityPlanner", "EngineOrder", "ServiceState"]
@@ -28,7 +28,7 @@
 """How many times the wanted engines are no surplus yet: giving an engine back and ordering it again
 costs its boot and the loads of every model."""
 
-MOST_GIVEN_BACK = 2
+MAX_GIVEN_BACK = 2
 """Engines given back by one round of orders: their runs move to others within a second."""
 
 REFUSED_SECONDS = 10.0
@@ -40,7 +40,7 @@
 class EngineOrder:
     """How many engines a place is to have from now on."""
 
-    place: Place
+    place: EngineLocation
     count: int
 
 
@@ -73,10 +73,10 @@
     kinds: KindPolicy
     _lack_since_seconds: float | None = None
     _surplus_since_seconds: float | None = None
-    _refused_until_seconds: dict[Place, float] = field(default_factory=dict)
+    _refused_until_seconds: dict[EngineLocation, float] = field(default_factory=dict)
     _booting_until_seconds: list[float] = field(default_factory=list)
 
-    def refused(self, place: Place, now_seconds: float) -> None:
+    def refused(self, place: EngineLocation, now_seconds: float) -> None:
         """Note that the platform has no engine to give in a place now."""
         self._refused_until_seconds[place] = now_seconds + REFUSED_SECONDS
 
@@ -153,7 +153,7 @@
         kept = sum(n for place, n in state.present.items() if place.kind is EngineKind.KEPT)
         reclaimable = sum(state.present.values()) - kept
         may_be_reclaimable = max(0, self.kinds(wanted, kept) - reclaimable)
-        changed: set[Place] = set()
+        changed: set[EngineLocation] = set()
         for number in range(missing):
             kinds = [EngineKind.KEPT]
             if number < may_be_reclaimable and capacity.reclaimable_price <= 1:
@@ -172,14 +172,14 @@
         capacity: Capacity,
         kinds: list[EngineKind],
         now_seconds: float,
-    ) -> Place | None:
+    ) -> EngineLocation | None:
         """Return where one more engine goes, or None if none can be had."""
         for kind in kinds:
             places = [
-                Place(zone, kind)
+                EngineLocation(zone, kind)
                 for zone in capacity.zone_prices
                 if capacity.room(counts, zone) > 0
-                and now_seconds >= self._refused_until_seconds.get(Place(zone, kind), 0.0)
+                and now_seconds >= self._refused_until_seconds.get(EngineLocation(zone, kind), 0.0)
             ]
             if places:
                 return min(
@@ -193,14 +193,15 @@
     ) -> list[EngineOrder]:
         """Give back a few engines, the dearest first, where a zone has more than its least."""
         counts = Counter(state.present)
-        changed: set[Place] = set()
-        for _ in range(min(surplus, MOST_GIVEN_BACK)):
+        changed: set[EngineLocation] = set()
+        for _ in range(min(surplus, MAX_GIVEN_BACK)):
             places = [
                 place
                 for place, count in counts.items()
                 if count > 0
                 and place.zone in capacity.zone_prices
-                and sum(counts[Place(place.zone, kind)] for kind in EngineKind) > capacity.least
+                and sum(counts[EngineLocation(place.zone, kind)] for kind in EngineKind)
+                > capacity.least
             ]
             if not places:
                 break
--- a/rackswitch/capacity/tests/test_capacity.py
+++ b/rackswitch/capacity/tests/test_capacity.py
@@ -12,8 +12,8 @@
     Capacity,
     CapacityPlanner,
     EngineKind,
+    EngineLocation,
     JobLoad,
-    Place,
     ServiceState,
     wanted_slots,
 )
@@ -24,7 +24,7 @@
 
 
 def standing(per_zone: int) -> Counter:
-    return Counter({Place(zone, KEPT): per_zone for zone in PRICES})
+    return Counter({EngineLocation(zone, KEPT): per_zone for zone in PRICES})
 
 
 class Platform:
@@ -33,9 +33,9 @@
     def __init__(self, per_zone: int, kinds: str = "added"):
         self.state = ServiceState(standing(per_zone), standing(per_zone))
         self.planner = CapacityPlanner(KIND_POLICIES.get(kinds))
-        self.booting: list[tuple[float, Place]] = []
+        self.booting: list[tuple[float, EngineLocation]] = []
         self.orders: list = []
-        self.dry: set[Place] = set()
+        self.dry: set[EngineLocation] = set()
 
     def step(self, wanted: int, now: float) -> None:
         for ready, place in [entry for entry in self.booting if entry[0] <= now]:
@@ -83,7 +83,7 @@
     platform = Platform(2)
     platform.step(12, 0.0)
     ordered = {order.place: order.count for order in platform.orders}
-    assert ordered == {Place(zone, RECLAIMABLE): 2 for zone in PRICES}
+    assert ordered == {EngineLocation(zone, RECLAIMABLE): 2 for zone in PRICES}
     platform.play(12, 20.0, 0.5)
     assert platform.engines == 12
     assert len(platform.orders) == 3
@@ -91,7 +91,7 @@
 
 def test_engines_that_fail_for_a_moment_are_not_replaced_and_those_lost_for_good_are():
     platform = Platform(4)
-    lost = Place("a", KEPT)
+    lost = EngineLocation("a", KEPT)
     platform.state.present[lost] -= 1
     platform.play(12, 2.5)
     platform.state.present[lost] += 1
@@ -105,7 +105,7 @@
 
 def test_a_zone_that_runs_dry_is_left_for_another_and_then_tried_again():
     platform = Platform(2)
-    platform.dry = {Place("b", RECLAIMABLE)}
+    platform.dry = {EngineLocation("b", RECLAIMABLE)}
     platform.play(8, 20.0)
     assert platform.engines == 8
     assert not any(order.place.zone == "b" for order in platform.orders)
@@ -130,7 +130,7 @@
     assert platform.engines == 12
     platform.play(8, 60.0, 10.0)
     assert 8 <= platform.engines <= 10
-    assert platform.orders[0].place == Place("c", KEPT)
+    assert platform.orders[0].place == EngineLocation("c", KEPT)
 
 
 @given(st.lists(st.integers(0, 60), min_size=1, max_size=40), st.sampled_from(["none", "added"]))
@@ -139,7 +139,7 @@
     for number, wanted in enumerate(needs):
         platform.play(wanted, 2.0, 2.0 * number)
         for zone in PRICES:
-            total = sum(platform.state.ordered[Place(zone, kind)] for kind in EngineKind)
+            total = sum(platform.state.ordered[EngineLocation(zone, kind)] for kind in EngineKind)
             assert TERMS.least <= total <= TERMS.most
         if kinds == "none":
             assert not any(order.place.kind is RECLAIMABLE for order in platform.orders)
--- a/rackswitch/clients/kv.py
+++ b/rackswitch/clients/kv.py
@@ -40,7 +40,7 @@
 ]
 
 CALL_TIMEOUT_SECONDS = 1.0
-MOST_VALUE_BYTES = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
--- a/rackswitch/clients/probe.py
+++ b/rackswitch/clients/probe.py
@@ -3,12 +3,12 @@
 import asyncio
 import contextlib
 
-from rackswitch.quarantine import Look
+from rackswitch.quarantine import ProbeOutcome
 
 __all__ = ["look_at"]
 
 
-async def look_at(host: str, port: int, timeout_seconds: float) -> Look:
+async def look_at(host: str, port: int, timeout_seconds: float) -> ProbeOutcome:
     """Try to connect once, and close what was opened.
 
     Parameters
@@ -20,18 +20,18 @@
 
     Returns
     -------
-    Look
+    ProbeOutcome
         REFUSED only if the machine itself said that nobody listens there.
     """
     try:
         async with asyncio.timeout(timeout_seconds):
             _, writer = await asyncio.open_connection(host, port)
     except ConnectionRefusedError:
-        return Look.REFUSED
+        return ProbeOutcome.REFUSED
     except (OSError, TimeoutError):
-        return Look.SILENT
+        return ProbeOutcome.SILENT
     writer.close()
     with contextlib.suppress(OSError):
         # Whoever took the connection may reset it as it closes; it was taken all the same.
         await writer.wait_closed()
-    return Look.ANSWERED
+    return ProbeOutcome.ANSWERED
--- a/rackswitch/daemon/admin_edge.py
+++ b/rackswitch/daemon/admin_edge.py
@@ -11,7 +11,7 @@
 from rackswitch.daemon.access import find_operator
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.daemon.heartbeats import Heartbeats
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.daemon.table_keeper import (
     EditResult,
     EditUnavailable,
@@ -71,7 +71,7 @@
         Writes edits.
     heartbeats : Heartbeats
         Asks peers for their revision.
-    roles : RoleKeeper
+    roles : RoleManager
         Roles held here.
     """
 
@@ -82,7 +82,7 @@
         context: DaemonContext,
         table: TableKeeper,
         heartbeats: Heartbeats,
-        roles: RoleKeeper,
+        roles: RoleManager,
     ):
         self._context = context
         self._table = table
--- a/rackswitch/daemon/caller_edge.py
+++ b/rackswitch/daemon/caller_edge.py
@@ -40,14 +40,14 @@
 )
 from rackswitch.web.problems import problem_response
 
-__all__ = ["CallerEdge"]
+__all__ = ["CallerHandler"]
 
 TIMEOUT_HEADER = b"rackswitch-timeout-seconds"
 REPEATABLE_HEADER = b"rackswitch-repeatable"
 IDEMPOTENCY_HEADER = b"idempotency-key"
 DEFAULT_TIMEOUT_SECONDS = 60.0
-MOST_TIMEOUT_SECONDS = 600.0
-MOST_KEY_CHARACTERS = 200
+MAX_TIMEOUT_SECONDS = 600.0
+MAX_KEY_CHARACTERS = 200
 SSE = b"text/event-stream"
 
 
@@ -63,7 +63,7 @@
     user: str | None = None
 
 
-class CallerEdge:
+class CallerHandler:
     """Turns callers' HTTP requests into calls, and outcomes into answers.
 
     Parameters
@@ -189,9 +189,9 @@
             timeout_seconds = float(text)
         except ValueError:
             timeout_seconds = -1.0
-        if not 0 < timeout_seconds <= MOST_TIMEOUT_SECONDS:
+        if not 0 < timeout_seconds <= MAX_TIMEOUT_SECONDS:
             name = TIMEOUT_HEADER.decode()
-            detail = f"`{name}` must be a number above 0 and at most {MOST_TIMEOUT_SECONDS:.0f}"
+            detail = f"`{name}` must be a number above 0 and at most {MAX_TIMEOUT_SECONDS:.0f}"
             return NotRun(NotRunReason.BAD_REQUEST, detail)
         return arrived_seconds + timeout_seconds
 
@@ -205,8 +205,8 @@
         if isinstance(deadline, NotRun):
             return deadline
         key = (request.get_first_header(IDEMPOTENCY_HEADER) or b"").decode("latin-1")
-        if len(key) > MOST_KEY_CHARACTERS:
-            detail = f"`idempotency-key` is over {MOST_KEY_CHARACTERS} characters"
+        if len(key) > MAX_KEY_CHARACTERS:
+            detail = f"`idempotency-key` is over {MAX_KEY_CHARACTERS} characters"
             return NotRun(NotRunReason.BAD_REQUEST, detail)
         says = (request.get_first_header(REPEATABLE_HEADER) or b"").lower()
         if says not in (b"", b"yes", b"no"):
--- a/rackswitch/daemon/claim_keeper.py
+++ b/rackswitch/daemon/claim_keeper.py
@@ -30,14 +30,14 @@
 
 __all__ = ["ClaimFound", "ClaimKeeper", "ClaimsUnavailable"]
 
-MOST_PARTS = 64
+MAX_PARTS = 64
 RETRY_SECONDS = 0.1
 SETTLE_TRIES = 600
 SETTLE_RETRY_SECONDS = 1.0
 ENDED_PERIODS = 3
 """Claims of the period this many before the present one are of no more use."""
 
-MOST_KEPT_ANSWER_BYTES = 64_000
+MAX_KEPT_ANSWER_BYTES = 64_000
 PROBE_SECONDS = 0.25
 """Between looks whether a service that was away answers again."""
 
@@ -167,7 +167,7 @@
         body: bytes,
     ) -> None:
         """Write the answer into a claim, for later duplicates of the request."""
-        kept = body if len(body) <= MOST_KEPT_ANSWER_BYTES else b""
+        kept = body if len(body) <= MAX_KEPT_ANSWER_BYTES else b""
         answered = msgspec.structs.replace(
             found.claim,
             state=ClaimState.ANSWERED,
@@ -259,7 +259,7 @@
         batch: list[_Pending] = []
         keys: set[str] = set()
         left: deque[_Pending] = deque()
-        while self._pending and len(batch) < MOST_PARTS:
+        while self._pending and len(batch) < MAX_PARTS:
             each = self._pending.popleft()
             if each.key in keys:
                 left.append(each)
--- a/rackswitch/daemon/completions.py
+++ b/rackswitch/daemon/completions.py
@@ -22,8 +22,8 @@
 
 __all__ = ["CompletionCall", "CompletionFront"]
 
-COME_BACK_SECONDS = 1.0
-LEAST_PATIENCE_SECONDS = 1.5
+RETRY_AFTER_SECONDS = 1.0
+MIN_TIMEOUT_SECONDS = 1.5
 PATIENCE_FACTOR = 3.0
 """How many times the estimated wait an engine may take before another one is tried."""
 
@@ -101,7 +101,9 @@
         now_seconds = self._context.now_seconds()
         if not candidates:
             return NotRun(
-                NotRunReason.NO_TARGET, "no engine may serve this", now_seconds + COME_BACK_SECONDS
+                NotRunReason.NO_TARGET,
+                "no engine may serve this",
+                now_seconds + RETRY_AFTER_SECONDS,
             )
         routed = self._routed(call, progress)
         row, target = self._chooser.pick(routed, candidates)
@@ -156,7 +158,7 @@
     ) -> EngineRequest:
         row, target = chosen
         wait_seconds = estimated_wait_seconds(routed, target)
-        patience_seconds = max(LEAST_PATIENCE_SECONDS, PATIENCE_FACTOR * wait_seconds)
+        patience_seconds = max(MIN_TIMEOUT_SECONDS, PATIENCE_FACTOR * wait_seconds)
         return EngineRequest(
             request_id=self._chooser.new_attempt_id(),
             model=row.serves,
--- a/rackswitch/daemon/core.py
+++ b/rackswitch/daemon/core.py
@@ -13,7 +13,7 @@
 from rackswitch.clients.weight_store import WeightStoreClient
 from rackswitch.daemon.access import find_operator
 from rackswitch.daemon.admin_edge import AdminEdge
-from rackswitch.daemon.caller_edge import CallerEdge
+from rackswitch.daemon.caller_edge import CallerHandler
 from rackswitch.daemon.claim_keeper import ClaimKeeper
 from rackswitch.daemon.completions import CompletionFront
 from rackswitch.daemon.context import DaemonContext
@@ -22,7 +22,7 @@
 from rackswitch.daemon.ledger_store import ledger_role
 from rackswitch.daemon.limit_keeper import LimitKeeper
 from rackswitch.daemon.peers import PeersService
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.daemon.rollout_keeper import RolloutKeeper, rollout_role
 from rackswitch.daemon.sample_runner import SampleRunner
 from rackswitch.daemon.service_calls import ServiceFront
@@ -45,7 +45,7 @@
 CLAIM_CLEANING_ROLE = "claim-cleaning"
 CLAIM_CLEANING_SECONDS = 30.0
 METHODS_PASSED_THROUGH = ("GET", "POST", "PUT", "PATCH", "DELETE")
-STOP_PATIENCE_SECONDS = 120.0
+STOP_TIMEOUT_SECONDS = 120.0
 BALANCER_NOTICE_SECONDS = 0.3
 """How long a stopping daemon still answers, so that the balancer sees it not ready."""
 
@@ -90,7 +90,7 @@
             self.table.confirmation_age_seconds,
             self._is_watcher,
         )
-        self.roles = RoleKeeper(self.context, self._wanted_roles)
+        self.roles = RoleManager(self.context, self._wanted_roles)
         self.limits = LimitKeeper(self.context, self.heartbeats)
         self.targets = TargetKeeper(self.context, lambda: set(self.heartbeats.leaving_targets))
         self.claims = ClaimKeeper(self.context)
@@ -102,7 +102,7 @@
         completions = CompletionFront(self.context, self.targets, chooser)
         plain = PlainServiceClient(sessions)
         services = ServiceFront(self.context, chooser, self.claims, plain)
-        self.caller_edge = CallerEdge(self.context, completions, services, self.limits)
+        self.caller_edge = CallerHandler(self.context, completions, services, self.limits)
         self._peers = PeersService(
             self.context,
             self.heartbeats,
@@ -157,7 +157,7 @@
         await self.roles.tend()
         await self.heartbeats.announce()
         await asyncio.sleep(BALANCER_NOTICE_SECONDS)
-        whole = await self.context.in_flight.wait_idle(STOP_PATIENCE_SECONDS)
+        whole = await self.context.in_flight.wait_idle(STOP_TIMEOUT_SECONDS)
         await self._server.stop()
         self.context.log.write(Stopped(whole=whole))
         await self._close()
--- a/rackswitch/daemon/heartbeats.py
+++ b/rackswitch/daemon/heartbeats.py
@@ -16,7 +16,7 @@
 HEARTBEAT_TIMEOUT_SHARE = 0.5
 HELPERS = 3
 ANNOUNCE_FANOUT = 3
-MOST_HUNGERS = 8
+MAX_HUNGERS = 8
 HUNGER_LIFE_SECONDS = 3.0
 LEAVING_PER_MESSAGE = 8
 VM_LIST_SECONDS = 1.0
@@ -173,7 +173,7 @@
             if now_seconds >= news.deadline_seconds:
                 del self.hungers[key]
         newest = sorted(self.hungers.values(), key=lambda news: -news.deadline_seconds)
-        return newest[:MOST_HUNGERS]
+        return newest[:MAX_HUNGERS]
 
     def _leaving_to_send(self) -> list[str]:
         pending = [name for name, sends in self.leaving_targets.items() if sends > 0]
--- a/rackswitch/daemon/ledger_keeper.py
+++ b/rackswitch/daemon/ledger_keeper.py
@@ -18,7 +18,7 @@
     ledger_role,
 )
 from rackswitch.daemon.peers import LedgerAnswer
-from rackswitch.daemon.roles import ROLE_PREFIX, RoleKeeper
+from rackswitch.daemon.roles import ROLE_PREFIX, RoleManager
 from rackswitch.daemon.sample_runner import SampleFailed, SampleRunner
 from rackswitch.leases import rank_candidates
 from rackswitch.membership import MemberUpdate
@@ -58,7 +58,7 @@
     ----------
     context : DaemonContext
         The daemon.
-    roles : RoleKeeper
+    roles : RoleManager
         Leases.
     runner : SampleRunner
         Makes samples on this daemon.
@@ -66,7 +66,7 @@
 
     __slots__ = ("_context", "_held", "_holders", "_roles", "_runner", "_store", "_turn", "_wake")
 
-    def __init__(self, context: DaemonContext, roles: RoleKeeper, runner: SampleRunner):
+    def __init__(self, context: DaemonContext, roles: RoleManager, runner: SampleRunner):
         self._context = context
         self._roles = roles
         self._store = LedgerStore(context, roles)
--- a/rackswitch/daemon/ledger_store.py
+++ b/rackswitch/daemon/ledger_store.py
@@ -8,7 +8,7 @@
 from rackswitch.clients.kv import Compare, KvRead, KvUnavailable, Operation, TxnPart
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.daemon.peers import LedgerAnswer
-from rackswitch.daemon.roles import ROLE_PREFIX, RoleKeeper
+from rackswitch.daemon.roles import ROLE_PREFIX, RoleManager
 from rackswitch.samples import LedgerRecord, SampleLedger, StepPlan
 from rackswitch.table import TrainerRow
 from rackswitch.web.problems import Problem
@@ -16,8 +16,8 @@
 __all__ = ["NOT_HELD_HERE", "HeldLedger", "LedgerStore", "ledger_problem", "ledger_role"]
 
 NOT_HELD_HERE = 421
-COME_BACK_SECONDS = 0.5
-MOST_PLAN_BYTES = 900_000
+RETRY_AFTER_SECONDS = 0.5
+MAX_PLAN_BYTES = 900_000
 
 
 def ledger_role(trainer: str) -> str:
@@ -51,13 +51,13 @@
     ----------
     context : DaemonContext
         The daemon.
-    roles : RoleKeeper
+    roles : RoleManager
         Leases.
     """
 
     __slots__ = ("_context", "_roles")
 
-    def __init__(self, context: DaemonContext, roles: RoleKeeper):
+    def __init__(self, context: DaemonContext, roles: RoleManager):
         self._context = context
         self._roles = roles
 
@@ -83,8 +83,8 @@
     async def put_plan(self, trainer: str, plan: StepPlan) -> LedgerAnswer:
         """Keep a step's plan; keeping it again is harmless."""
         encoded = msgspec.json.encode(plan)
-        if len(encoded) > MOST_PLAN_BYTES:
-            detail = f"A plan holds at most {MOST_PLAN_BYTES} bytes."
+        if len(encoded) > MAX_PLAN_BYTES:
+            detail = f"A plan holds at most {MAX_PLAN_BYTES} bytes."
             return ledger_problem(413, "plan-too-large", detail)
         key = f"{_plans_prefix(trainer)}{plan.step:012d}"
         fence = self._roles.fence(ledger_role(trainer))
@@ -167,5 +167,5 @@
 
 def ledger_problem(status: int, name: str, detail: str) -> LedgerAnswer:
     """Return a refusal, with when to come back."""
-    problem = Problem(status, name, detail, "no", COME_BACK_SECONDS)
+    problem = Problem(status, name, detail, "no", RETRY_AFTER_SECONDS)
     return LedgerAnswer(status, msgspec.json.encode(problem))
--- a/rackswitch/daemon/limit_keeper.py
+++ b/rackswitch/daemon/limit_keeper.py
@@ -9,9 +9,9 @@
 from rackswitch.limits import (
     LOAN_LIFE_SECONDS,
     ConcurrencyLimit,
-    Loan,
+    LentShare,
     RateLimit,
-    ShareBook,
+    ShareLedger,
 )
 from rackswitch.outcomes import NotRun, NotRunReason
 from rackswitch.peers import peers_pb2 as pb
@@ -93,15 +93,15 @@
         limits = self._tenants.get(tenant.name)
         if limits is None:
             limits = _TenantLimits(
-                RateLimit(ShareBook(tenant.rate_per_second / slots)),
-                ConcurrencyLimit(ShareBook(tenant.concurrency / slots)),
+                RateLimit(ShareLedger(tenant.rate_per_second / slots)),
+                ConcurrencyLimit(ShareLedger(tenant.concurrency / slots)),
             )
             self._tenants[tenant.name] = limits
         limits.rate.book.resize(tenant.rate_per_second / slots)
         limits.concurrency.book.resize(tenant.concurrency / slots)
         return limits
 
-    def _book(self, limit: str) -> ShareBook | None:
+    def _book(self, limit: str) -> ShareLedger | None:
         kind, _, name = limit.partition("/")
         tenant = self._context.view.row(TenantRow, name)
         if tenant is None:
@@ -117,7 +117,7 @@
             self._announce(f"rate/{name}", rate.book, rate.missing_units(now_seconds))
             self._announce(f"concurrency/{name}", concurrency.book, missing_places)
 
-    def _announce(self, limit: str, book: ShareBook, missing_units: float) -> None:
+    def _announce(self, limit: str, book: ShareLedger, missing_units: float) -> None:
         if missing_units <= 0:
             return
         self._sequence += 1
@@ -140,7 +140,7 @@
                 self._lent_to[key] = now_seconds + LOAN_LIFE_SECONDS / 3
                 self._context.spawn(self._send_loan(news, loan))
 
-    def _make_loan(self, news: HungerNews, now_seconds: float) -> Loan | None:
+    def _make_loan(self, news: HungerNews, now_seconds: float) -> LentShare | None:
         book = self._book(news.limit)
         if book is None:
             return None
@@ -152,7 +152,7 @@
         wanted_units = news.missing_units * SPREAD_FACTOR / others
         return book.lend(wanted_units, float(used), now_seconds)
 
-    async def _send_loan(self, news: HungerNews, loan: Loan) -> None:
+    async def _send_loan(self, news: HungerNews, loan: LentShare) -> None:
         peer = self._context.membership.address(news.daemon)
         if peer is None:
             return
--- a/rackswitch/daemon/peers.py
+++ b/rackswitch/daemon/peers.py
@@ -22,7 +22,7 @@
 __all__ = ["LedgerAnswer", "PeersService"]
 
 
-CLOSE_PATIENCE_SECONDS = 2.0
+CLOSE_TIMEOUT_SECONDS = 2.0
 
 RequestT = TypeVar("RequestT")
 
@@ -80,7 +80,7 @@
         self._closed = True
         self._server.close()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(CLOSE_PATIENCE_SECONDS):
+            async with asyncio.timeout(CLOSE_TIMEOUT_SECONDS):
                 await self._server.wait_closed()
 
     async def _receive(self, stream: Stream[RequestT, Any]) -> RequestT:
--- a/rackswitch/daemon/roles.py
+++ b/rackswitch/daemon/roles.py
@@ -15,13 +15,13 @@
 from rackswitch.leases import LeaseAction, RoleLease, decode_holder, encode_holder
 from rackswitch.telemetry.events import RoleAcquired, RoleLost
 
-__all__ = ["ROLE_PREFIX", "RoleKeeper"]
+__all__ = ["ROLE_PREFIX", "RoleManager"]
 
 ROLE_PREFIX = "roles/"
 TICK_SECONDS = 0.25
 
 
-class RoleKeeper:
+class RoleManager:
     """The daemon's leases on roles.
 
     Parameters
--- a/rackswitch/daemon/rollout_keeper.py
+++ b/rackswitch/daemon/rollout_keeper.py
@@ -6,7 +6,7 @@
 from rackswitch.clients.engine import EngineInfo, OrderTaken
 from rackswitch.clients.weight_store import PublishedVersions, WeightStoreClient
 from rackswitch.daemon.context import DaemonContext
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.daemon.target_keeper import TargetKeeper
 from rackswitch.table import ModelRow, RouteChoice, RouteRow, TargetRow
 from rackswitch.telemetry.events import LoadOrdered
@@ -51,7 +51,7 @@
     ----------
     context : DaemonContext
         The daemon.
-    roles : RoleKeeper
+    roles : RoleManager
         Leases.
     targets : TargetKeeper
         Engine clients.
@@ -72,7 +72,7 @@
     def __init__(
         self,
         context: DaemonContext,
-        roles: RoleKeeper,
+        roles: RoleManager,
         targets: TargetKeeper,
         store: WeightStoreClient,
     ):
--- a/rackswitch/daemon/sample_runner.py
+++ b/rackswitch/daemon/sample_runner.py
@@ -24,9 +24,9 @@
 SAMPLE_PRIORITY = 100
 """Behind every caller class (0 to 9)."""
 
-SAMPLE_PATIENCE_SECONDS = 120.0
-FIRST_CHUNK_PATIENCE_SECONDS = 20.0
-MOST_ATTEMPTS = 4
+SAMPLE_TIMEOUT_SECONDS = 120.0
+FIRST_CHUNK_TIMEOUT_SECONDS = 20.0
+MAX_ATTEMPTS = 4
 SCORING_TRIES = 3
 
 
@@ -81,7 +81,7 @@
         partial = _Partial()
         choice = RouteChoice(serves=order.model, oldest_version=order.oldest_version)
         detail = "no engine may make this sample"
-        for _ in range(MOST_ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             candidates = self._targets.allowed(choice)
             if not candidates:
                 break
@@ -120,8 +120,8 @@
             max_tokens=order.max_tokens,
             seed=order.seed,
             priority=SAMPLE_PRIORITY,
-            deadline_seconds=now_seconds + SAMPLE_PATIENCE_SECONDS,
-            first_chunk_deadline_seconds=now_seconds + FIRST_CHUNK_PATIENCE_SECONDS,
+            deadline_seconds=now_seconds + SAMPLE_TIMEOUT_SECONDS,
+            first_chunk_deadline_seconds=now_seconds + FIRST_CHUNK_TIMEOUT_SECONDS,
             resume_token_ids=tuple(partial.token_ids),
         )
         check = StreamCheck(request.request_id)
--- a/rackswitch/daemon/service_calls.py
+++ b/rackswitch/daemon/service_calls.py
@@ -28,9 +28,9 @@
 
 __all__ = ["ServiceCall", "ServiceFront"]
 
-CLAIM_PATIENCE_SECONDS = 2.0
+CLAIM_TIMEOUT_SECONDS = 2.0
 IN_DOUBT_RETRY_SECONDS = 1.0
-DUPLICATE_PATIENCE_SECONDS = 2.0
+DUPLICATE_TIMEOUT_SECONDS = 2.0
 """How long a second copy waits for the first one's answer; plain calls take some 50 ms, and
 a first copy whose daemon died never answers."""
 
@@ -95,7 +95,7 @@
         digest = request_digest(f"{call.route.name}/{call.path}", call.method, call.body)
         claim = Claim(owner=self._claims.new_owner(), digest=digest)
         keys = self._claims.keys(call.tenant.name, call.idempotency_key)
-        patience_seconds = self._context.now_seconds() + CLAIM_PATIENCE_SECONDS
+        patience_seconds = self._context.now_seconds() + CLAIM_TIMEOUT_SECONDS
         found = await self._claims.claim(keys, claim, min(call.deadline_seconds, patience_seconds))
         if not isinstance(found, ClaimFound):
             retry_at_seconds = self._context.now_seconds() + IN_DOUBT_RETRY_SECONDS
@@ -120,7 +120,7 @@
 
         Should it end without having run, its claim is released and this request gets it.
         """
-        patience_seconds = self._context.now_seconds() + DUPLICATE_PATIENCE_SECONDS
+        patience_seconds = self._context.now_seconds() + DUPLICATE_TIMEOUT_SECONDS
         until_seconds = min(deadline_seconds, patience_seconds)
         while (
             found.decision is ClaimDecision.IN_DOUBT
--- a/rackswitch/daemon/table_keeper.py
+++ b/rackswitch/daemon/table_keeper.py
@@ -28,7 +28,7 @@
 __all__ = ["EditResult", "EditUnavailable", "EditUnknown", "TableKeeper"]
 
 TABLE_KEY = "table"
-EDIT_PATIENCE_SECONDS = 4.0
+EDIT_TIMEOUT_SECONDS = 4.0
 EDIT_RETRY_SECONDS = 0.1
 PEER_TIMEOUT_SECONDS = 1.0
 WATCH_RETRY_SECONDS = 0.5
@@ -223,7 +223,7 @@
         EditResult
             `EditUnknown` if a try went unanswered and could not be cleared up in time.
         """
-        give_up_seconds = self._context.now_seconds() + EDIT_PATIENCE_SECONDS
+        give_up_seconds = self._context.now_seconds() + EDIT_TIMEOUT_SECONDS
         unanswered = may_be_retry
         async with self._edit_lock:
             while self._context.now_seconds() < give_up_seconds:
--- a/rackswitch/daemon/target_keeper.py
+++ b/rackswitch/daemon/target_keeper.py
@@ -13,7 +13,7 @@
 __all__ = ["TargetKeeper"]
 
 PREFIX_CHUNK_CHARACTERS = 64
-MOST_PREFIX_CHUNKS = 64
+MAX_PREFIX_CHUNKS = 64
 SAME_ZONE_SECONDS = 0.0002
 
 
@@ -129,7 +129,7 @@
     digest = hashlib.blake2b(digest_size=8)
     numbers: list[int] = []
     for start in range(0, len(prompt) - PREFIX_CHUNK_CHARACTERS + 1, PREFIX_CHUNK_CHARACTERS):
-        if len(numbers) == MOST_PREFIX_CHUNKS:
+        if len(numbers) == MAX_PREFIX_CHUNKS:
             break
         digest.update(prompt[start : start + PREFIX_CHUNK_CHARACTERS].encode())
         numbers.append(int.from_bytes(digest.digest(), "big"))
--- a/rackswitch/daemon/tests/test_ledgers.py
+++ b/rackswitch/daemon/tests/test_ledgers.py
@@ -9,7 +9,7 @@
 
 from rackswitch.daemon.ledger_keeper import LedgerKeeper
 from rackswitch.daemon.ledger_store import LedgerStore, ledger_role
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.daemon.sample_runner import SampleFailed
 from rackswitch.daemon.tests.support import make_context, run_virtual
 from rackswitch.membership import MemberState, MemberUpdate, VmEntry
@@ -165,7 +165,7 @@
         context.view.confirm(1, float("inf"))
         entries = [VmEntry(f"d{n}", "h", 1, "z", False) for n in range(DAEMONS)]
         context.membership.learn_vms(entries, 0.0)
-        roles = RoleKeeper(context, lambda: [ledger_role("t")])
+        roles = RoleManager(context, lambda: [ledger_role("t")])
         keeper = LocalKeeper(context, roles, world)
         context.spawn(roles.run())
         context.spawn(keeper.run())
@@ -219,7 +219,7 @@
     async def draw():
         context = make_context("d0", KvStore(), random.Random(1))
         context.view.offer(TABLE)
-        roles = RoleKeeper(context, lambda: [ledger_role("t")])
+        roles = RoleManager(context, lambda: [ledger_role("t")])
         await roles.tend()
         keeper = LocalKeeper(context, roles, World(random.Random(1)))
         context.spawn(keeper.run())
@@ -235,7 +235,7 @@
 def test_a_keeper_cancelled_as_it_wakes_ends():
     async def cancel():
         context = make_context("d0", KvStore(), random.Random(1))
-        roles = RoleKeeper(context, lambda: [])
+        roles = RoleManager(context, lambda: [])
         keeper = LocalKeeper(context, roles, World(random.Random(1)))
         task = asyncio.create_task(keeper.run())
         for _ in range(2):
@@ -314,7 +314,7 @@
     # held the step up until their time limit of 150 s.
     async def scenario():
         context = make_context("a", KvStore(), random.Random(1))
-        keeper = LedgerKeeper(context, RoleKeeper(context, lambda: []), None)
+        keeper = LedgerKeeper(context, RoleManager(context, lambda: []), None)
         peer = MemberUpdate("b", "127.0.0.1", 1, "z", 5, MemberState.ALIVE)
         context.membership.merge(peer, 0.0)
 
@@ -340,7 +340,7 @@
 def test_an_order_at_a_daemon_that_leaves_is_waited_for():
     async def scenario():
         context = make_context("a", KvStore(), random.Random(1))
-        keeper = LedgerKeeper(context, RoleKeeper(context, lambda: []), None)
+        keeper = LedgerKeeper(context, RoleManager(context, lambda: []), None)
         peer = MemberUpdate("b", "127.0.0.1", 1, "z", 5, MemberState.ALIVE)
         context.membership.merge(peer, 0.0)
 
@@ -359,7 +359,7 @@
         kv = KvStore()
         contexts = [make_context(name, kv, random.Random(1)) for name in ("a", "b")]
         role = ledger_role("t")
-        keepers = [RoleKeeper(context, lambda: [role]) for context in contexts]
+        keepers = [RoleManager(context, lambda: [role]) for context in contexts]
         stores = [LedgerStore(*pair) for pair in zip(contexts, keepers, strict=True)]
         plan = StepPlan(step=1, groups=(GroupPlan(prompt="p", samples=1, max_tokens=3, seed=1),))
         other = StepPlan(step=1, groups=(GroupPlan(prompt="q", samples=1, max_tokens=3, seed=1),))
--- a/rackswitch/daemon/tests/test_roles.py
+++ b/rackswitch/daemon/tests/test_roles.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rackswitch.clients.kv import Operation, TxnPart
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.daemon.tests.support import make_context, run_virtual
 from rackswitch.membership import MemberState, VmEntry
 from rackswitch.standins.faulty_kv import KvFaults
@@ -34,11 +34,11 @@
         context = make_context(f"d{number}", store, rng, faults)
         entries = [VmEntry(f"d{n}", "h", 1, "z", False) for n in range(DAEMONS)]
         context.membership.learn_vms(entries, 0.0)
-        keepers.append(RoleKeeper(context, lambda: [ROLE]))
+        keepers.append(RoleManager(context, lambda: [ROLE]))
     taken: list[int] = []
     overlaps = 0
 
-    async def act(keeper: RoleKeeper) -> None:
+    async def act(keeper: RoleManager) -> None:
         while True:
             await asyncio.sleep(rng.random() * 0.5)
             if not keeper.may_act(ROLE):
@@ -99,7 +99,7 @@
     async def leave():
         store = KvStore()
         context = make_context("d0", store, random.Random(1))
-        keeper = RoleKeeper(context, lambda: [ROLE])
+        keeper = RoleManager(context, lambda: [ROLE])
         await keeper.tend()
         held = keeper.may_act(ROLE)
         context.stopping = True
@@ -117,11 +117,11 @@
 def test_a_restarted_daemon_need_not_wait_for_its_predecessors_lease():
     async def restart():
         store = KvStore()
-        before = RoleKeeper(make_context("d0", store, random.Random(1)), lambda: [ROLE])
-        other = RoleKeeper(make_context("d1", store, random.Random(2)), lambda: [ROLE + "2"])
+        before = RoleManager(make_context("d0", store, random.Random(1)), lambda: [ROLE])
+        other = RoleManager(make_context("d1", store, random.Random(2)), lambda: [ROLE + "2"])
         await before.tend()
         await other.tend()
-        after = RoleKeeper(make_context("d0", store, random.Random(3)), lambda: [ROLE])
+        after = RoleManager(make_context("d0", store, random.Random(3)), lambda: [ROLE])
         for entry in store.read("roles/", is_prefix=True).entries:
             await after.end_predecessors_lease(entry.value)
         await after.tend()
--- a/rackswitch/daemon/trainer_edge.py
+++ b/rackswitch/daemon/trainer_edge.py
@@ -13,7 +13,7 @@
 
 __all__ = ["TrainerEdge"]
 
-COME_BACK_SECONDS = 1.0
+RETRY_AFTER_SECONDS = 1.0
 
 
 class TrainerEdge:
@@ -55,11 +55,11 @@
     def _refusal(self, request: Request) -> Problem | None:
         now_seconds = self._context.now_seconds()
         if self._context.stopping:
-            return Problem(503, "stopping", "This daemon is stopping.", "no", COME_BACK_SECONDS)
+            return Problem(503, "stopping", "This daemon is stopping.", "no", RETRY_AFTER_SECONDS)
         refuses = self._context.settings.freshness.trainers == "refuse"
         if refuses and not self._context.view.is_confirmed(now_seconds):
             detail = "The table in force is not confirmed, so the bound may have changed."
-            return Problem(503, "table-unconfirmed", detail, "no", COME_BACK_SECONDS)
+            return Problem(503, "table-unconfirmed", detail, "no", RETRY_AFTER_SECONDS)
         trainer = find_trainer(self._context.view, request)
         if trainer is None or trainer.name != path_value(request, "trainer"):
             return Problem(401, "unauthorized", "The bearer token is not this trainer's.")
--- a/rackswitch/demo/main.py
+++ b/rackswitch/demo/main.py
@@ -29,12 +29,12 @@
 REQUESTS = 120
 STEPS = 4
 PLATFORM_JOBS = 4
-READY_PATIENCE_SECONDS = 10.0
+READY_TIMEOUT_SECONDS = 10.0
 ARRIVALS_PER_SECOND = 40.0
 DEMO_WINDOW_SECONDS = 1.0
 """Length of a window of usage in the demonstration; 5 s on the users' sheets."""
 
-USAGE_PATIENCE_SECONDS = 8.0
+USAGE_TIMEOUT_SECONDS = 8.0
 """A report comes some 2 s after its window's end; one whose answer is lost a second later."""
 
 OWN_TENANT = "members"
@@ -48,7 +48,7 @@
     def is_ready(daemon: Daemon) -> bool:
         return daemon.table.is_ready and len(daemon.context.membership.live()) == len(daemons)
 
-    async with asyncio.timeout(READY_PATIENCE_SECONDS):
+    async with asyncio.timeout(READY_TIMEOUT_SECONDS):
         while not all(is_ready(daemon) for daemon in daemons):
             await asyncio.sleep(0.05)
         for daemon in fleet.daemons.values():
@@ -107,7 +107,7 @@
         "samples_delivered": trainer.record.samples,
         "samples_duplicated": trainer.record.duplicated,
         "weight_versions_seen": sorted(trainer.record.versions),
-        "staleness_most_versions": trainer.record.staleness_most,
+        "staleness_most_versions": trainer.record.staleness_max,
         "kv_calls": fleet.kv.calls,
         "violations": violations,
     }
@@ -119,7 +119,7 @@
     """Wait until all requests are reported or no report can bring more; return them by tenant."""
     counts: Counter[str] = Counter()
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(USAGE_PATIENCE_SECONDS):
+        async with asyncio.timeout(USAGE_TIMEOUT_SECONDS):
             while counts.total() < REQUESTS:
                 await asyncio.sleep(0.1)
                 counts = Counter()
--- a/rackswitch/demo/tests/test_disconnect.py
+++ b/rackswitch/demo/tests/test_disconnect.py
@@ -7,7 +7,7 @@
 from rackswitch.demo.fleet import CALLER_TOKEN, REGISTER, EmbeddedFleet
 from rackswitch.demo.main import wait_ready
 
-PATIENCE_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
 async def leave_in_the_middle(stream):
@@ -21,7 +21,7 @@
     url = daemon.url + "/v1/completions"
     request = asyncio.create_task(session.post(url, json=body, headers=headers))
     engines = [fleet.engines[f"{REGISTER.application}-{n}"] for n in range(3)]
-    async with asyncio.timeout(PATIENCE_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not any(engine._batch for engine in engines):
             await asyncio.sleep(0.02)
         request.cancel()
--- a/rackswitch/demo/tests/test_fleet.py
+++ b/rackswitch/demo/tests/test_fleet.py
@@ -21,7 +21,7 @@
 from rackswitch.standins.trainer import TrainerStandIn, false_labels
 from rackswitch.table import DaemonRow, ModelRow, TargetRow
 
-PATIENCE_SECONDS = 30.0
+TIMEOUT_SECONDS = 30.0
 MODEL = REGISTER.model
 APPLICATION = REGISTER.application
 
@@ -41,7 +41,7 @@
 
 async def until(condition):
     """Wait for a condition, however long the machine takes within the patience."""
-    async with asyncio.timeout(PATIENCE_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.02)
 
@@ -218,7 +218,7 @@
             fleet.kv.lapse_leases()
             await until(lambda: trainer.record.steps >= 2)
             fleet.kv.lapse_leases()
-            await asyncio.wait_for(training, PATIENCE_SECONDS)
+            await asyncio.wait_for(training, TIMEOUT_SECONDS)
             assert trainer.record.violations() == []
             assert false_labels(trainer.labels, fleet.engines.values()) == 0
             return trainer
--- a/rackswitch/demo/tests/test_processes.py
+++ b/rackswitch/demo/tests/test_processes.py
@@ -26,7 +26,7 @@
 from rackswitch.standins.trainer import TrainerStandIn
 from rackswitch.table import DaemonRow, TargetRow
 
-PATIENCE_SECONDS = 40.0
+TIMEOUT_SECONDS = 40.0
 DAEMONS = 3
 MODEL, APPLICATION, SERVICE = REGISTER.model, REGISTER.application, REGISTER.service
 
@@ -120,7 +120,7 @@
 
 
 async def until(condition):
-    async with asyncio.timeout(PATIENCE_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not await condition():
             await asyncio.sleep(0.1)
 
@@ -223,7 +223,7 @@
             await asyncio.gather(*(caller.complete(APPLICATION, f"t{n}", 32, n) for n in range(10)))
             assert caller.record.completed == 10
             processes.running["kv"].send_signal(signal.SIGCONT)
-            await asyncio.wait_for(training, PATIENCE_SECONDS)
+            await asyncio.wait_for(training, TIMEOUT_SECONDS)
 
             # A planned stop under load.
             caller.urls = urls[:1]
@@ -233,7 +233,7 @@
             await asyncio.sleep(0.05)
             processes.running["d0"].send_signal(signal.SIGTERM)
             await asyncio.gather(*calls)
-            assert processes.running["d0"].wait(timeout=PATIENCE_SECONDS) == 0
+            assert processes.running["d0"].wait(timeout=TIMEOUT_SECONDS) == 0
             await caller.close()
             return caller.record, trainer.record
 
--- a/rackswitch/explain/loss_page.py
+++ b/rackswitch/explain/loss_page.py
@@ -6,7 +6,7 @@
 
 __all__ = ["format_losses"]
 
-MOST_STEPS = 40
+MAX_STEPS = 40
 """Steps printed one by one, the slowest first."""
 
 SHOWN_SECONDS = 0.05
@@ -19,10 +19,10 @@
         return "no job in these logs was both run and listed"
     first_seconds = rows[0].submitted_at_seconds
     text = ["submitted    took  behind  step  whole  model            where the time went"]
-    slowest = sorted(rows, key=lambda row: -row.took_seconds)[:MOST_STEPS]
+    slowest = sorted(rows, key=lambda row: -row.took_seconds)[:MAX_STEPS]
     text.extend(_step_line(row, first_seconds) for row in slowest)
-    if len(rows) > MOST_STEPS:
-        text.append(f"({len(rows) - MOST_STEPS} faster steps left out)")
+    if len(rows) > MAX_STEPS:
+        text.append(f"({len(rows) - MAX_STEPS} faster steps left out)")
     text.append("")
     text.append("mean seconds a step, by model and reason")
     text.extend(_model_lines(rows))
--- a/rackswitch/explain/losses.py
+++ b/rackswitch/explain/losses.py
@@ -15,7 +15,7 @@
 
 __all__ = ["JobLoss", "Reason", "ledger_of"]
 
-LEAST_PACE_PIECES = 20
+MIN_PACE_PIECES = 20
 """Runs that are shorter tell too little about an engine's pace."""
 
 BEST_PACE_TENTH = 0
@@ -137,7 +137,7 @@
         for lines in jobs.values()
         for runs in lines.runs.values()
         for run in runs
-        if (made := _made(run)) >= LEAST_PACE_PIECES and run.event.first_piece_seconds >= 0
+        if (made := _made(run)) >= MIN_PACE_PIECES and run.event.first_piece_seconds >= 0
     ]
     if len(paces) < 2:
         return paces[0] if paces else 0.0
--- a/rackswitch/explain/page.py
+++ b/rackswitch/explain/page.py
@@ -10,7 +10,7 @@
 __all__ = ["format_story"]
 
 DECISIVE_MARK = ">"
-MOST_LINES = 120
+MAX_LINES = 120
 """Lines printed of a long story; those about the subject go first."""
 
 DAEMON_WIDTH = 20
@@ -35,9 +35,9 @@
 
 
 def _shortened(story: Story, verdict: Verdict | None) -> list[StoryLine]:
-    if len(story.lines) <= MOST_LINES:
+    if len(story.lines) <= MAX_LINES:
         return story.lines
-    kept = {id(line) for line in story.own[:MOST_LINES]}
+    kept = {id(line) for line in story.own[:MAX_LINES]}
     if verdict is not None:
         kept.add(id(verdict.line))
     return [line for line in story.lines if id(line) in kept]
--- a/rackswitch/gateway/callers/call_rooms.py
+++ b/rackswitch/gateway/callers/call_admission.py
@@ -1,6 +1,6 @@
 """Carrying out who waits for room at a service, who goes and who is refused.
 
-A word is a target's statement about its own load (`rackswitch.routing.load_words`).
+A word is a target's statement about its own load (`rackswitch.routing.reported_load`).
 """
 
 import asyncio
@@ -8,21 +8,21 @@
 from dataclasses import dataclass
 
 from rackswitch.admission import (
-    CallWant,
+    AdmissionDecision,
+    AdmissionRequest,
     RefuseCall,
-    RoomDecision,
     SendCall,
-    ServiceRoom,
+    ServiceAdmission,
     Ticket,
-    WaitForRoom,
-    return_at_seconds,
+    WaitInQueue,
+    next_retry_at_seconds,
 )
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.outcomes import NotRun, NotRunReason
-from rackswitch.routing import Place
+from rackswitch.routing import TargetEstimate
 from rackswitch.telemetry.events import CallDecided, RoomSeen
 
-__all__ = ["CallRooms", "NoTarget", "PlacesOf"]
+__all__ = ["CallAdmission", "NoTarget", "PlacesOf"]
 
 TOLD_SECONDS = 1.0
 """Between two lines about one service's room."""
@@ -30,10 +30,10 @@
 ANSWER_WORD_SECONDS = 0.02
 """A word no older than this came with the answer that has just been read."""
 
-MOST_SHARES_TOLD = 20
+MAX_SHARES_TOLD = 20
 """Tenants in one line, those with the largest shares."""
 
-PlacesOf = Callable[[str], Sequence[Place]]
+PlacesOf = Callable[[str], Sequence[TargetEstimate]]
 """From a service's name to what is believed of its targets; empty if nothing is known."""
 
 
@@ -51,7 +51,7 @@
 
     Attributes
     ----------
-    want : CallWant
+    want : AdmissionRequest
         What it asks for.
     expected_seconds : float
         How long it would probably wait, when it began to.
@@ -61,7 +61,7 @@
         What is decided at last.
     """
 
-    want: CallWant
+    want: AdmissionRequest
     expected_seconds: float
     since_seconds: float
     turn: asyncio.Future[Turn]
@@ -80,13 +80,13 @@
     """
 
     name: str
-    room: ServiceRoom
+    room: ServiceAdmission
     waiting: dict[Ticket, _Waiting]
     look: asyncio.TimerHandle | None = None
     telling: asyncio.TimerHandle | None = None
 
 
-class CallRooms:
+class CallAdmission:
     """The rooms of all services that calls of this daemon go to.
 
     Calls that wait are woken when another one ends or when their own time comes.
@@ -106,7 +106,7 @@
         self._places_of = places_of
         self._services: dict[str, _Service] = {}
 
-    async def enter(self, service_name: str, want: CallWant) -> NotRun | NoTarget | None:
+    async def enter(self, service_name: str, want: AdmissionRequest) -> NotRun | NoTarget | None:
         """Wait until a call may go; it then counts as being there until it has ended.
 
         Returns
@@ -120,13 +120,15 @@
         decision = service.room.ask(want, self._places_of(service_name), draw, now_seconds)
         return await self._carry_out(service, want, decision)
 
-    async def enter_again(self, service_name: str, want: CallWant) -> NotRun | NoTarget | None:
+    async def enter_again(
+        self, service_name: str, want: AdmissionRequest
+    ) -> NotRun | NoTarget | None:
         """Let a call that a target did not begin wait for another place."""
         service = self._service(service_name)
         decision = service.room.ask_again(want, self._context.now_seconds())
         return await self._carry_out(service, want, decision)
 
-    def repeat(self, service_name: str, want: CallWant) -> bool:
+    def repeat(self, service_name: str, want: AdmissionRequest) -> bool:
         """Count a failed call in once more, if the service's retries allow it."""
         room = self._service(service_name).room
         now_seconds = self._context.now_seconds()
@@ -136,7 +138,7 @@
         return True
 
     def answered(
-        self, service_name: str, want: CallWant, instance: str, took_seconds: float
+        self, service_name: str, want: AdmissionRequest, instance: str, took_seconds: float
     ) -> None:
         """Note that a target has answered a call."""
         service = self._service(service_name)
@@ -151,14 +153,14 @@
             service.room.limit.answered_untold(now_seconds)
         self._look(service)
 
-    def not_begun(self, service_name: str, want: CallWant) -> None:
+    def not_begun(self, service_name: str, want: AdmissionRequest) -> None:
         """Note that a target had no room for a call."""
         service = self._service(service_name)
         service.room.ended(want, None)
         service.room.target_refused(self._context.now_seconds())
         self._look(service)
 
-    def ended(self, service_name: str, want: CallWant) -> None:
+    def ended(self, service_name: str, want: AdmissionRequest) -> None:
         """Note that a call has ended without an answer, or did not leave."""
         service = self._service(service_name)
         service.room.ended(want, None)
@@ -174,19 +176,19 @@
     def _service(self, name: str) -> _Service:
         service = self._services.get(name)
         if service is None:
-            service = self._services[name] = _Service(name, ServiceRoom(), {})
+            service = self._services[name] = _Service(name, ServiceAdmission(), {})
         return service
 
     async def _carry_out(
-        self, service: _Service, want: CallWant, decision: RoomDecision
+        self, service: _Service, want: AdmissionRequest, decision: AdmissionDecision
     ) -> NotRun | NoTarget | None:
         self._tell_later(service)
-        if isinstance(decision, WaitForRoom):
+        if isinstance(decision, WaitInQueue):
             return await self._wait(service, want, decision)
         return self._outcome(service, want, decision, 0.0, 0.0)
 
     async def _wait(
-        self, service: _Service, want: CallWant, decision: WaitForRoom
+        self, service: _Service, want: AdmissionRequest, decision: WaitInQueue
     ) -> NotRun | NoTarget | None:
         since_seconds = self._context.now_seconds()
         turn: asyncio.Future[Turn] = asyncio.get_running_loop().create_future()
@@ -215,7 +217,7 @@
     def _outcome(
         self,
         service: _Service,
-        want: CallWant,
+        want: AdmissionRequest,
         turn: Turn,
         expected_seconds: float,
         waited_seconds: float,
@@ -227,7 +229,7 @@
             return turn
         now_seconds = self._context.now_seconds()
         draw = self._context.rng.random()
-        back_seconds = return_at_seconds(want, turn, draw, now_seconds)
+        back_seconds = next_retry_at_seconds(want, turn, draw, now_seconds)
         outcome = f"refused: {turn.cause.value}"
         come_back_seconds = back_seconds - now_seconds
         self._log(service, want, outcome, turn.wait_seconds, waited_seconds, come_back_seconds)
@@ -258,7 +260,7 @@
     def _log(
         self,
         service: _Service,
-        want: CallWant,
+        want: AdmissionRequest,
         outcome: str,
         expected_seconds: float,
         waited_seconds: float,
@@ -299,7 +301,7 @@
         service.telling = None
         now_seconds = self._context.now_seconds()
         shares = service.room.served_shares(now_seconds)
-        largest = sorted(shares, key=shares.__getitem__, reverse=True)[:MOST_SHARES_TOLD]
+        largest = sorted(shares, key=shares.__getitem__, reverse=True)[:MAX_SHARES_TOLD]
         self._context.log.write(
             RoomSeen(
                 service=service.name,
--- a/rackswitch/gateway/callers/call_edge.py
+++ b/rackswitch/gateway/callers/call_handler.py
@@ -2,12 +2,16 @@
 
 import asyncio
 
-from rackswitch.gateway.callers.departures import done_before_gone
+from rackswitch.gateway.callers.disconnects import done_before_disconnect
 from rackswitch.gateway.callers.refusals import TEXT, Refusal, refuse
-from rackswitch.gateway.callers.request_front import FrontAnswer, RequestFront, outcome_label
+from rackswitch.gateway.callers.request_dispatcher import (
+    DispatchAnswer,
+    RequestDispatcher,
+    outcome_label,
+)
 from rackswitch.gateway.callers.stream_relay import StreamRelay
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.place_lines import place_seen
+from rackswitch.gateway.placement_log import placement_event
 from rackswitch.outcomes import BrokenInvariant, MayHaveRun, NotRun
 from rackswitch.requests import Call, TargetAnswer, TargetStream
 from rackswitch.routing import ListedTarget, WorkKind
@@ -15,23 +19,23 @@
 from rackswitch.telemetry.events import PlaceSeen, RequestEnded
 from rackswitch.web.exchange import Exchange
 
-__all__ = ["CallEdge"]
+__all__ = ["CallHandler"]
 
 
-class CallEdge:
+class CallHandler:
     """Answers callers whose calls are passed through.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    front : RequestFront
+    front : RequestDispatcher
         Serves calls.
     """
 
     __slots__ = ("_context", "_front")
 
-    def __init__(self, context: GatewayContext, front: RequestFront):
+    def __init__(self, context: GatewayContext, front: RequestDispatcher):
         self._context = context
         self._front = front
 
@@ -48,7 +52,7 @@
         work = asyncio.create_task(
             self._front.call(route, call, deadline_seconds, log, as_stream=route.streams)
         )
-        if not await done_before_gone(exchange, work):
+        if not await done_before_disconnect(exchange, work):
             self._log_end(route, call, arrived_seconds, "caller left", None)
             return
         answer = work.result()
@@ -74,7 +78,7 @@
         pieces = relay.pieces(stream, target)
         sending = asyncio.create_task(exchange.stream(stream.status, stream.headers, pieces))
         try:
-            if not await done_before_gone(exchange, sending):
+            if not await done_before_disconnect(exchange, sending):
                 return "caller left"
             sending.result()
         finally:
@@ -87,7 +91,7 @@
         call: Call,
         arrived_seconds: float,
         outcome: str,
-        answer: FrontAnswer | None,
+        answer: DispatchAnswer | None,
     ) -> None:
         elapsed_seconds = self._context.now_seconds() - arrived_seconds
         self._context.log.write(
@@ -107,10 +111,10 @@
             )
         )
 
-    def _place_seen(self, answer: FrontAnswer | None) -> PlaceSeen | None:
+    def _place_seen(self, answer: DispatchAnswer | None) -> PlaceSeen | None:
         if answer is None or answer.target is None:
             return None
-        return place_seen(self._context, answer.place, answer.target.service, WorkKind.CALL)
+        return placement_event(self._context, answer.place, answer.target.service, WorkKind.CALL)
 
     async def _fail(self, exchange: Exchange, outcome: MayHaveRun, deadline_seconds: float) -> None:
         """Answer without a promise whether the request has run."""
@@ -118,7 +122,7 @@
         await exchange.respond(504 if late else 502, TEXT, outcome.detail.encode())
 
 
-def _streaming(answer: FrontAnswer) -> ListedTarget:
+def _streaming(answer: DispatchAnswer) -> ListedTarget:
     """Return the target whose stream an answer is."""
     if answer.target is None:
         raise BrokenInvariant("a stream comes from a target")
--- a/rackswitch/gateway/callers/edge.py
+++ b/rackswitch/gateway/callers/caller_handler.py
@@ -6,10 +6,10 @@
 
 from loguru import logger
 
-from rackswitch.gateway.callers.call_edge import CallEdge
-from rackswitch.gateway.callers.refusals import Refusal, refuse_at_the_edge
+from rackswitch.gateway.callers.call_handler import CallHandler
+from rackswitch.gateway.callers.refusals import Refusal, refuse_before_routing
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.jobs.job_edge import JobEdge, Submission
+from rackswitch.gateway.jobs.job_handler import JobHandler, Submission
 from rackswitch.platform.desired_state import LIMITS_NAME
 from rackswitch.platform.ingress import (
     MalformedRequest,
@@ -23,9 +23,9 @@
 from rackswitch.tenants import Caller, KeyFault
 from rackswitch.web.exchange import BodyTooLarge, BodyTooSlow, CallerGone, Exchange
 
-__all__ = ["CallerEdge"]
+__all__ = ["CallerHandler"]
 
-BODY_PATIENCE_SECONDS = 10.0
+BODY_TIMEOUT_SECONDS = 10.0
 """How long a body may take whose sender names no deadline."""
 
 STATE_COME_BACK_SECONDS = 0.2
@@ -46,22 +46,22 @@
     deadline_seconds: float | None
 
 
-class CallerEdge:
+class CallerHandler:
     """An ASGI application that serves callers and trainers.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    calls : CallEdge
+    calls : CallHandler
         Answers callers whose calls are passed through.
-    jobs : JobEdge
+    jobs : JobHandler
         Answers trainers.
     """
 
     __slots__ = ("_calls", "_context", "_jobs")
 
-    def __init__(self, context: GatewayContext, calls: CallEdge, jobs: JobEdge):
+    def __init__(self, context: GatewayContext, calls: CallHandler, jobs: JobHandler):
         self._context = context
         self._calls = calls
         self._jobs = jobs
@@ -89,7 +89,7 @@
         arrived_seconds = self._context.now_seconds()
         job_call = decode_job_call(exchange)
         if isinstance(job_call, MalformedRequest):
-            await refuse_at_the_edge(exchange, self._context, Refusal(400, job_call.detail))
+            await refuse_before_routing(exchange, self._context, Refusal(400, job_call.detail))
         elif job_call is not None:
             await self._serve_job_call(exchange, job_call, arrived_seconds)
         else:
@@ -100,12 +100,12 @@
     ) -> None:
         """Serve a call about a job for the job's own tenant; to others the job is not there."""
         if self._context.table_revision == 0:
-            await refuse_at_the_edge(exchange, self._context, NO_TABLE)
+            await refuse_before_routing(exchange, self._context, NO_TABLE)
             return
         caller = self._context.tenants.identify(exchange.header_values(AUTHORIZATION_HEADER))
         identity = self._jobs.identity_for(caller, job_call.job_id)
         if isinstance(identity, KeyFault):
-            await refuse_at_the_edge(exchange, self._context, self._key_refusal(identity))
+            await refuse_before_routing(exchange, self._context, self._key_refusal(identity))
             return
         await self._jobs.serve(exchange, replace(job_call, job_id=identity), arrived_seconds)
 
@@ -113,9 +113,9 @@
         limits = self._limits()
         head = self._check_head(exchange, limits, arrived_seconds)
         if isinstance(head, Refusal):
-            await refuse_at_the_edge(exchange, self._context, head)
+            await refuse_before_routing(exchange, self._context, head)
             return
-        body_deadline_seconds = head.deadline_seconds or arrived_seconds + BODY_PATIENCE_SECONDS
+        body_deadline_seconds = head.deadline_seconds or arrived_seconds + BODY_TIMEOUT_SECONDS
         body = await exchange.read_body(limits.most_body_bytes, body_deadline_seconds)
         if not isinstance(body, bytes):
             await self._refuse_body(exchange, body)
@@ -194,12 +194,12 @@
         self, exchange: Exchange, fault: BodyTooLarge | BodyTooSlow | CallerGone
     ) -> None:
         if isinstance(fault, BodyTooLarge):
-            await refuse_at_the_edge(
+            await refuse_before_routing(
                 exchange,
                 self._context,
-                Refusal(413, f"the body is over {fault.most_bytes} bytes"),
+                Refusal(413, f"the body is over {fault.max_bytes} bytes"),
             )
         elif isinstance(fault, BodyTooSlow):
-            await refuse_at_the_edge(
+            await refuse_before_routing(
                 exchange, self._context, Refusal(408, "the body did not come in time")
             )
--- a/rackswitch/gateway/callers/departures.py
+++ b/rackswitch/gateway/callers/disconnects.py
@@ -5,10 +5,10 @@
 
 from rackswitch.web.exchange import Exchange
 
-__all__ = ["done_before_gone"]
+__all__ = ["done_before_disconnect"]
 
 
-async def done_before_gone(exchange: Exchange, work: asyncio.Task[Any]) -> bool:
+async def done_before_disconnect(exchange: Exchange, work: asyncio.Task[Any]) -> bool:
     """Wait for work on a request; cancel it and return False if the caller goes first."""
     gone = asyncio.create_task(exchange.wait_gone())
     try:
--- a/rackswitch/gateway/callers/refusals.py
+++ b/rackswitch/gateway/callers/refusals.py
@@ -7,7 +7,7 @@
 from rackswitch.telemetry.events import RequestRefused
 from rackswitch.web.exchange import Exchange
 
-__all__ = ["TEXT", "Refusal", "refuse", "refuse_at_the_edge"]
+__all__ = ["TEXT", "Refusal", "refuse", "refuse_before_routing"]
 
 TEXT = (("content-type", "text/plain; charset=utf-8"),)
 
@@ -42,7 +42,9 @@
     await exchange.respond(refusal.status, headers, (refusal.told or refusal.detail).encode())
 
 
-async def refuse_at_the_edge(exchange: Exchange, context: GatewayContext, refusal: Refusal) -> None:
+async def refuse_before_routing(
+    exchange: Exchange, context: GatewayContext, refusal: Refusal
+) -> None:
     """Refuse a request of which no other line tells, and log why."""
     context.log.write(
         RequestRefused(
--- a/rackswitch/gateway/callers/request_front.py
+++ b/rackswitch/gateway/callers/request_dispatcher.py
@@ -5,31 +5,31 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from rackswitch.admission import LEAST_URGENT_RANK, REWARD_RANK, CallWant, UsualPatience
-from rackswitch.gateway.callers.call_rooms import CallRooms, NoTarget, PlacesOf
+from rackswitch.admission import LEAST_URGENT_RANK, REWARD_RANK, AdmissionRequest, PatienceEstimate
+from rackswitch.gateway.callers.call_admission import CallAdmission, NoTarget, PlacesOf
 from rackswitch.gateway.callers.target_choice import CALL_COST_TOKENS, TargetChooser
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.quarantine.quarantine_keeper import QuarantineKeeper
+from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
 from rackswitch.outcomes import MayHaveRun, NotRun, NotRunReason
 from rackswitch.platform.target_calls import TargetClient
 from rackswitch.requests import (
     AttemptEnd,
     AttemptLog,
     Call,
-    OutageMemory,
+    OutageTracker,
     TargetAnswer,
     TargetFailed,
     TargetStream,
     attempt_deadline_seconds,
-    return_delay_seconds,
+    retry_delay_seconds,
 )
-from rackswitch.routing import ListedTarget, Place
+from rackswitch.routing import ListedTarget, TargetEstimate
 from rackswitch.table import Handling, RouteRow
 from rackswitch.telemetry.events import AttemptFailed
 
-__all__ = ["FrontAnswer", "FrontOutcome", "RequestFront", "outcome_label"]
+__all__ = ["DispatchAnswer", "DispatchOutcome", "RequestDispatcher", "outcome_label"]
 
-MOST_REFUSALS = 8
+MAX_REFUSALS = 8
 """Targets that may refuse one request before it is refused itself."""
 
 PAUSE_SECONDS = 0.02
@@ -46,10 +46,10 @@
 """A service's usual time before a call of it was served; about that of a look-up."""
 
 
-FrontOutcome = TargetAnswer | TargetStream | NotRun | MayHaveRun
+DispatchOutcome = TargetAnswer | TargetStream | NotRun | MayHaveRun
 
 
-def outcome_label(outcome: FrontOutcome) -> str:
+def outcome_label(outcome: DispatchOutcome) -> str:
     """Return an outcome in a few words, for logs."""
     if isinstance(outcome, NotRun):
         return f"not run: {outcome.detail}"
@@ -59,12 +59,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FrontAnswer:
+class DispatchAnswer:
     """What became of a request.
 
     Attributes
     ----------
-    outcome : FrontOutcome
+    outcome : DispatchOutcome
         The answer, or why there is none.
     attempts : int
         How often it was sent.
@@ -72,16 +72,16 @@
         Answers of 500, by which targets themselves said that they had failed.
     target : ListedTarget or None
         Whose answer it is.
-    place : Place or None
+    place : TargetEstimate or None
         What was believed of the answering target as it was chosen; None if its service tells
         no pace.
     """
 
-    outcome: FrontOutcome
+    outcome: DispatchOutcome
     attempts: int
     failures: int
     target: ListedTarget | None = None
-    place: Place | None = None
+    place: TargetEstimate | None = None
 
     @property
     def instance(self) -> str:
@@ -105,7 +105,7 @@
         Whether a success is returned as soon as its head is there.
     service : str
         Whose targets may serve it.
-    want : CallWant or None
+    want : AdmissionRequest or None
         What it asks of the service's room; None for a call that needs not ask.
     failures : int
         Answers of 500, by which targets themselves said that they had failed.
@@ -121,20 +121,20 @@
     log: AttemptLog
     as_stream: bool
     service: str
-    want: CallWant | None
+    want: AdmissionRequest | None
     failures: int = 0
     last_failure: tuple[TargetAnswer, ListedTarget] | None = None
     is_in: bool = False
 
     def answer(
         self,
-        outcome: FrontOutcome,
+        outcome: DispatchOutcome,
         target: ListedTarget | None = None,
         unnoted: int = 0,
-        place: Place | None = None,
-    ) -> FrontAnswer:
+        place: TargetEstimate | None = None,
+    ) -> DispatchAnswer:
         """Return the final answer, with the attempts so far and those not in the log."""
-        return FrontAnswer(outcome, len(self.log.ends) + unnoted, self.failures, target, place)
+        return DispatchAnswer(outcome, len(self.log.ends) + unnoted, self.failures, target, place)
 
 
 @dataclass(frozen=True, slots=True)
@@ -150,12 +150,12 @@
     refusal: NotRun | None
 
 
-def no_places(service: str) -> Sequence[Place]:
+def no_places(service: str) -> Sequence[TargetEstimate]:
     """Return that nothing is known of a service's targets."""
     return ()
 
 
-class RequestFront:
+class RequestDispatcher:
     """Sends calls to targets, again where that is allowed and useful.
 
     Parameters
@@ -166,7 +166,7 @@
         Picks targets.
     targets : TargetClient
         Makes the calls.
-    quarantine : QuarantineKeeper
+    quarantine : QuarantineManager
         Told of runs that broke off.
     places_of : callable, optional
         What is believed of a service's targets; nothing by default.
@@ -188,24 +188,22 @@
         context: GatewayContext,
         chooser: TargetChooser,
         targets: TargetClient,
-        quarantine: QuarantineKeeper,
+        quarantine: QuarantineManager,
         places_of: PlacesOf = no_places,
     ):
         self._quarantine = quarantine
         self._context = context
         self._chooser = chooser
         self._targets = targets
-        self._rooms = CallRooms(context, places_of)
-        self._patience = UsualPatience()
+        self._rooms = CallAdmission(context, places_of)
+        self._patience = PatienceEstimate()
         self._call_seconds: dict[str, float] = {}
-        self._outages: dict[str, OutageMemory] = {}
+        self._outages: dict[str, OutageTracker] = {}
 
     def new_log(self, route: RouteRow) -> AttemptLog:
         """Return the record of a request's attempts, which says how many there may be."""
         repeatable = route.handling is Handling.REPEATABLE or route.resumable
-        return AttemptLog(
-            repeatable, most_attempts=route.most_attempts, most_refusals=MOST_REFUSALS
-        )
+        return AttemptLog(repeatable, most_attempts=route.most_attempts, max_refusals=MAX_REFUSALS)
 
     async def call(
         self,
@@ -215,7 +213,7 @@
         log: AttemptLog,
         as_stream: bool = False,
         reward_of: str | None = None,
-    ) -> FrontAnswer:
+    ) -> DispatchAnswer:
         """Serve one call.
 
         Parameters
@@ -242,7 +240,7 @@
         finally:
             self._go_out(serving)
 
-    async def _serve(self, serving: _Serving) -> FrontAnswer:
+    async def _serve(self, serving: _Serving) -> DispatchAnswer:
         while serving.log.may_begin():
             target = await self._next_target(serving)
             if isinstance(target, NotRun):
@@ -290,12 +288,12 @@
 
     def _want(
         self, route: RouteRow, call: Call, deadline_seconds: float, reward_of: str | None
-    ) -> CallWant:
+    ) -> AdmissionRequest:
         """Return what a call asks of its service's room."""
         now_seconds = self._context.now_seconds()
         aim_seconds = min(deadline_seconds, now_seconds + route.goal_seconds)
         is_reward = reward_of is not None
-        return CallWant(
+        return AdmissionRequest(
             request_id=call.request_id,
             kind=route.name,
             tenant=call.caller.tenant if reward_of is None else reward_of,
@@ -311,7 +309,7 @@
             and self._patience.is_back(route.name, deadline_seconds - now_seconds),
         )
 
-    async def _enter(self, serving: _Serving, want: CallWant) -> NotRun | NoTarget | None:
+    async def _enter(self, serving: _Serving, want: AdmissionRequest) -> NotRun | NoTarget | None:
         """Wait for room, at first or after a target had none; or spend a retry after a failure."""
         last = serving.log.ends[-1] if serving.log.ends else None
         if last is not None and last.may_have_run:
@@ -333,7 +331,7 @@
             serving.is_in = False
             self._rooms.ended(serving.service, serving.want)
 
-    async def _try(self, serving: _Serving, target: ListedTarget) -> FrontAnswer | None:
+    async def _try(self, serving: _Serving, target: ListedTarget) -> DispatchAnswer | None:
         """Send a call once; return the final answer, or None if another target may be tried."""
         call, log = serving.call, serving.log
         log.begin()
@@ -423,7 +421,7 @@
         if target is None and log.ends and (log.repeatable or not log.may_have_run):
             # All usable ones have been tried: one of those again is better than none.
             target = self._chooser.pick(service, set())
-        outage = self._outages.setdefault(service, OutageMemory())
+        outage = self._outages.setdefault(service, OutageTracker())
         if target is None and not log.ends:
             outage.missing(now_seconds)
             if self._context.settings.queues_calls:
@@ -515,8 +513,8 @@
             base_seconds = self._call_seconds.get(service, FIRST_CALL_SECONDS)
         else:
             detail = f"no target of {service!r} can be had"
-            outage = self._outages.setdefault(service, OutageMemory())
+            outage = self._outages.setdefault(service, OutageTracker())
             base_seconds = outage.remaining_seconds(now_seconds)
         draw = self._context.rng.random()
-        delay_seconds = return_delay_seconds(base_seconds, rank, draw)
+        delay_seconds = retry_delay_seconds(base_seconds, rank, draw)
         return NotRun(NotRunReason.NO_TARGET, detail, now_seconds + delay_seconds)
--- a/rackswitch/gateway/callers/stream_relay.py
+++ b/rackswitch/gateway/callers/stream_relay.py
@@ -2,8 +2,8 @@
 
 from collections.abc import AsyncGenerator
 
-from rackswitch.gateway.callers.request_front import RequestFront
-from rackswitch.platform.events import EventCutter
+from rackswitch.gateway.callers.request_dispatcher import RequestDispatcher
+from rackswitch.platform.events import EventSplitter
 from rackswitch.platform.ingress import resumed_after
 from rackswitch.requests import AttemptEnd, AttemptLog, Call, TargetStream
 from rackswitch.routing import ListedTarget
@@ -21,7 +21,7 @@
 
     Parameters
     ----------
-    front : RequestFront
+    front : RequestDispatcher
         Finds the next target.
     route : RouteRow
         The route of the call.
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        front: RequestFront,
+        front: RequestDispatcher,
         route: RouteRow,
         call: Call,
         deadline_seconds: float,
@@ -74,7 +74,7 @@
                 raise
             self._front.stream_ended(self._call)
             return
-        cutter = EventCutter()
+        cutter = EventSplitter()
         while True:
             detail = "the stream ended inside an event"
             try:
--- a/rackswitch/gateway/callers/target_choice.py
+++ b/rackswitch/gateway/callers/target_choice.py
@@ -5,10 +5,10 @@
 from rackswitch.routing import (
     POLICIES,
     ListedTarget,
-    Place,
     RoutedRequest,
     SentRequest,
     Target,
+    TargetEstimate,
     WorkKind,
     usable_targets,
 )
@@ -80,21 +80,21 @@
         usable = usable_targets(targets, now_seconds)
         for target in usable:
             target.place = self._place(listed[target.name], target, now_seconds)
-        run_seconds = self._context.picture.usual_run_seconds(service, WorkKind.CALL)
+        run_seconds = self._context.load_estimator.usual_run_seconds(service, WorkKind.CALL)
         routed = RoutedRequest(0.0, CALL_COST_TOKENS, (), now_seconds, run_seconds)
         return self._by_words.choose(routed, usable)
 
-    def _place(self, listed: ListedTarget, target: Target, now_seconds: float) -> Place:
+    def _place(self, listed: ListedTarget, target: Target, now_seconds: float) -> TargetEstimate:
         """Return what a place for a call is worth at a target."""
         is_at_hand = target.is_at_hand(now_seconds)
         arrival_seconds = 2 * target.one_way_seconds
         if not is_at_hand:
             arrival_seconds += 2 * target.one_way_seconds + CONNECT_SECONDS
-        return self._context.picture.place(
+        return self._context.load_estimator.place(
             listed, WorkKind.CALL, 1.0, now_seconds, arrival_seconds, is_at_hand
         )
 
-    def places(self, service: str) -> list[Place]:
+    def places(self, service: str) -> list[TargetEstimate]:
         """Return what is believed of a service's targets; nothing if it is not placed by load."""
         if not self._context.places_by_load(service):
             return []
@@ -109,23 +109,23 @@
         now_seconds = self._context.now_seconds()
         load = self.load(target)
         place = load.place or self._place(target, load, now_seconds)
-        return self._context.picture.sent(target, WorkKind.CALL, place, now_seconds)
+        return self._context.load_estimator.sent(target, WorkKind.CALL, place, now_seconds)
 
     def ended(
         self, sent: SentRequest, result: TargetAnswer | TargetStream | TargetFailed | None
     ) -> None:
         """Count a call out and learn from its result; None if its caller left."""
-        picture = self._context.picture
-        picture.done(sent, goes_on=isinstance(result, TargetStream))
+        load_estimator = self._context.load_estimator
+        load_estimator.done(sent, goes_on=isinstance(result, TargetStream))
         now_seconds = self._context.now_seconds()
         if result is None:
-            picture.given_up(sent, now_seconds)
+            load_estimator.given_up(sent, now_seconds)
         if not isinstance(result, TargetAnswer):
             return
         if result.status < 400:
-            picture.worked(sent, 1.0, now_seconds)
+            load_estimator.worked(sent, 1.0, now_seconds)
         elif result.status >= 500:
-            picture.failed(sent.start, now_seconds)
+            load_estimator.failed(sent.start, now_seconds)
         # What is wrong with a request shows at once, and tells nothing of the target.
 
     def load(self, target: ListedTarget) -> Target:
@@ -142,6 +142,6 @@
             load.went_silent(now_seconds)
         elif failure.may_have_run:
             load.failed(now_seconds)
-            self._context.picture.failed(target.start, now_seconds)
+            self._context.load_estimator.failed(target.start, now_seconds)
         else:
-            self._context.picture.refused(target.start, now_seconds)
+            self._context.load_estimator.refused(target.start, now_seconds)
--- a/rackswitch/gateway/callers/tests/test_call_rooms.py
+++ b/rackswitch/gateway/callers/tests/test_call_admission.py
@@ -7,12 +7,12 @@
 import pytest
 
 from rackswitch.daemon.tests.support import run_virtual
-from rackswitch.gateway.callers.request_front import PAUSE_SECONDS, RequestFront
+from rackswitch.gateway.callers.request_dispatcher import PAUSE_SECONDS, RequestDispatcher
 from rackswitch.gateway.callers.target_choice import TargetChooser
 from rackswitch.gateway.tests.support import NoQuarantine, make_gateway_context
 from rackswitch.outcomes import MayHaveRun, NotRun, NotRunReason
 from rackswitch.requests import Call, TargetAnswer, TargetFailed
-from rackswitch.routing import ListedTarget, LoadWord, Place, Target
+from rackswitch.routing import ListedTarget, ReportedLoad, Target, TargetEstimate
 from rackswitch.standins.kv_store import KvStore
 from rackswitch.table import Handling, RouteChoice, RouteRow
 from rackswitch.telemetry.events import CallDecided, RoomSeen
@@ -31,7 +31,7 @@
         self.slots = slots
         self.work_seconds = work_seconds
         self.running = 0
-        self.most_running = 0
+        self.max_running = 0
         self.ran: list[str] = []
         self.sends: list[tuple[float, str]] = []
         self.failing: dict[str, TargetFailed] = {}
@@ -45,7 +45,7 @@
         if self.running >= self.slots:
             return TargetFailed(False, "the target did not begin: status 503")
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.max_running = max(self.max_running, self.running)
         self.ran.append(call.request_id)
         try:
             await asyncio.sleep(self.work_seconds)
@@ -55,7 +55,9 @@
 
     def places(self, service):
         free = max(0, self.slots - self.running)
-        return [Place("t0", self.slots, self.slots - free, 0.0, 1.0, WORK_SECONDS, 0.0, 0.001)]
+        return [
+            TargetEstimate("t0", self.slots, self.slots - free, 0.0, 1.0, WORK_SECONDS, 0.0, 0.001)
+        ]
 
 
 class TellingTargets(FullTargets):
@@ -69,14 +71,14 @@
     async def forward(self, target, call, deadline_seconds, fresh_connection):
         result = await super().forward(target, call, deadline_seconds, fresh_connection)
         at_work = self.running + self.others
-        word = LoadWord(
+        word = ReportedLoad(
             min(self.slots, at_work),
             max(0, at_work - self.slots),
             self.slots,
             1.0,
             self.context.now_seconds(),
         )
-        self.context.picture.heard(target.start, target.service, word)
+        self.context.load_estimator.heard(target.start, target.service, word)
         return result
 
 
@@ -113,7 +115,7 @@
         more = {"places_of": targets.places} if places else {}
         if chooser_places:
             more = {"places_of": chooser.places}
-        self.front = RequestFront(self.context, chooser, targets, NoQuarantine(), **more)
+        self.front = RequestDispatcher(self.context, chooser, targets, NoQuarantine(), **more)
 
     def write(self, event) -> None:
         if isinstance(event, CallDecided):
--- a/rackswitch/gateway/callers/tests/test_target_choice.py
+++ b/rackswitch/gateway/callers/tests/test_target_choice.py
@@ -11,7 +11,7 @@
 from rackswitch.gateway.callers.target_choice import POLICY, TargetChooser
 from rackswitch.gateway.tests.support import make_gateway_context
 from rackswitch.requests import TargetAnswer, TargetFailed
-from rackswitch.routing import POLICIES, ListedTarget, LoadWord, RoutedRequest, Target, WorkKind
+from rackswitch.routing import POLICIES, ListedTarget, ReportedLoad, RoutedRequest, Target, WorkKind
 from rackswitch.standins.kv_store import KvStore
 
 TARGETS = [ListedTarget(f"t{number}", "s", "h", number, "z", 6) for number in range(4)]
@@ -33,8 +33,8 @@
     """Let each target say a word now."""
     for target in TARGETS:
         count = running.get(target.instance, 0)
-        word = LoadWord(min(6, count), max(0, count - 6), 6, pace, context.now_seconds())
-        context.picture.heard(target.start, "s", word)
+        word = ReportedLoad(min(6, count), max(0, count - 6), 6, pace, context.now_seconds())
+        context.load_estimator.heard(target.start, "s", word)
 
 
 def picks(chooser, times=200) -> Counter:
@@ -55,7 +55,7 @@
         context, chooser = make_chooser()
         context.rng.seed(5)
         # A service whose targets tell their pace changes nothing for others.
-        context.picture.heard("x@0", "other", LoadWord(0, 0, 6, 1.0, 0.0))
+        context.load_estimator.heard("x@0", "other", ReportedLoad(0, 0, 6, 1.0, 0.0))
         chosen = []
         for number in range(200):
             if is_told:
@@ -141,12 +141,12 @@
     async def scenario():
         context, chooser = make_chooser()
         tell(context, {}, pace=1.0)
-        first_seconds = context.picture.usual_run_seconds("s", WorkKind.CALL)
+        first_seconds = context.load_estimator.usual_run_seconds("s", WorkKind.CALL)
         for _ in range(20):
             sent = chooser.sent(TARGETS[0])
             await asyncio.sleep(0.001)
             chooser.ended(sent, TargetAnswer(status, (), b""))
-        return context.picture.usual_run_seconds("s", WorkKind.CALL), first_seconds
+        return context.load_estimator.usual_run_seconds("s", WorkKind.CALL), first_seconds
 
     usual_seconds, first_seconds = run_virtual(scenario())
     assert (usual_seconds < first_seconds) is is_learnt
@@ -163,7 +163,7 @@
             chooser.ended(sent, None)
         tell(context, {}, pace=1.0)
         now_seconds = context.now_seconds()
-        return context.picture.place(TARGETS[0], WorkKind.CALL, 1.0, now_seconds).pace
+        return context.load_estimator.place(TARGETS[0], WorkKind.CALL, 1.0, now_seconds).pace
 
     pace = run_virtual(scenario())
     assert pace > 2.0 if is_slow else pace == pytest.approx(1.0)
--- a/rackswitch/gateway/context.py
+++ b/rackswitch/gateway/context.py
@@ -7,10 +7,10 @@
 from rackswitch.clients.kv import KvClient
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.gateway.policy import PolicySettings
-from rackswitch.gateway.store.contact import StoreContact
 from rackswitch.gateway.store.member_entries import MemberEntry
+from rackswitch.gateway.store.reachability import StoreReachability
 from rackswitch.platform.settings import NodeSettings
-from rackswitch.routing import LoadPicture, Target, TargetDirectory
+from rackswitch.routing import LoadEstimator, Target, TargetDirectory
 from rackswitch.table import LimitsRow, RouteIndex
 from rackswitch.telemetry import DecisionLog
 from rackswitch.tenants import TenantIndex
@@ -53,7 +53,7 @@
         The newest version of each model that its trainer has named.
     targets : dict of str to Target
         Load, speed and health of the listed targets, by instance.
-    picture : LoadPicture
+    load_estimator : LoadEstimator
         What is believed of the targets' load, by what they tell and by own requests.
     process_started_unix_seconds : float
         When this process began; with the daemon's name it tells processes apart.
@@ -69,7 +69,7 @@
 
     settings: NodeSettings
     daemon: DaemonContext
-    contact: StoreContact
+    contact: StoreReachability
     policy: PolicySettings = field(default_factory=PolicySettings)
     routes: RouteIndex = field(default_factory=RouteIndex)
     directory: TargetDirectory = field(default_factory=TargetDirectory)
@@ -78,7 +78,7 @@
     named_versions: dict[str, int] = field(default_factory=dict)
     loads: EngineLoads = field(default_factory=EngineLoads)
     targets: dict[str, Target] = field(default_factory=dict)
-    picture: LoadPicture = field(default_factory=LoadPicture)
+    load_estimator: LoadEstimator = field(default_factory=LoadEstimator)
     connection_limits: ConnectionLimits = field(default_factory=_first_connection_limits)
     list_confirmed_at_seconds: float = float("-inf")
     process_started_unix_seconds: float = field(default_factory=time.time)
@@ -127,7 +127,7 @@
         So where they tell their pace, as places there differ; and where callers may want more
         than there is room for, as each place counts then.
         """
-        return self.settings.queues_calls or self.picture.tells_pace(service)
+        return self.settings.queues_calls or self.load_estimator.tells_pace(service)
 
     def list_age_seconds(self) -> float:
         """Return how old the service's word for the list of targets is; -1 if there is none."""
@@ -137,7 +137,7 @@
     def forget_unlisted(self) -> None:
         """Drop what is believed of the load of starts that the list has no more."""
         self.directory.expire(self.now_seconds())
-        self.picture.keep_only({target.start for target in self.directory.entries.values()})
+        self.load_estimator.keep_only({target.start for target in self.directory.entries.values()})
 
     def unix_seconds(self) -> float:
         """Return the time of day, which daemons compare; they differ a little."""
--- a/rackswitch/gateway/core.py
+++ b/rackswitch/gateway/core.py
@@ -4,45 +4,45 @@
 import random
 
 from rackswitch.clocks import suspended_seconds
-from rackswitch.daemon.roles import RoleKeeper
-from rackswitch.gateway.beliefs import Beliefs, beliefs_of
-from rackswitch.gateway.callers.call_edge import CallEdge
-from rackswitch.gateway.callers.edge import CallerEdge
-from rackswitch.gateway.callers.request_front import RequestFront
+from rackswitch.daemon.roles import RoleManager
+from rackswitch.gateway.callers.call_handler import CallHandler
+from rackswitch.gateway.callers.caller_handler import CallerHandler
+from rackswitch.gateway.callers.request_dispatcher import RequestDispatcher
 from rackswitch.gateway.callers.target_choice import TargetChooser
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.daemon_context import make_daemon_context
+from rackswitch.gateway.daemon_snapshot import DaemonSnapshot, beliefs_of
 from rackswitch.gateway.duties.duties import Duties
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.items.item_runner import ItemRunner
-from rackswitch.gateway.items.load_looks import LoadLooks
+from rackswitch.gateway.items.load_poller import LoadPoller
 from rackswitch.gateway.jobs.job_cleaner import JobCleaner
-from rackswitch.gateway.jobs.job_edge import JobEdge
-from rackswitch.gateway.jobs.job_keeper import JobKeeper
-from rackswitch.gateway.jobs.job_placer import JobPlacer, TakenJobs
+from rackswitch.gateway.jobs.job_handler import JobHandler
+from rackswitch.gateway.jobs.job_manager import JobManager
+from rackswitch.gateway.jobs.job_placer import AdoptedJobs, JobPlacer
 from rackswitch.gateway.jobs.job_reader import JobReader
 from rackswitch.gateway.jobs.job_store import JobStore
-from rackswitch.gateway.listeners import OwnPages, listeners
+from rackswitch.gateway.listeners import StatusPages, listeners
 from rackswitch.gateway.peer_service import GatewayPeersService
 from rackswitch.gateway.policy import PolicySettings
-from rackswitch.gateway.quarantine.quarantine_keeper import QuarantineKeeper
+from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
 from rackswitch.gateway.reload import compare_settings
-from rackswitch.gateway.store.contact import StoreContact
 from rackswitch.gateway.store.control_entries import CONTROL_PREFIX, ControlEntries
 from rackswitch.gateway.store.presence import Presence
+from rackswitch.gateway.store.reachability import StoreReachability
 from rackswitch.gateway.store.role_entries import ROLES_PREFIX, RoleEntries
 from rackswitch.gateway.store.session import Session
-from rackswitch.gateway.store.state_keeper import StateKeeper
-from rackswitch.gateway.store.store_relay import PassedOnCalls
-from rackswitch.gateway.store.watching import CopyKeeper
-from rackswitch.gateway.versions.version_keeper import VersionKeeper
+from rackswitch.gateway.store.state_manager import StateManager
+from rackswitch.gateway.store.store_relay import ForwardedCalls
+from rackswitch.gateway.store.watching import ReplicaManager
+from rackswitch.gateway.versions.version_manager import VersionManager
 from rackswitch.platform.connections import TargetSessions
 from rackswitch.platform.item_runs import ItemClient
 from rackswitch.platform.names import OPERATOR_PREFIX, SERVERS_PREFIX
 from rackswitch.platform.orders import OrderClient
 from rackswitch.platform.settings import NodeSettings
 from rackswitch.platform.target_calls import TargetClient
-from rackswitch.routing import ListedTarget, LoadWord
+from rackswitch.routing import ListedTarget, ReportedLoad
 from rackswitch.telemetry.events import (
     HandOverGivenUp,
     MachineSuspended,
@@ -104,15 +104,15 @@
         made = make_daemon_context(settings, rng, log_descriptor, policy)
         self.direct = made.direct
         self.log = made.context.log
-        self.context = GatewayContext(settings, made.context, StoreContact(self.log), policy)
+        self.context = GatewayContext(settings, made.context, StoreReachability(self.log), policy)
         self._sessions = TargetSessions(self._word_heard)
         self._started_seconds = float("-inf")
         self._suspended_seconds = suspended_seconds()
-        self.quarantine = QuarantineKeeper(self.context, lambda: self.copies.is_complete)
-        self.state = StateKeeper(self.context, self.quarantine.watch)
+        self.quarantine = QuarantineManager(self.context, lambda: self.copies.is_complete)
+        self.state = StateManager(self.context, self.quarantine.watch)
         self.session = Session(self.context, self._session_lost, self._owns_jobs)
         self._role_entries = RoleEntries()
-        self.roles = RoleKeeper(
+        self.roles = RoleManager(
             made.context,
             self._wanted_roles,
             self._preferred_holder,
@@ -120,7 +120,7 @@
             self._vacant_seconds,
         )
         chooser = TargetChooser(self.context)
-        self.front = RequestFront(
+        self.front = RequestDispatcher(
             self.context, chooser, TargetClient(self._sessions), self.quarantine, chooser.places
         )
         job_store = JobStore(self.context)
@@ -129,9 +129,9 @@
             self.context, ItemClient(self._sessions), self.front, paces, self.quarantine
         )
         orders = OrderClient(self._sessions)
-        looks = LoadLooks(self.context, orders, runner.occupancy, runner.hear_memory)
-        self.jobs = JobKeeper(self.context, self.session, job_store, runner, looks)
-        self.versions = VersionKeeper(
+        looks = LoadPoller(self.context, orders, runner.occupancy, runner.hear_memory)
+        self.jobs = JobManager(self.context, self.session, job_store, runner, looks)
+        self.versions = VersionManager(
             self.context,
             self.roles,
             orders,
@@ -155,25 +155,25 @@
             SERVERS_PREFIX: self.state.target_handlers(),
             CONTROL_PREFIX: control.handlers(),
         }
-        self.copies = CopyKeeper(self.context, handlers, paces, CONTROL_PREFIX)
+        self.copies = ReplicaManager(self.context, handlers, paces, CONTROL_PREFIX)
         self.presence = Presence(self.context, settings.peer_ports[0], self.copies.looked)
-        passed_on = PassedOnCalls(self.context, made.relay)
+        passed_on = ForwardedCalls(self.context, made.relay)
         self._peers = GatewayPeersService(
             self.context,
             self.copies.server,
             reader,
             self.jobs,
             passed_on,
-            TakenJobs(self.context, self.jobs),
+            AdoptedJobs(self.context, self.jobs),
             self._duties.usage,
             self.quarantine,
         )
-        edge = CallerEdge(
+        edge = CallerHandler(
             self.context,
-            CallEdge(self.context, self.front),
-            JobEdge(self.context, self.jobs, reader, JobPlacer(self.context, self.jobs)),
+            CallHandler(self.context, self.front),
+            JobHandler(self.context, self.jobs, reader, JobPlacer(self.context, self.jobs)),
         )
-        pages = OwnPages(self.context, self.copies, self.beliefs)
+        pages = StatusPages(self.context, self.copies, self.beliefs)
         self._servers = listeners(self.context, edge, pages)
 
     async def start(self) -> None:
@@ -254,7 +254,7 @@
         await self._sessions.close()
         self.context.daemon.telemetry.close()
 
-    def beliefs(self) -> Beliefs:
+    def beliefs(self) -> DaemonSnapshot:
         """Return what this daemon believes now."""
         return beliefs_of(self.context, self.copies, self.presence, self.roles, self.jobs)
 
@@ -280,8 +280,8 @@
             self.log.write(MachineSuspended(for_seconds=round(for_seconds, 3)))
             self._sessions.drop_unused()
 
-    def _word_heard(self, target: ListedTarget, word: LoadWord) -> None:
-        self.context.picture.heard(target.start, target.service, word)
+    def _word_heard(self, target: ListedTarget, word: ReportedLoad) -> None:
+        self.context.load_estimator.heard(target.start, target.service, word)
 
     def _session_lost(self) -> None:
         self.jobs.session_lost()
--- a/rackswitch/gateway/daemon_context.py
+++ b/rackswitch/gateway/daemon_context.py
@@ -17,7 +17,7 @@
 from rackswitch.table import TableView
 from rackswitch.telemetry import DecisionLog, Telemetry
 
-__all__ = ["MadeDaemon", "make_daemon_context"]
+__all__ = ["DaemonParts", "make_daemon_context"]
 
 ROLE_LEASE_SECONDS = 2.0
 """Life of a role's lease; a successor waits for it and for the turn that the platform
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MadeDaemon:
+class DaemonParts:
     """A daemon's context, and its ways to the key-value service.
 
     Attributes
@@ -46,7 +46,7 @@
     rng: random.Random,
     log_descriptor: int | None,
     policy: PolicySettings,
-) -> MadeDaemon:
+) -> DaemonParts:
     """Return the context of a daemon that has not started.
 
     Services of the stand-alone deployment that the platform lacks have no address in it.
@@ -88,4 +88,4 @@
         log=log,
         rng=rng,
     )
-    return MadeDaemon(context, direct, relay)
+    return DaemonParts(context, direct, relay)
--- a/rackswitch/gateway/beliefs.py
+++ b/rackswitch/gateway/daemon_snapshot.py
@@ -2,18 +2,18 @@
 
 import msgspec
 
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.jobs.job_keeper import JobKeeper
+from rackswitch.gateway.jobs.job_manager import JobManager
 from rackswitch.gateway.store.presence import Presence
-from rackswitch.gateway.store.watching import CopyKeeper
+from rackswitch.gateway.store.watching import ReplicaManager
 from rackswitch.jobs import ItemPhase
 from rackswitch.table import ServiceRow
 
-__all__ = ["Beliefs", "JobBelief", "beliefs_of"]
+__all__ = ["DaemonSnapshot", "JobSnapshot", "beliefs_of"]
 
 
-class JobBelief(msgspec.Struct, frozen=True):
+class JobSnapshot(msgspec.Struct, frozen=True):
     """A job that is worked on here."""
 
     listed: int
@@ -25,7 +25,7 @@
     seconds_left: float
 
 
-class Beliefs(msgspec.Struct, frozen=True, kw_only=True):
+class DaemonSnapshot(msgspec.Struct, frozen=True, kw_only=True):
     """The state of one daemon, for a person.
 
     Attributes
@@ -54,7 +54,7 @@
     named_versions: dict[str, int]
     roles: dict[str, int]
     jobs_known: int
-    jobs_owned: dict[str, JobBelief]
+    jobs_owned: dict[str, JobSnapshot]
     requests_in_flight: int
     stopping: bool
     log_lines_dropped: int
@@ -63,16 +63,16 @@
 
 def beliefs_of(
     context: GatewayContext,
-    copies: CopyKeeper,
+    copies: ReplicaManager,
     presence: Presence,
-    roles: RoleKeeper,
-    jobs: JobKeeper,
-) -> Beliefs:
+    roles: RoleManager,
+    jobs: JobManager,
+) -> DaemonSnapshot:
     """Return what a daemon believes now."""
     now_seconds = context.now_seconds()
     away_since_seconds = context.contact.away_since_seconds
     services = context.daemon.view.rows(ServiceRow)
-    return Beliefs(
+    return DaemonSnapshot(
         daemon=context.daemon_name,
         table_revision=context.table_revision,
         copy_ages_seconds={
@@ -101,11 +101,11 @@
     return round(seconds, 3) if seconds < float("inf") else -1.0
 
 
-def _jobs(jobs: JobKeeper, now_seconds: float) -> dict[str, JobBelief]:
-    beliefs: dict[str, JobBelief] = {}
+def _jobs(jobs: JobManager, now_seconds: float) -> dict[str, JobSnapshot]:
+    beliefs: dict[str, JobSnapshot] = {}
     for job_id, owned in jobs.owned.items():
         phases = [progress.phase for progress in owned.ledger.items.values()]
-        beliefs[job_id] = JobBelief(
+        beliefs[job_id] = JobSnapshot(
             listed=len(owned.ledger.listed),
             total=owned.ledger.total,
             waiting=phases.count(ItemPhase.WAITING),
--- a/rackswitch/gateway/duties/duties.py
+++ b/rackswitch/gateway/duties/duties.py
@@ -4,15 +4,15 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.duties.duty_turn import DUTIES_ROLE, DUTIES_TURN
-from rackswitch.gateway.duties.scale_keeper import ScaleKeeper
+from rackswitch.gateway.duties.scaling_manager import ScalingManager
 from rackswitch.gateway.duties.usage_gathering import UsageGathering
-from rackswitch.gateway.duties.usage_keeper import UsageKeeper
+from rackswitch.gateway.duties.usage_reporter import UsageReporter
 from rackswitch.gateway.duties.usage_service import UsageService
 from rackswitch.gateway.jobs.known_jobs import KnownJobs
-from rackswitch.gateway.turns import TurnKeeper
+from rackswitch.gateway.turns import TurnManager
 from rackswitch.platform.duty_calls import DutyClient
 from rackswitch.usage import UsageCounts, UsageWindows
 
@@ -26,14 +26,14 @@
     ----------
     context : GatewayContext
         The daemon; it counts usage from now on as the settings cut time.
-    roles : RoleKeeper
+    roles : RoleManager
         Leases on roles.
     known : KnownJobs
         All jobs of the fleet.
 
     Attributes
     ----------
-    turns : TurnKeeper
+    turns : TurnManager
         Who calls the operators' API.
     usage : UsageService
         What was counted here.
@@ -41,10 +41,10 @@
 
     __slots__ = ("_context", "_known", "turns", "usage")
 
-    def __init__(self, context: GatewayContext, roles: RoleKeeper, known: KnownJobs):
+    def __init__(self, context: GatewayContext, roles: RoleManager, known: KnownJobs):
         self._context = context
         self._known = known
-        self.turns = TurnKeeper(context, roles)
+        self.turns = TurnManager(context, roles)
         settings = context.settings.duties
         if settings is not None:
             windows = UsageWindows(settings.window_seconds, settings.late_seconds)
@@ -69,10 +69,10 @@
         if settings.reports_usage:
             gathering = UsageGathering(self._context, self._context.usage)
             windows = self._context.usage.windows
-            usage = UsageKeeper(self._context, self.turns, client, gathering, windows)
+            usage = UsageReporter(self._context, self.turns, client, gathering, windows)
             work.append(usage.run())
         if settings.orders_engines:
-            scale = ScaleKeeper(
+            scale = ScalingManager(
                 self._context, self.turns, client, self._known, settings.calls_per_second
             )
             work.append(scale.run())
--- a/rackswitch/gateway/duties/duty_turn.py
+++ b/rackswitch/gateway/duties/duty_turn.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from rackswitch.clients.kv import KvEntry
-from rackswitch.gateway.turns import Turn, TurnKeeper
+from rackswitch.gateway.turns import Turn, TurnManager
 
 __all__ = ["DUTIES_KEY", "DUTIES_ROLE", "DUTIES_TURN", "DutyRecord", "note_record"]
 
@@ -19,7 +19,7 @@
     holder: str
 
 
-def note_record(turns: TurnKeeper, entry: KvEntry) -> None:
+def note_record(turns: TurnManager, entry: KvEntry) -> None:
     """Take in the record, as it was read or told."""
     record = msgspec.json.decode(entry.value, type=DutyRecord)
     turns.entered(DUTIES_TURN.group, record.holder, entry.mod_revision)
--- a/rackswitch/gateway/duties/fenced_record.py
+++ b/rackswitch/gateway/duties/fenced_record.py
@@ -7,7 +7,7 @@
 from rackswitch.clients.kv import Compare, KvEntry, KvUnavailable, Operation
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.duties.duty_turn import DUTIES_TURN, DutyRecord, note_record
-from rackswitch.gateway.turns import Entry, TurnKeeper
+from rackswitch.gateway.turns import Entry, TurnManager
 
 __all__ = ["FencedRecord"]
 
@@ -24,7 +24,7 @@
     ----------
     context : GatewayContext
         The daemon.
-    turns : TurnKeeper
+    turns : TurnManager
         This daemon's turns as the holder.
     key : str
         Where the value lies. Not among the entries that every daemon follows: only the holder
@@ -40,7 +40,7 @@
 
     __slots__ = ("_context", "_empty", "_key", "_revision", "_turns", "value")
 
-    def __init__(self, context: GatewayContext, turns: TurnKeeper, key: str, empty: T):
+    def __init__(self, context: GatewayContext, turns: TurnManager, key: str, empty: T):
         self._context = context
         self._turns = turns
         self._key = key
--- a/rackswitch/gateway/duties/ordered_counts.py
+++ b/rackswitch/gateway/duties/ordered_counts.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from rackswitch.capacity import EngineCounts, EngineKind, EngineOrder, Place
+from rackswitch.capacity import EngineCounts, EngineKind, EngineLocation, EngineOrder
 
 __all__ = ["OrderedCount", "OrderedCounts"]
 
@@ -28,7 +28,7 @@
         """Return what was ordered for a service."""
         return Counter(
             {
-                Place(order.zone, order.kind): order.count
+                EngineLocation(order.zone, order.kind): order.count
                 for order in self.orders
                 if order.service == service
             }
--- a/rackswitch/gateway/duties/scale_keeper.py
+++ b/rackswitch/gateway/duties/scaling_manager.py
@@ -13,9 +13,9 @@
     CapacityPlanner,
     EngineCounts,
     EngineKind,
+    EngineLocation,
     EngineOrder,
     JobLoad,
-    Place,
     ServiceState,
     wanted_slots,
 )
@@ -24,12 +24,12 @@
 from rackswitch.gateway.duties.fenced_record import FencedRecord
 from rackswitch.gateway.duties.ordered_counts import OrderedCounts
 from rackswitch.gateway.jobs.known_jobs import KnownJobs
-from rackswitch.gateway.turns import TurnKeeper
+from rackswitch.gateway.turns import TurnManager
 from rackswitch.platform.duty_calls import DutyClient, DutyOutcome, Holder
 from rackswitch.table import Handling, RouteRow, ScalingTerms, ServiceRow
 from rackswitch.telemetry.events import EnginesOrdered
 
-__all__ = ["ScaleKeeper"]
+__all__ = ["ScalingManager"]
 
 ORDERED_KEY = "capacity/ordered"
 """What was last ordered, for a successor: the platform does not tell."""
@@ -61,18 +61,18 @@
     ----------
     listed_since_seconds : float
         When the first of them was listed (monotonic).
-    most_present : EngineCounts
+    max_present : EngineCounts
         The most that were there at a time, by place: what stood before anything was ordered.
         An order that names fewer would take engines away.
     """
 
     planner: CapacityPlanner
     listed_since_seconds: float
-    most_present: EngineCounts = field(default_factory=Counter)
+    max_present: EngineCounts = field(default_factory=Counter)
 
     def saw(self, present: EngineCounts) -> None:
         """Take in which engines are there now."""
-        self.most_present |= present
+        self.max_present |= present
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,14 +85,14 @@
     wanted: int
 
 
-class ScaleKeeper:
+class ScalingManager:
     """Decides on engines and orders them while this daemon holds the role.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    turns : TurnKeeper
+    turns : TurnManager
         This daemon's turns in the role.
     client : DutyClient
         Makes the calls.
@@ -109,7 +109,7 @@
         "_context",
         "_kept",
         "_known",
-        "_most_orders",
+        "_max_orders",
         "_turns",
         "_wall_clock",
         "_watched",
@@ -118,13 +118,13 @@
     def __init__(
         self,
         context: GatewayContext,
-        turns: TurnKeeper,
+        turns: TurnManager,
         client: DutyClient,
         known: KnownJobs,
         calls_per_second: float,
         wall_clock: Callable[[], float] = time.time,
     ):
-        self._most_orders = max(1, int(calls_per_second * TICK_SECONDS * CALLS_SHARE))
+        self._max_orders = max(1, int(calls_per_second * TICK_SECONDS * CALLS_SHARE))
         self._context = context
         self._turns = turns
         self._client = client
@@ -171,7 +171,7 @@
         wanted = self._wanted(row, capacity)
         if wanted is None:
             return
-        state = ServiceState(present, watched.most_present | ordered.of(row.name))
+        state = ServiceState(present, watched.max_present | ordered.of(row.name))
         orders = watched.planner.orders(state, capacity, wanted, now_seconds)
         if orders:
             decision = _Decision(row.name, capacity, state, wanted)
@@ -187,7 +187,7 @@
         counts: EngineCounts = Counter()
         for target in self._context.directory.usable(service, now_seconds):
             kind = EngineKind.RECLAIMABLE if target.reclaimable else EngineKind.KEPT
-            counts[Place(target.zone, kind)] += 1
+            counts[EngineLocation(target.zone, kind)] += 1
         return counts
 
     def _wanted(self, row: ServiceRow, capacity: Capacity) -> int | None:
@@ -226,7 +226,7 @@
         What is written first may not be ordered any more. Then the next holder finds fewer engines
         than were ordered, and orders more than that; so nothing is ordered twice by itself.
         """
-        now = orders[: self._most_orders]
+        now = orders[: self._max_orders]
         entry = await self._kept.enter_with(ordered.with_orders(decision.service, now))
         if entry is None:
             return
@@ -278,7 +278,7 @@
                 self._kept.value = self._kept.value.with_orders(decision.service, [before])
         if added < 0:
             # What was given back is no engine that is lost.
-            watched.most_present[order.place] = order.count
+            watched.max_present[order.place] = order.count
 
 
 def _capacity(row: ServiceRow, terms: ScalingTerms) -> Capacity:
--- a/rackswitch/gateway/duties/tests/test_scale_keeper.py
+++ b/rackswitch/gateway/duties/tests/test_scaling_manager.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.daemon.tests.support import run_virtual
 from rackswitch.gateway.duties.duty_turn import DUTIES_ROLE
-from rackswitch.gateway.duties.scale_keeper import ScaleKeeper
+from rackswitch.gateway.duties.scaling_manager import ScalingManager
 from rackswitch.gateway.jobs.job_records import JobMarker
 from rackswitch.gateway.jobs.known_jobs import KnownJobs
 from rackswitch.gateway.policy import PolicySettings
 from rackswitch.gateway.tests.support import make_gateway_context
-from rackswitch.gateway.turns import TurnKeeper
+from rackswitch.gateway.turns import TurnManager
 from rackswitch.platform.duty_calls import DutyAnswer, DutyOutcome
 from rackswitch.routing import ListedTarget
 from rackswitch.standins.kv_store import KvStore
@@ -32,7 +32,7 @@
         self.counts = Counter({(zone, False): number for zone, number in kept.items()})
         self.contexts: list = []
         self.calls: list[tuple[str, bool, int]] = []
-        self.least_engines = sum(kept.values())
+        self.min_engines = sum(kept.values())
         self.outcome = DutyOutcome.TAKEN
 
     async def order_engines(self, holder, service, zone, count, reclaimable) -> DutyAnswer:
@@ -49,7 +49,7 @@
 
     def become(self, zone: str, reclaimable: bool, count: int) -> None:
         self.counts[zone, reclaimable] = count
-        self.least_engines = min(self.least_engines, sum(self.counts.values()))
+        self.min_engines = min(self.min_engines, sum(self.counts.values()))
         for context in self.contexts:
             self.list_to(context)
 
@@ -73,8 +73,10 @@
     known = KnownJobs()
     marker = JobMarker("j", 10, 0.0, model="m", work_seconds=work_seconds)
     known.created(marker, 1)
-    roles = RoleKeeper(context.daemon, lambda: [DUTIES_ROLE])
-    keeper = ScaleKeeper(context, TurnKeeper(context, roles), platform, known, 50.0, lambda: 1.0)
+    roles = RoleManager(context.daemon, lambda: [DUTIES_ROLE])
+    keeper = ScalingManager(
+        context, TurnManager(context, roles), platform, known, 50.0, lambda: 1.0
+    )
     context.daemon.spawn_duty(roles.run())
     context.daemon.spawn_duty(keeper.run())
     return context
@@ -88,7 +90,7 @@
         assert not platform.calls
         platform.list_to(context)
         await asyncio.sleep(20.0)
-        assert platform.least_engines == 3
+        assert platform.min_engines == 3
         assert sum(platform.counts.values()) == 8
         platform.outcome = DutyOutcome.NONE_TO_BE_HAD
         await context.daemon.cancel_all()
@@ -106,7 +108,7 @@
         assert platform.calls
         platform.outcome = DutyOutcome.TAKEN
         await asyncio.sleep(40.0)
-        assert platform.least_engines == 3
+        assert platform.min_engines == 3
         assert sum(platform.counts.values()) >= 8
         await context.daemon.cancel_all()
 
@@ -125,7 +127,7 @@
             kv.end_lease(lease_id)
         second = start("e", kv, platform, 130.0)
         await asyncio.sleep(40.0)
-        assert platform.least_engines == 3
+        assert platform.min_engines == 3
         assert sum(platform.counts.values()) == 8
         await second.daemon.cancel_all()
 
@@ -138,7 +140,7 @@
         context = start("d", KvStore(), platform, 60.0)
         await asyncio.sleep(90.0)
         assert 4 <= sum(platform.counts.values()) <= 5
-        assert platform.least_engines >= 4
+        assert platform.min_engines >= 4
         await context.daemon.cancel_all()
 
     run_virtual(scenario())
--- a/rackswitch/gateway/duties/tests/usage_run.py
+++ b/rackswitch/gateway/duties/tests/usage_run.py
@@ -5,17 +5,17 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.gateway.duties.duty_turn import DUTIES_KEY, DUTIES_ROLE, note_record
 from rackswitch.gateway.duties.fenced_record import FencedRecord
 from rackswitch.gateway.duties.usage_gathering import GatheredUsage
-from rackswitch.gateway.duties.usage_keeper import REPORTS_KEY, UsageKeeper
+from rackswitch.gateway.duties.usage_reporter import REPORTS_KEY, UsageReporter
 from rackswitch.gateway.tests.support import (
     break_at_random,
     make_gateway_context,
     turn_violations,
 )
-from rackswitch.gateway.turns import TurnKeeper
+from rackswitch.gateway.turns import TurnManager
 from rackswitch.leases import OrderTurns
 from rackswitch.platform.duty_calls import DutyAnswer, DutyOutcome, Holder
 from rackswitch.standins.faulty_kv import KvFaults
@@ -96,7 +96,7 @@
         return self.value
 
 
-class ForgetfulKeeper(UsageKeeper):
+class ForgetfulKeeper(UsageReporter):
     """Gathers again what it is not sure to have sent, in place of repeating it."""
 
     def __init__(self, context, turns, *others):
@@ -107,7 +107,7 @@
 class UsageRun:
     """Daemons and the API, broken at random."""
 
-    def __init__(self, seed: int, naive_turns: bool = False, keeper: type = UsageKeeper):
+    def __init__(self, seed: int, naive_turns: bool = False, keeper: type = UsageReporter):
         self.rng = random.Random(seed)
         self.kv = KvStore()
         self.reports: list[Report] = []
@@ -138,8 +138,8 @@
             name, self.kv, self.rng.randrange(1 << 30), self._faults[name]
         )
         self._contexts[name] = context
-        roles = RoleKeeper(context.daemon, lambda: [DUTIES_ROLE])
-        turns = TurnKeeper(context, roles)
+        roles = RoleManager(context.daemon, lambda: [DUTIES_ROLE])
+        turns = TurnManager(context, roles)
         if self._naive_turns:
             turns.order_turns = NaiveTurns(name)
         wall_clock = asyncio.get_running_loop().time
@@ -149,7 +149,7 @@
         context.daemon.spawn_duty(keeper.run())
         context.daemon.spawn_duty(self._follow(name, turns))
 
-    async def _follow(self, name: str, turns: TurnKeeper) -> None:
+    async def _follow(self, name: str, turns: TurnManager) -> None:
         while True:
             await asyncio.sleep(self.rng.uniform(0.1, 0.7))
             if not self._faults[name].down:
--- a/rackswitch/gateway/duties/usage_keeper.py
+++ b/rackswitch/gateway/duties/usage_reporter.py
@@ -8,13 +8,13 @@
 from rackswitch.gateway.duties.duty_turn import DUTIES_TURN
 from rackswitch.gateway.duties.fenced_record import FencedRecord
 from rackswitch.gateway.duties.usage_gathering import UsageGathering
-from rackswitch.gateway.turns import TurnKeeper
+from rackswitch.gateway.turns import TurnManager
 from rackswitch.platform.duty_calls import DutyClient, DutyOutcome, Holder
 from rackswitch.table import Handling, RouteRow
 from rackswitch.telemetry.events import UsageFixed, UsageSent
 from rackswitch.usage import UsageReport, UsageReports, UsageWindows
 
-__all__ = ["UsageKeeper"]
+__all__ = ["UsageReporter"]
 
 REPORTS_KEY = "usage/reports"
 
@@ -27,19 +27,19 @@
 SETTLE_MARGIN_SECONDS = 0.3
 """How much longer than their time limit the last requests of a window may take to be counted."""
 
-MOST_SETTLE_SECONDS = 4.0
+MAX_SETTLE_SECONDS = 4.0
 """A report must be in time even if its holder dies right after the window: 2.5 s until the role is
 free, and 3.5 s until the former holder's turn is over, of the 10 s that there are."""
 
 
-class UsageKeeper:
+class UsageReporter:
     """Gathers, fixes and sends each window's usage while this daemon holds the role.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    turns : TurnKeeper
+    turns : TurnManager
         This daemon's turns in the role.
     client : DutyClient
         Makes the calls.
@@ -65,7 +65,7 @@
     def __init__(
         self,
         context: GatewayContext,
-        turns: TurnKeeper,
+        turns: TurnManager,
         client: DutyClient,
         gathering: UsageGathering,
         windows: UsageWindows,
@@ -106,7 +106,7 @@
             if route.handling is not Handling.BATCH and not route.is_public
         ]
         longest_seconds = max(limits, default=0.0) + SETTLE_MARGIN_SECONDS
-        return min(longest_seconds, MOST_SETTLE_SECONDS)
+        return min(longest_seconds, MAX_SETTLE_SECONDS)
 
     async def _gather(self, window: int) -> UsageReport:
         gathered = await self._gathering.gather(window)
--- a/rackswitch/gateway/duties/usage_service.py
+++ b/rackswitch/gateway/duties/usage_service.py
@@ -13,7 +13,7 @@
 HAND_OVER_SECONDS = 0.5
 """How long another daemon may take to take counts over: it answers from memory."""
 
-MOST_TRIES = 3
+MAX_TRIES = 3
 """Daemons that are tried: a roll stops several at once."""
 
 
@@ -67,7 +67,7 @@
         own = self._context.daemon_name
         others = [name for name in self._context.daemon.membership.live() if name != own]
         self._context.rng.shuffle(others)
-        for name in others[:MOST_TRIES]:
+        for name in others[:MAX_TRIES]:
             peer = self._context.daemon.membership.address(name)
             if peer is None:
                 continue
--- a/rackswitch/gateway/items/item_runner.py
+++ b/rackswitch/gateway/items/item_runner.py
@@ -4,12 +4,16 @@
 from contextlib import aclosing
 from functools import partial
 
-from rackswitch.gateway.callers.request_front import FrontOutcome, RequestFront, outcome_label
+from rackswitch.gateway.callers.request_dispatcher import (
+    DispatchOutcome,
+    RequestDispatcher,
+    outcome_label,
+)
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.items.run_loads import RunLoads
-from rackswitch.gateway.place_lines import place_seen
-from rackswitch.gateway.quarantine.quarantine_keeper import QuarantineKeeper
+from rackswitch.gateway.placement_log import placement_event
+from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
 from rackswitch.jobs import (
     MIDDLE_URGENCY,
     EngineLoad,
@@ -20,11 +24,11 @@
     JobItem,
     JobLedger,
     LengthForecast,
-    OwnRun,
-    OwnRuns,
+    LocalRun,
+    LocalRuns,
     PieceFault,
-    RunGaps,
-    SpareRoom,
+    PieceIntervals,
+    SpareCapacity,
     TextPiece,
     should_move,
     tokens_held,
@@ -40,13 +44,13 @@
 
 __all__ = ["ItemRunner"]
 
-FIRST_PIECE_PATIENCE_SECONDS = 2.0
+FIRST_PIECE_TIMEOUT_SECONDS = 2.0
 """A full engine queues a run for up to the time of another one, some 0.9 s; twice that is too
 long to wait there. It is a fault of the engine only if other runs there stand still too: of 493
 runs that never began, over 25 days, 442 were at engines that began others meanwhile, and each
 kept all new work away from that engine for 2 s."""
 
-NEXT_PIECE_PATIENCE_SECONDS = 1.2
+NEXT_PIECE_TIMEOUT_SECONDS = 1.2
 """Events come some 40 ms apart, but a load of weights, 0.9 s, may stand between two."""
 
 REWARD_PAUSE_SECONDS = 0.1
@@ -70,7 +74,7 @@
 
 ENDS_WITHOUT_RUN = (ItemRunEnd.NOT_RUN, ItemRunEnd.NOT_THERE)
 
-ADMISSION_PATIENCE_SECONDS = 1.0
+ADMISSION_TIMEOUT_SECONDS = 1.0
 """How long an item waits to learn what became of engines where it broke; the room at its engine
 is kept for it meanwhile."""
 
@@ -84,22 +88,22 @@
         The daemon.
     engines : ItemClient
         Makes the calls.
-    front : RequestFront
+    front : RequestDispatcher
         Serves the reward calls.
     paces : EnginePaces
         Told of the pace of each run.
-    quarantine : QuarantineKeeper
+    quarantine : QuarantineManager
         Told of runs that broke off.
 
     Attributes
     ----------
     forecast, occupancy : LengthForecast, EngineOccupancy
         What the runs have shown of texts, and of how full engines are.
-    own_runs, memory : OwnRuns, EngineMemory
+    own_runs, memory : LocalRuns, EngineMemory
         The runs under way, and what engines have told of their memory.
     loads : RunLoads
         What the runs tell the load picture, and what it tells of engines.
-    spare : dict of str to SpareRoom
+    spare : dict of str to SpareCapacity
         By service, room that nothing waits for, as the starter last saw it.
     """
 
@@ -122,20 +126,20 @@
         self,
         context: GatewayContext,
         engines: ItemClient,
-        front: RequestFront,
+        front: RequestDispatcher,
         paces: EnginePaces,
-        quarantine: QuarantineKeeper,
+        quarantine: QuarantineManager,
     ):
         self._quarantine = quarantine
         self._context = context
         self._engines = engines
         self._front = front
         self.paces = paces
-        self.spare: dict[str, SpareRoom] = {}
+        self.spare: dict[str, SpareCapacity] = {}
         self.loads = RunLoads(context)
         self.forecast = LengthForecast()
         self.occupancy = EngineOccupancy()
-        self.own_runs = OwnRuns()
+        self.own_runs = LocalRuns()
         self.memory = EngineMemory()
         self._leave_limits: dict[tuple[str, str], asyncio.Timeout] = {}
 
@@ -161,7 +165,7 @@
         """
         began_seconds = self._context.now_seconds()
         first_number = progress.last_number + 1
-        gaps = RunGaps()
+        gaps = PieceIntervals()
         sent = self.loads.sent(target, began_seconds)
         ended: ItemRunEnded | None = None
         try:
@@ -186,7 +190,7 @@
                 detail=ended.detail,
                 first_piece_seconds=_first_piece_seconds(gaps, began_seconds),
                 fingerprint=fingerprint,
-                place=place_seen(self._context, sent.place, target.service, WorkKind.TEXT),
+                place=placement_event(self._context, sent.place, target.service, WorkKind.TEXT),
             )
         )
         may_wait = gaps.first_at_seconds is None or urgency != MIDDLE_URGENCY
@@ -221,13 +225,13 @@
         ledger: JobLedger,
         progress: ItemProgress,
         target: ListedTarget,
-        gaps: RunGaps,
+        gaps: PieceIntervals,
         urgency: int,
     ) -> ItemRunEnded:
         """Run an item, and count it while it runs."""
         pieces_before = 0 if ledger.single_version else progress.last_number
         now_seconds = self._context.now_seconds()
-        run = OwnRun(ledger, progress, target.instance, target.start, now_seconds, pieces_before)
+        run = LocalRun(ledger, progress, target.instance, target.start, now_seconds, pieces_before)
         self.own_runs.began(run)
         try:
             async with asyncio.timeout(None) as limit:
@@ -244,7 +248,7 @@
 
     async def held_back(self, job: Job, item: JobItem) -> float | None:
         """Return until when (monotonic) an item must not be sent; None if it may be now."""
-        deadline_seconds = self._context.now_seconds() + ADMISSION_PATIENCE_SECONDS
+        deadline_seconds = self._context.now_seconds() + ADMISSION_TIMEOUT_SECONDS
         fingerprint_of = partial(item_fingerprint, job, item)
         held = await self._quarantine.admit(fingerprint_of, deadline_seconds)
         return held.until_seconds if held is not None else None
@@ -255,7 +259,7 @@
         item: JobItem,
         target: ListedTarget,
         ended: ItemRunEnded,
-        gaps: RunGaps,
+        gaps: PieceIntervals,
     ) -> str:
         """Tell how a run ended; return the item's fingerprint if the run broke.
 
@@ -278,7 +282,7 @@
         ledger: JobLedger,
         progress: ItemProgress,
         target: ListedTarget,
-        gaps: RunGaps,
+        gaps: PieceIntervals,
         urgency: int,
     ) -> ItemRunEnded:
         if ledger.single_version:
@@ -287,7 +291,7 @@
         caller = self._context.tenants.of_tenant(job.tenant)
         request = ItemRequest(job.host, progress.item, progress.last_number, urgency, caller)
         pieces = self._engines.run(
-            target, request, FIRST_PIECE_PATIENCE_SECONDS, NEXT_PIECE_PATIENCE_SECONDS
+            target, request, FIRST_PIECE_TIMEOUT_SECONDS, NEXT_PIECE_TIMEOUT_SECONDS
         )
         async with aclosing(pieces):  # type: ignore[type-var]
             async for piece in pieces:
@@ -303,7 +307,7 @@
                 gap_seconds = gaps.piece_came(now_seconds)
                 if gap_seconds is not None:
                     self.paces.note(target.start, gap_seconds, now_seconds)
-                    self._context.picture.piece(
+                    self._context.load_estimator.piece(
                         target.start, target.service, gap_seconds, now_seconds
                     )
                 if not ledger.single_version and self._moves(ledger, progress, target, gaps):
@@ -315,7 +319,7 @@
         ledger: JobLedger,
         progress: ItemProgress,
         target: ListedTarget,
-        gaps: RunGaps,
+        gaps: PieceIntervals,
     ) -> bool:
         """Return whether a run ends here to go on elsewhere, and count that."""
         if not self._context.policy.runs_move:
@@ -370,7 +374,7 @@
             ledger.failed(progress, now_seconds)
         else:
             if ended.end is ItemRunEnd.SILENT:
-                since_seconds = now_seconds - FIRST_PIECE_PATIENCE_SECONDS / 2
+                since_seconds = now_seconds - FIRST_PIECE_TIMEOUT_SECONDS / 2
                 is_alive = self.paces.seen_since(target.start, since_seconds)
                 if not (may_wait and is_alive):
                     load.went_silent(now_seconds)
@@ -406,7 +410,7 @@
                     attempts=answer.attempts,
                     failures=answer.failures,
                     outcome=outcome_label(outcome),
-                    place=place_seen(
+                    place=placement_event(
                         self._context,
                         answer.place,
                         answer.target.service if answer.target is not None else "",
@@ -422,7 +426,7 @@
             if isinstance(outcome, NotRun) or answer.failures == 0:
                 await asyncio.sleep(self._reward_pause_seconds(outcome))
 
-    def _reward_pause_seconds(self, outcome: FrontOutcome) -> float:
+    def _reward_pause_seconds(self, outcome: DispatchOutcome) -> float:
         """Return when to make a reward call again; one that was told a time waits for it."""
         if not isinstance(outcome, NotRun) or outcome.reason not in TIMED_REASONS:
             return REWARD_PAUSE_SECONDS
@@ -435,7 +439,7 @@
     return request_fingerprint(job.tenant, job.host, "POST", item.path, item.body)
 
 
-def _first_piece_seconds(gaps: RunGaps, began_seconds: float) -> float:
+def _first_piece_seconds(gaps: PieceIntervals, began_seconds: float) -> float:
     """Return how long a run waited for its first piece, as it is logged: -1 for none."""
     if gaps.first_at_seconds is None:
         return -1.0
--- a/rackswitch/gateway/items/item_starter.py
+++ b/rackswitch/gateway/items/item_starter.py
@@ -7,19 +7,19 @@
 
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.item_runner import ItemRunner
-from rackswitch.gateway.items.leave_watch import LeaveWatch
+from rackswitch.gateway.items.leaving_run_mover import LeavingRunMover
 from rackswitch.gateway.items.step_ranks import StepRanks
 from rackswitch.gateway.jobs.owned_job import OwnedJob
 from rackswitch.jobs import (
     MIDDLE_URGENCY,
-    EngineRoom,
+    EngineCapacity,
     ItemPhase,
     ItemProgress,
     ItemStart,
-    free_room,
+    free_capacity,
     item_tokens,
     plan_starts,
-    spare_rooms,
+    spare_capacities,
     tokens_at_end,
 )
 from rackswitch.platform.item_runs import ItemRunEnd
@@ -57,7 +57,7 @@
         self._wake = wake
         self._full_until_seconds: dict[str, float] = {}
         self._ranks = StepRanks(context)
-        self._leave_watch = LeaveWatch(context, runner)
+        self._leave_watch = LeavingRunMover(context, runner)
 
     def start_items(self, owned_jobs: dict[str, OwnedJob]) -> None:
         """Start what may start now, and give up items that cannot be run any more."""
@@ -107,7 +107,7 @@
             rooms = [
                 room for room in rooms if room.service not in sharing or room.runs < room.slots
             ]
-        self._runner.spare = {} if waiting else spare_rooms(rooms)
+        self._runner.spare = {} if waiting else spare_capacities(rooms)
 
     def _sharing(self, services: Iterable[str]) -> frozenset[str]:
         """Return the services whose engines are placed by what they tell of their load.
@@ -148,8 +148,8 @@
 
     def _engine_rooms(
         self, services: set[str], sharing: frozenset[str], now_seconds: float
-    ) -> list[EngineRoom]:
-        rooms: list[EngineRoom] = []
+    ) -> list[EngineCapacity]:
+        rooms: list[EngineCapacity] = []
         for service in services:
             row = self._context.daemon.view.row(ServiceRow, service)
             default_slots = (row.slots if row is not None else 0) or DEFAULT_SLOTS
@@ -168,7 +168,7 @@
 
     def _room(
         self, listed: ListedTarget, default_slots: int, is_shared: bool, now_seconds: float
-    ) -> EngineRoom:
+    ) -> EngineCapacity:
         slots = listed.slots or default_slots
         occupancy, own_runs = self._runner.occupancy, self._runner.own_runs
         own = occupancy.own.get(listed.instance, 0)
@@ -178,7 +178,7 @@
         # An engine without requests sends no words, so its last one may be old. For new runs that
         # one counts however old it is; for moves it fades.
         others_new = occupancy.others(listed.instance, now_seconds)
-        room = free_room(
+        room = free_capacity(
             slots,
             own,
             own_runs.queued(listed.start, now_seconds),
@@ -191,7 +191,7 @@
             for model, version in listed.versions.items()
             if not self._context.loads.is_loading(listed.instance, model, now_seconds)
         }
-        return EngineRoom(
+        return EngineCapacity(
             listed.instance,
             listed.service,
             room.slots,
@@ -200,7 +200,7 @@
             slots,
             own + others_new,
             self._runner.loads.place(listed, now_seconds),
-            self._context.picture.usual_run_seconds(listed.service, WorkKind.TEXT),
+            self._context.load_estimator.usual_run_seconds(listed.service, WorkKind.TEXT),
             room.tokens,
         )
 
--- a/rackswitch/gateway/items/leave_watch.py
+++ b/rackswitch/gateway/items/leaving_run_mover.py
@@ -6,18 +6,18 @@
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.item_runner import ItemRunner
 from rackswitch.jobs import (
-    EngineRoom,
+    EngineCapacity,
     ItemPhase,
     LeavingEngines,
     LeavingRun,
-    OwnRun,
+    LocalRun,
     SlackOrder,
     item_tokens,
     runs_to_move,
 )
 from rackswitch.telemetry.events import EngineLeaves, RunLeavesEngine
 
-__all__ = ["LeaveWatch"]
+__all__ = ["LeavingRunMover"]
 
 RESERVED_SECONDS = 0.3
 """How long a slot is kept for a run that has left its engine: it ends there within a tick, and
@@ -30,7 +30,7 @@
 
     Attributes
     ----------
-    run, run_number : OwnRun, int
+    run, run_number : LocalRun, int
         The run that was ended, and its number among its item's.
     instance : str
         The engine that has the slot.
@@ -40,14 +40,14 @@
         How long it is kept (monotonic).
     """
 
-    run: OwnRun
+    run: LocalRun
     run_number: int
     instance: str
     tokens: float
     until_seconds: float
 
 
-class LeaveWatch:
+class LeavingRunMover:
     """Moves runs away from engines that leave.
 
     Parameters
@@ -68,7 +68,7 @@
 
     def move_runs(
         self,
-        rooms: list[EngineRoom],
+        rooms: list[EngineCapacity],
         order: SlackOrder,
         sharing: frozenset[str],
         now_seconds: float,
@@ -77,7 +77,7 @@
 
         Parameters
         ----------
-        rooms : list of EngineRoom
+        rooms : list of EngineCapacity
             Room at the engines that stay; what these runs will take is taken off.
         order : SlackOrder
             Which are the most urgent.
@@ -101,7 +101,7 @@
         for move, instance in moves:
             self._move(leaving[move.key], move, instance, now_seconds)
 
-    def _may_move(self, run: OwnRun) -> bool:
+    def _may_move(self, run: LocalRun) -> bool:
         """Return whether a run may go on elsewhere.
 
         A text that one version must make whole would be begun anew, and its engine may well
@@ -134,8 +134,8 @@
     def _notice(
         self, start: str, instance: str, left_seconds: float | None, now_seconds: float
     ) -> None:
-        least_seconds = self._context.settings.drain_seconds
-        if not self._engines.noticed(start, now_seconds, left_seconds, least_seconds):
+        min_seconds = self._context.settings.drain_seconds
+        if not self._engines.noticed(start, now_seconds, left_seconds, min_seconds):
             return
         self._context.log.write(
             EngineLeaves(
@@ -146,7 +146,7 @@
             )
         )
 
-    def _keep_reserved(self, rooms: Iterable[EngineRoom], now_seconds: float) -> None:
+    def _keep_reserved(self, rooms: Iterable[EngineCapacity], now_seconds: float) -> None:
         """Take off the room of runs that have left their engine and wait for their pause's end."""
         by_instance = {room.instance: room for room in rooms}
         for key, reserved in list(self._reserved.items()):
@@ -160,7 +160,7 @@
                 continue
             by_instance[reserved.instance].begin(reserved.tokens)
 
-    def _leaving_run(self, run: OwnRun, order: SlackOrder, now_seconds: float) -> LeavingRun:
+    def _leaving_run(self, run: LocalRun, order: SlackOrder, now_seconds: float) -> LeavingRun:
         job = run.ledger.job
         return LeavingRun(
             key=run.key,
@@ -175,7 +175,7 @@
             is_surplus=order.is_surplus(run.ledger, run.progress),
         )
 
-    def _move(self, run: OwnRun, move: LeavingRun, instance: str, now_seconds: float) -> None:
+    def _move(self, run: LocalRun, move: LeavingRun, instance: str, now_seconds: float) -> None:
         until_seconds = now_seconds + RESERVED_SECONDS
         self._reserved[run.key] = _Reserved(
             run, run.progress.run_number, instance, move.tokens, until_seconds
--- a/rackswitch/gateway/items/load_looks.py
+++ b/rackswitch/gateway/items/load_poller.py
@@ -6,15 +6,15 @@
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.jobs import EngineLoad, EngineOccupancy
 from rackswitch.platform.orders import EngineReport, OrderClient
-from rackswitch.routing import ListedTarget, LoadWord
+from rackswitch.routing import ListedTarget, ReportedLoad
 
-__all__ = ["LoadLooks"]
+__all__ = ["LoadPoller"]
 
 REPORT_AGE_SECONDS = 0.3
 """By how much a report is taken to be older than the moment when it is read."""
 
 
-class LoadLooks:
+class LoadPoller:
     """Reads engines' reports, which take no slot.
 
     The owner of a new job often ran nothing for some seconds and cannot know what other owners
@@ -66,5 +66,5 @@
         if not target.slots or not self._context.places_by_load(target.service):
             return
         said_at_seconds = now_seconds - REPORT_AGE_SECONDS
-        word = LoadWord(report.running, report.waiting, target.slots, None, said_at_seconds)
-        self._context.picture.heard(target.start, target.service, word)
+        word = ReportedLoad(report.running, report.waiting, target.slots, None, said_at_seconds)
+        self._context.load_estimator.heard(target.start, target.service, word)
--- a/rackswitch/gateway/items/step_ranks.py
+++ b/rackswitch/gateway/items/step_ranks.py
@@ -7,13 +7,13 @@
 from rackswitch.gateway.jobs.owned_job import OwnedJob
 from rackswitch.jobs import (
     MIDDLE_URGENCY,
-    EngineRoom,
+    EngineCapacity,
     ItemProgress,
     Job,
     JobLedger,
     LengthForecast,
     SlackOrder,
-    paces_to_be_had,
+    available_paces,
     urgency_levels,
     urgency_of,
 )
@@ -68,7 +68,7 @@
         self,
         owned_jobs: dict[str, OwnedJob],
         services: dict[str, str],
-        rooms: Iterable[EngineRoom],
+        rooms: Iterable[EngineCapacity],
         forecast: LengthForecast,
     ) -> SlackOrder:
         """Return the present order of all items."""
@@ -80,7 +80,7 @@
         if now_seconds >= self._surplus_until_seconds:
             self._surplus = {}
             self._surplus_until_seconds = now_seconds + SURPLUS_LIFE_SECONDS
-        paces_seconds = paces_to_be_had(rooms)
+        paces_seconds = available_paces(rooms)
         return SlackOrder(services, due_seconds, class_of, paces_seconds, forecast, self._surplus)
 
     def urgency(self, order: SlackOrder, ledger: JobLedger, progress: ItemProgress) -> int:
--- a/rackswitch/gateway/items/tests/test_item_runner.py
+++ b/rackswitch/gateway/items/tests/test_item_runner.py
@@ -6,10 +6,10 @@
 
 from rackswitch.daemon.tests.support import run_virtual
 from rackswitch.gateway.items.engine_paces import EnginePaces
-from rackswitch.gateway.items.item_runner import FIRST_PIECE_PATIENCE_SECONDS, ItemRunner
-from rackswitch.gateway.items.load_looks import LoadLooks
+from rackswitch.gateway.items.item_runner import FIRST_PIECE_TIMEOUT_SECONDS, ItemRunner
+from rackswitch.gateway.items.load_poller import LoadPoller
 from rackswitch.gateway.tests.support import NoQuarantine, make_gateway_context
-from rackswitch.jobs import EngineLoad, EngineOccupancy, JobLedger, SpareRoom, TextPiece
+from rackswitch.jobs import EngineLoad, EngineOccupancy, JobLedger, SpareCapacity, TextPiece
 from rackswitch.jobs.tests.support import make_job
 from rackswitch.platform.item_runs import ItemRunEnd, ItemRunEnded
 from rackswitch.platform.orders import EngineReport, NoReport
@@ -79,10 +79,10 @@
 )
 def test_a_run_that_waits_in_a_queue_does_not_close_its_engine(others_go_on, pieces, is_closed):
     async def scenario():
-        engine = ScriptedEngine(pieces, ItemRunEnd.SILENT, FIRST_PIECE_PATIENCE_SECONDS)
+        engine = ScriptedEngine(pieces, ItemRunEnd.SILENT, FIRST_PIECE_TIMEOUT_SECONDS)
         runner, ledger = make_runner(engine)
         work = asyncio.create_task(run_first(runner, ledger))
-        await asyncio.sleep(FIRST_PIECE_PATIENCE_SECONDS * 0.9)
+        await asyncio.sleep(FIRST_PIECE_TIMEOUT_SECONDS * 0.9)
         now_seconds = runner._context.now_seconds()
         if others_go_on:
             runner.paces.note(ENGINE.start, 0.04, now_seconds)
@@ -115,7 +115,7 @@
         texts = [TextPiece(number, "a", 1) for number in range(1, 101)]
         runner, ledger = make_runner(ScriptedEngine(texts, ItemRunEnd.WHOLE, 0.0, 0.05))
         if spare_seconds is not None:
-            runner.spare["s"] = SpareRoom("e2", spare_seconds, 1, {"m": 1})
+            runner.spare["s"] = SpareCapacity("e2", spare_seconds, 1, {"m": 1})
         ended = await run_first(runner, ledger)
         return ended.end, ledger.items["i0"].moves, runner.spare
 
@@ -153,7 +153,7 @@
             context.directory.put(ListedTarget(name, "s", "h", 1, "z", 12, False, {"m": 1}))
         occupancy = EngineOccupancy()
         reports = Reports({"e1": EngineReport({"m": 1}, False, 0, waiting=3, running=12)})
-        await LoadLooks(context, reports, occupancy).look("s")
+        await LoadPoller(context, reports, occupancy).look("s")
         now_seconds = context.now_seconds()
         return occupancy.others("e1", now_seconds), occupancy.others("e2", now_seconds)
 
