--- a/rackswitch/gateway/items/tests/test_item_starter.py
+++ b/rackswitch/gateway/items/tests/test_item_starter.py
@@ -18,12 +18,12 @@
 from rackswitch.gateway.jobs.owned_job import OwnedJob, new_owned_job
 from rackswitch.gateway.policy import PolicySettings
 from rackswitch.gateway.tests.support import NoQuarantine, make_gateway_context
-from rackswitch.jobs import EngineLoad, EngineRoom, Job, JobItem, SlackOrder, TextPiece
+from rackswitch.jobs import EngineCapacity, EngineLoad, Job, JobItem, SlackOrder, TextPiece
 from rackswitch.jobs.schedule import FIRST_PIECES_PER_TOKEN
 from rackswitch.platform.item_runs import ItemRunEnd, ItemRunEnded
 from rackswitch.platform.orders import EngineReport
 from rackswitch.routing import ListedTarget, Target
-from rackswitch.routing.load_words import LoadWord
+from rackswitch.routing.reported_load import ReportedLoad
 from rackswitch.standins.kv_store import KvStore
 from rackswitch.table import (
     Handling,
@@ -84,7 +84,7 @@
     gone: set[str] = field(default_factory=set)
     at_work: dict[str, str] = field(default_factory=dict)
     requests: list = field(default_factory=list)
-    most_queued: int = 0
+    max_queued: int = 0
 
     async def run(self, target, request, first_patience_seconds, next_patience_seconds):
         name, item = target.instance, request.item.item_id
@@ -117,7 +117,7 @@
             return
         turn = asyncio.Event()
         self.queues[name].append(turn)
-        self.most_queued = max(self.most_queued, len(self.queues[name]))
+        self.max_queued = max(self.max_queued, len(self.queues[name]))
         try:
             await turn.wait()
         except asyncio.CancelledError:
@@ -152,8 +152,8 @@
         self.context.routes = index_routes(TABLE)
         for number in range(count):
             self.list_engine(f"e{number}")
-        word = LoadWord(0, 0, SLOTS, pace, self.context.now_seconds())
-        self.context.picture.heard("of another engine@0", "s", word)
+        word = ReportedLoad(0, 0, SLOTS, pace, self.context.now_seconds())
+        self.context.load_estimator.heard("of another engine@0", "s", word)
         paces = EnginePaces()
         self.runner = ItemRunner(self.context, engines, None, paces, NoQuarantine())
         self.wake = asyncio.Event()
@@ -334,7 +334,7 @@
         await owner.work(0.3)
         owner.list_engine("e0", draining=True)
         await owner.work(1.0)
-        return [name for name, _ in engines.requests][2 * SLOTS - 2 :], engines.most_queued
+        return [name for name, _ in engines.requests][2 * SLOTS - 2 :], engines.max_queued
 
     assert run_virtual(scenario()) == (["e1", "e1"], 0)
 
@@ -367,7 +367,7 @@
 
 
 def test_two_owners_fill_shared_engines_without_long_queues():
-    def most_queued(policy: PolicySettings) -> int:
+    def max_queued(policy: PolicySettings) -> int:
         async def scenario():
             steps = [make_step(name, [30] * 20) for name in ("j", "k")]
             engines = SharedEngines(lengths_of(*steps))
@@ -380,13 +380,13 @@
             await asyncio.gather(first, owners[1].work(30.0))
             for owner in owners:
                 check_texts(owner, engines)
-            return engines.most_queued
+            return engines.max_queued
 
         return run_virtual(scenario())
 
-    assert most_queued(OFF) >= SLOTS
+    assert max_queued(OFF) >= SLOTS
     # Before any word of an engine there is nothing to go by, so the first ones are sent at once.
-    assert most_queued(ON) <= SLOTS
+    assert max_queued(ON) <= SLOTS
 
 
 def test_an_engines_report_tells_of_its_memory_and_large_items_go_elsewhere():
@@ -655,7 +655,7 @@
         free_slots = []
         for _ in range(3):
             now_seconds = owner.context.now_seconds()
-            rooms = [EngineRoom("e1", "s", 1, PIECE_SECONDS, {"m": 1}, SLOTS, SLOTS - 1)]
+            rooms = [EngineCapacity("e1", "s", 1, PIECE_SECONDS, {"m": 1}, SLOTS, SLOTS - 1)]
             order = owner.starter._ranks.order(
                 owner.owned, {"j": "s"}, rooms, owner.runner.forecast
             )
--- a/rackswitch/gateway/items/tests/test_run_loads.py
+++ b/rackswitch/gateway/items/tests/test_run_loads.py
@@ -11,10 +11,10 @@
 from rackswitch.gateway.items.item_starter import ItemStarter
 from rackswitch.gateway.items.tests.test_item_runner import ScriptedEngine
 from rackswitch.gateway.tests.support import NoQuarantine, make_gateway_context
-from rackswitch.jobs import JobLedger, SpareRoom, TextPiece, plan_starts, spare_rooms
+from rackswitch.jobs import JobLedger, SpareCapacity, TextPiece, plan_starts, spare_capacities
 from rackswitch.jobs.tests.support import make_job
 from rackswitch.platform.item_runs import ItemRunEnd
-from rackswitch.routing import ListedTarget, LoadWord, Target, WorkKind
+from rackswitch.routing import ListedTarget, ReportedLoad, Target, WorkKind
 from rackswitch.standins.kv_store import KvStore
 from rackswitch.telemetry import DecisionLog
 
@@ -33,8 +33,8 @@
 
 def tell(runner, listed, running=0, waiting=0, pace: float | None = 1.0):
     now_seconds = runner._context.now_seconds()
-    word = LoadWord(running, waiting, 12, pace, now_seconds)
-    runner._context.picture.heard(listed.start, "s", word)
+    word = ReportedLoad(running, waiting, 12, pace, now_seconds)
+    runner._context.load_estimator.heard(listed.start, "s", word)
 
 
 def rooms_of(runner):
@@ -73,7 +73,7 @@
         before = rooms_of(runner)
         for listed in ENGINES:
             tell(runner, listed, running=12, waiting=6, pace=None)
-            runner._context.picture.refused(listed.start, runner._context.now_seconds())
+            runner._context.load_estimator.refused(listed.start, runner._context.now_seconds())
         return before, rooms_of(runner)
 
     before, after = run_virtual(scenario())
@@ -120,7 +120,7 @@
         runner = make_runner(ScriptedEngine(texts, ItemRunEnd.WHOLE, 0.0, gap_seconds))
         tell(runner, ENGINES[0], pace=pace)
         tell(runner, ENGINES[1], pace=1.0)
-        runner.spare["s"] = SpareRoom("e2", 0.04, 1, {"m": 1})
+        runner.spare["s"] = SpareCapacity("e2", 0.04, 1, {"m": 1})
         ledger = JobLedger(make_job())
         await run_first(runner, ledger)
         return ledger.items["i0"].moves
@@ -133,7 +133,7 @@
         runner = make_runner()
         tell(runner, ENGINES[0], pace=1.2)
         tell(runner, ENGINES[1], running=12, waiting=1, pace=0.6)
-        return spare_rooms(rooms_of(runner))
+        return spare_capacities(rooms_of(runner))
 
     assert run_virtual(scenario())["s"].instance == "e1"
 
@@ -144,7 +144,7 @@
         lines = []
         monkeypatch.setattr(DecisionLog, "write", lambda log, event: lines.append(event))
         tell(runner, ENGINES[0], running=12, waiting=3, pace=1.5)
-        run_seconds = runner._context.picture.usual_run_seconds("s", WorkKind.TEXT)
+        run_seconds = runner._context.load_estimator.usual_run_seconds("s", WorkKind.TEXT)
         await asyncio.sleep(0.2)
         await run_first(runner, JobLedger(make_job()))
         return lines[-1].place, run_seconds
--- a/rackswitch/gateway/jobs/job_receiving.py
+++ b/rackswitch/gateway/jobs/hand_over_receiver.py
@@ -16,13 +16,13 @@
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.telemetry.events import JobReceived
 
-__all__ = ["JobReceiving"]
+__all__ = ["HandOverReceiver"]
 
 SETTLE_SECONDS = 1.0
 """How long a daemon that stops waits for what is just being handed over to it."""
 
 
-class JobReceiving:
+class HandOverReceiver:
     """Goes on with jobs that are handed over to this daemon.
 
     Parameters
--- a/rackswitch/gateway/jobs/job_giving.py
+++ b/rackswitch/gateway/jobs/hand_over_sender.py
@@ -23,9 +23,9 @@
 from rackswitch.peers.links import PeerUnreachable
 from rackswitch.telemetry.events import JobHandedOver
 
-__all__ = ["JobGiving"]
+__all__ = ["HandOverSender"]
 
-OFFER_PATIENCE_SECONDS = 1.8
+OFFER_TIMEOUT_SECONDS = 1.8
 """How long a successor may take: it may wait in vain for the key-value service, and then asks for
 the texts. The job's runs go on meanwhile."""
 
@@ -33,15 +33,15 @@
 """After so long no further successor of a job is asked, so that the rest of the stop's time is left
 for releasing it through the key-value service."""
 
-MOST_OFFERS = 6
+MAX_OFFERS = 6
 """Daemons that one job is offered to at most. Those that stop too, or are dead, mostly show it at
 once, so that there is time to try some in vain."""
 
-MOST_OFFERED_BYTES = 8_000_000
+MAX_OFFERED_BYTES = 8_000_000
 """Larger jobs take longer to pass on than their texts take to make again."""
 
 
-class JobGiving:
+class HandOverSender:
     """Gives open jobs to other daemons, straight or through the key-value service.
 
     Parameters
@@ -123,7 +123,7 @@
     def _successors(self, owned: OwnedJob) -> list[str]:
         job = owned.ledger.job
         ordered = order_successors(job.job_id, len(job.items), self._candidates())
-        return ordered[:MOST_OFFERS]
+        return ordered[:MAX_OFFERS]
 
     def _candidates(self) -> list[SuccessorCandidate]:
         context = self._context
@@ -181,14 +181,14 @@
         peer = self._context.daemon.membership.address(successor)
         if peer is None:
             return pb.HandOverReply(detail="its address is not known")
-        if request.ByteSize() > MOST_OFFERED_BYTES:
+        if request.ByteSize() > MAX_OFFERED_BYTES:
             return pb.HandOverReply(detail="the job is too large")
         owned.successor = successor
         reply = await self._context.daemon.links.call(
             peer,
             lambda stub: stub.HandOver,
             request,
-            OFFER_PATIENCE_SECONDS,
+            OFFER_TIMEOUT_SECONDS,
             GatewayPeersStub,
         )
         # It may no longer ask for the texts: the next one is offered them.
--- a/rackswitch/gateway/jobs/held_claims.py
+++ b/rackswitch/gateway/jobs/held_claims.py
@@ -11,7 +11,7 @@
 from rackswitch.gateway.jobs.owned_jobs import OwnedJobs
 from rackswitch.gateway.jobs.result_appender import ResultAppender
 from rackswitch.gateway.store.session import Session
-from rackswitch.jobs import JobOrphans, JobResult
+from rackswitch.jobs import JobResult, OrphanedJobs
 from rackswitch.leases import decode_holder
 
 __all__ = ["HeldClaims"]
@@ -36,7 +36,7 @@
         All jobs of the fleet.
     jobs : OwnedJobs
         The jobs worked on here.
-    orphans : JobOrphans
+    orphans : OrphanedJobs
         Told of what is claimed.
     appender : ResultAppender
         Told of results that were kept by a claim.
@@ -51,7 +51,7 @@
         store: JobStore,
         known: KnownJobs,
         jobs: OwnedJobs,
-        orphans: JobOrphans,
+        orphans: OrphanedJobs,
         appender: ResultAppender,
     ):
         self._appender = appender
--- a/rackswitch/gateway/jobs/job_checkpoints.py
+++ b/rackswitch/gateway/jobs/job_checkpoints.py
@@ -23,14 +23,14 @@
 
 __all__ = ["JobCheckpoints"]
 
-LEAST_CHECKPOINT_PIECES = 24
+MIN_CHECKPOINT_PIECES = 24
 """Shorter texts are made again: they are about a second of an engine's work, and a step's
 longest texts, which decide when it is whole, have more than a hundred."""
 
-LEAST_HANDED_OVER_PIECES = 1
+MIN_HANDED_OVER_PIECES = 1
 """At a planned hand-over everything goes along: it is one call whatever its size."""
 
-YIELD_PATIENCE_SECONDS = 0.5
+YIELD_TIMEOUT_SECONDS = 0.5
 """How long a former owner may take to leave a job: it waits for its runs' ends, and the call
 crosses zones. One that is dead answers never, and the job must go on."""
 
@@ -80,8 +80,8 @@
         for owned in owned_jobs:
             if owned.awaits_claim or now_seconds < owned.next_checkpoint_seconds:
                 continue
-            items = checkpoint_items(owned.ledger, LEAST_CHECKPOINT_PIECES)
-            if any(len(item.pieces) >= LEAST_CHECKPOINT_PIECES for item in items):
+            items = checkpoint_items(owned.ledger, MIN_CHECKPOINT_PIECES)
+            if any(len(item.pieces) >= MIN_CHECKPOINT_PIECES for item in items):
                 owned.next_checkpoint_seconds = now_seconds + CHECKPOINT_SECONDS
                 checkpoint = self._checkpoint(items, runs_ended=False)
                 job_id = owned.ledger.job.job_id
@@ -91,7 +91,7 @@
 
     def items_to_leave(self, owned: OwnedJob) -> tuple[ItemCheckpoint, ...]:
         """Return what is there of a job that is about to be left."""
-        return checkpoint_items(owned.ledger, LEAST_HANDED_OVER_PIECES)
+        return checkpoint_items(owned.ledger, MIN_HANDED_OVER_PIECES)
 
     def snapshot(self, owned: OwnedJob) -> JobCheckpoint:
         """Return what is there of a job that is still worked on."""
@@ -168,7 +168,7 @@
             member_address(former, entry),
             lambda stub: stub.YieldJob,
             request,
-            YIELD_PATIENCE_SECONDS,
+            YIELD_TIMEOUT_SECONDS,
             GatewayPeersStub,
         )
         if isinstance(reply, PeerUnreachable) or not reply.worked_on:
--- a/rackswitch/gateway/jobs/job_claims.py
+++ b/rackswitch/gateway/jobs/job_claims.py
@@ -13,7 +13,7 @@
 from rackswitch.gateway.jobs.lease_writes import write_on_lease
 from rackswitch.gateway.jobs.owned_jobs import OwnedJobs
 from rackswitch.gateway.store.session import Session
-from rackswitch.jobs import Job, JobCheckpoint, JobOrphans, order_jobs
+from rackswitch.jobs import Job, JobCheckpoint, OrphanedJobs, order_jobs
 from rackswitch.telemetry.events import JobNotOwned
 
 __all__ = ["JobClaims"]
@@ -48,7 +48,7 @@
         The jobs worked on here.
     checkpoints : JobCheckpoints
         Brings former owners' texts.
-    orphans : JobOrphans
+    orphans : OrphanedJobs
         When an orphan may be claimed.
     held : HeldClaims
         Claims what is worked on here.
@@ -75,7 +75,7 @@
         known: KnownJobs,
         jobs: OwnedJobs,
         checkpoints: JobCheckpoints,
-        orphans: JobOrphans,
+        orphans: OrphanedJobs,
         held: HeldClaims,
     ):
         self._held = held
--- a/rackswitch/gateway/jobs/job_edge.py
+++ b/rackswitch/gateway/jobs/job_handler.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from rackswitch.gateway.callers.departures import done_before_gone
-from rackswitch.gateway.callers.refusals import TEXT, Refusal, refuse, refuse_at_the_edge
+from rackswitch.gateway.callers.disconnects import done_before_disconnect
+from rackswitch.gateway.callers.refusals import TEXT, Refusal, refuse, refuse_before_routing
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.jobs.job_keeper import JobKeeper
+from rackswitch.gateway.jobs.job_manager import JobManager
 from rackswitch.gateway.jobs.job_outcomes import JobCreated, JobKnown, JobNotStored, JobTooLarge
 from rackswitch.gateway.jobs.job_placer import JobPlacer
 from rackswitch.gateway.jobs.job_reader import JobReader, JobUnknown, JobUnsure
 from rackswitch.gateway.jobs.job_records import JobMarker
-from rackswitch.jobs import MOST_ITEMS, Job, JobItem, check_job
+from rackswitch.jobs import MAX_ITEMS, Job, JobItem, check_job
 from rackswitch.platform.ingress import MalformedRequest
 from rackswitch.platform.job_calls import (
     EndJob,
@@ -26,15 +26,15 @@
     decode_job_outline,
     encode_results,
 )
-from rackswitch.requests import return_delay_seconds
+from rackswitch.requests import retry_delay_seconds
 from rackswitch.table import RouteRow
 from rackswitch.telemetry.events import JobCallRefused, JobEnded, JobSubmitted, ResultsRead
 from rackswitch.tenants import Caller, KeyFault
 from rackswitch.web.exchange import Exchange
 
-__all__ = ["JobEdge", "Submission"]
+__all__ = ["JobHandler", "Submission"]
 
-COME_BACK_SECONDS = 0.3
+RETRY_AFTER_SECONDS = 0.3
 """When a refused trainer should come back while the service is there: another daemon may take
 the job at once."""
 
@@ -72,14 +72,14 @@
     host: str
 
 
-class JobEdge:
+class JobHandler:
     """Answers trainers.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    keeper : JobKeeper
+    keeper : JobManager
         Ends jobs.
     reader : JobReader
         Reads jobs.
@@ -90,7 +90,7 @@
     __slots__ = ("_context", "_keeper", "_placer", "_reader")
 
     def __init__(
-        self, context: GatewayContext, keeper: JobKeeper, reader: JobReader, placer: JobPlacer
+        self, context: GatewayContext, keeper: JobManager, reader: JobReader, placer: JobPlacer
     ):
         self._placer = placer
         self._context = context
@@ -113,10 +113,10 @@
         outline = decode_job_outline(job_id, submission.host, exchange.path, body, time.time())
         job = await _whole_job(outline, caller.tenant)
         if isinstance(job, Refusal):
-            await refuse_at_the_edge(exchange, self._context, job)
+            await refuse_before_routing(exchange, self._context, job)
             return
         if self._context.daemon.stopping:
-            await refuse_at_the_edge(
+            await refuse_before_routing(
                 exchange,
                 self._context,
                 Refusal(503, "this daemon is stopping", self._come_back_seconds()),
@@ -140,10 +140,10 @@
         """Return when a refused trainer should come back, by what is known of the service."""
         contact = self._context.contact
         if not contact.is_away:
-            return COME_BACK_SECONDS
+            return RETRY_AFTER_SECONDS
         now_seconds = self._context.now_seconds()
         left_seconds = contact.outage.remaining_seconds(now_seconds)
-        return return_delay_seconds(left_seconds, JOB_CLASS, self._context.rng.random())
+        return retry_delay_seconds(left_seconds, JOB_CLASS, self._context.rng.random())
 
     async def _answer_submission(
         self, exchange: Exchange, outcome: JobCreated | JobKnown | JobTooLarge | JobNotStored
@@ -184,7 +184,7 @@
         work = asyncio.create_task(
             self._reader.results(call.job_id, call.position, deadline_seconds)
         )
-        if not await done_before_gone(exchange, work):
+        if not await done_before_disconnect(exchange, work):
             return
         page = work.result()
         if isinstance(page, JobUnknown | JobUnsure):
@@ -241,8 +241,8 @@
     if isinstance(outline, MalformedRequest):
         return Refusal(400, outline.detail)
     count = len(outline.raw_items)
-    if count > MOST_ITEMS:
-        return Refusal(413, f"`items` holds {count} items, at most {MOST_ITEMS} are taken")
+    if count > MAX_ITEMS:
+        return Refusal(413, f"`items` holds {count} items, at most {MAX_ITEMS} are taken")
     items: list[JobItem] = []
     for first in range(0, count, ITEMS_PER_PIECE):
         piece = decode_job_items(outline, first, ITEMS_PER_PIECE)
--- a/rackswitch/gateway/jobs/job_keeper.py
+++ b/rackswitch/gateway/jobs/job_manager.py
@@ -7,13 +7,13 @@
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.item_runner import ItemRunner
 from rackswitch.gateway.items.item_starter import ItemStarter
-from rackswitch.gateway.items.load_looks import LoadLooks
+from rackswitch.gateway.items.load_poller import LoadPoller
+from rackswitch.gateway.jobs.hand_over_receiver import HandOverReceiver
+from rackswitch.gateway.jobs.hand_over_sender import HandOverSender
 from rackswitch.gateway.jobs.held_claims import HeldClaims
 from rackswitch.gateway.jobs.job_checkpoints import JobCheckpoints
 from rackswitch.gateway.jobs.job_claims import JobClaims
-from rackswitch.gateway.jobs.job_giving import JobGiving
 from rackswitch.gateway.jobs.job_outcomes import JobCreated, JobKnown, JobNotStored, JobTooLarge
-from rackswitch.gateway.jobs.job_receiving import JobReceiving
 from rackswitch.gateway.jobs.job_records import OWNERS_PREFIX, JobMarker, key_part, marker_of
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.known_jobs import KnownJobs
@@ -22,16 +22,16 @@
 from rackswitch.gateway.jobs.owned_jobs import OwnedJobs
 from rackswitch.gateway.jobs.result_appender import ResultAppender
 from rackswitch.gateway.store.session import Session
-from rackswitch.jobs import Job, JobCheckpoint, JobOrphans
+from rackswitch.jobs import Job, JobCheckpoint, OrphanedJobs
 from rackswitch.peers import gateway_pb2 as pb
 
-__all__ = ["JobKeeper"]
+__all__ = ["JobManager"]
 
 TICK_SECONDS = 0.05
 """Longest pause between two looks at what may start."""
 
 
-class JobKeeper:
+class JobManager:
     """Owns jobs: starts their items, keeps their results, takes over and hands over.
 
     Parameters
@@ -44,7 +44,7 @@
         Jobs in the key-value service.
     runner : ItemRunner
         Runs items.
-    looks : LoadLooks
+    looks : LoadPoller
         Asks engines how full they are.
 
     Attributes
@@ -75,7 +75,7 @@
         session: Session,
         store: JobStore,
         runner: ItemRunner,
-        looks: LoadLooks,
+        looks: LoadPoller,
     ):
         self._looks = looks
         self._context = context
@@ -83,7 +83,7 @@
         self._store = store
         self._wake = asyncio.Event()
         self.known = KnownJobs()
-        orphans = JobOrphans(context.settings.daemon)
+        orphans = OrphanedJobs(context.settings.daemon)
         checkpoints = JobCheckpoints(context, store, self.known)
         jobs = OwnedJobs(context, checkpoints, self._wake)
         appender = ResultAppender(context, session, store, orphans, self._wake)
@@ -93,8 +93,8 @@
         self._appender = appender
         self._checkpoints = checkpoints
         self._claims = claims
-        self._giving = JobGiving(context, store, self.known, jobs, checkpoints, appender)
-        self._receiving = JobReceiving(context, claims, held, jobs, checkpoints)
+        self._giving = HandOverSender(context, store, self.known, jobs, checkpoints, appender)
+        self._receiving = HandOverReceiver(context, claims, held, jobs, checkpoints)
         self._jobs = jobs
 
     @property
--- a/rackswitch/gateway/jobs/job_placer.py
+++ b/rackswitch/gateway/jobs/job_placer.py
@@ -5,24 +5,24 @@
 import msgspec
 
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.jobs.job_keeper import JobKeeper
+from rackswitch.gateway.jobs.job_manager import JobManager
 from rackswitch.gateway.jobs.job_outcomes import JobCreated, JobKnown, JobNotStored, JobTooLarge
 from rackswitch.gateway.jobs.job_records import key_part, marker_of, pack_job, unpack_job
 from rackswitch.gateway.jobs.known_jobs import JobOwner
-from rackswitch.jobs import Job, OwnerCandidate, OwnerChoice, is_renewed
+from rackswitch.jobs import Job, OwnerCandidate, OwnerSelector, is_renewed
 from rackswitch.membership import MemberUpdate
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.peers.gateway_grpc import GatewayPeersStub
 from rackswitch.peers.links import PeerUnreachable
 from rackswitch.telemetry.events import JobPlaced
 
-__all__ = ["JobPlacer", "TakenJobs"]
+__all__ = ["AdoptedJobs", "JobPlacer"]
 
-TAKE_PATIENCE_SECONDS = 0.6
+TAKE_TIMEOUT_SECONDS = 0.6
 """How long another daemon may take to keep a job: two calls of a slow key-value service. One that
 is dead mostly refuses the connection at once."""
 
-MOST_PASSED_BYTES = 2_000_000
+MAX_PASSED_BYTES = 2_000_000
 """Larger jobs stay where they came: passing one on takes longer than it gains."""
 
 SubmitOutcome = JobCreated | JobKnown | JobTooLarge | JobNotStored
@@ -35,16 +35,16 @@
     ----------
     context : GatewayContext
         The daemon.
-    keeper : JobKeeper
+    keeper : JobManager
         The jobs owned here, and those that are known.
     """
 
     __slots__ = ("_choice", "_context", "_keeper")
 
-    def __init__(self, context: GatewayContext, keeper: JobKeeper):
+    def __init__(self, context: GatewayContext, keeper: JobManager):
         self._context = context
         self._keeper = keeper
-        self._choice = OwnerChoice(context.daemon_name)
+        self._choice = OwnerSelector(context.daemon_name)
 
     async def submit(self, job: Job) -> SubmitOutcome:
         """Have a new job kept.
@@ -71,7 +71,7 @@
         """Return who should own a job; this daemon while the service does not answer it.
 
         Others probably get no answer either. Asking one would hold the submitter for
-        `TAKE_PATIENCE_SECONDS`, and leave it without word of whether the job was taken.
+        `TAKE_TIMEOUT_SECONDS`, and leave it without word of whether the job was taken.
         """
         if not self._context.policy.jobs_gathered or self._context.contact.is_away:
             return self._context.daemon_name
@@ -114,14 +114,14 @@
     async def _pass_to(self, peer: MemberUpdate, job: Job) -> JobCreated | JobKnown | JobNotStored:
         """Have another daemon own a job."""
         packed = pack_job(job)
-        if len(packed) > MOST_PASSED_BYTES:
+        if len(packed) > MAX_PASSED_BYTES:
             return JobNotStored("too large to be passed on", effect_unknown=False)
         began_seconds = self._context.now_seconds()
         reply = await self._context.daemon.links.call(
             peer,
             lambda stub: stub.TakeJob,
             pb.TakeJobRequest(job=packed),
-            TAKE_PATIENCE_SECONDS,
+            TAKE_TIMEOUT_SECONDS,
             GatewayPeersStub,
         )
         now_seconds = self._context.now_seconds()
@@ -155,20 +155,20 @@
     return JobCreated(reply.owner_revision) if reply.owner_revision else JobKnown()
 
 
-class TakenJobs:
+class AdoptedJobs:
     """Owns jobs that other daemons accepted.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    keeper : JobKeeper
+    keeper : JobManager
         Takes jobs.
     """
 
     __slots__ = ("_context", "_keeper")
 
-    def __init__(self, context: GatewayContext, keeper: JobKeeper):
+    def __init__(self, context: GatewayContext, keeper: JobManager):
         self._context = context
         self._keeper = keeper
 
--- a/rackswitch/gateway/jobs/job_reader.py
+++ b/rackswitch/gateway/jobs/job_reader.py
@@ -7,7 +7,7 @@
 
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.jobs.job_keeper import JobKeeper
+from rackswitch.gateway.jobs.job_manager import JobManager
 from rackswitch.gateway.jobs.job_records import JobMarker, key_part, unpack_results
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.owned_job import OwnedJob
@@ -22,10 +22,10 @@
 POLL_SECONDS = 0.35
 """Between two reads of the service while a reader waits for results."""
 
-MOST_PAGE_CHARACTERS = 900_000
+MAX_PAGE_CHARACTERS = 900_000
 """Keeps a page of results below the platform's 1 MB."""
 
-MOST_CACHED_JOBS = 64
+MAX_CACHED_JOBS = 64
 
 OWNER_SLACK_SECONDS = 0.3
 """How much longer than a reader waits its owner may take; the service is asked then."""
@@ -66,7 +66,7 @@
     ----------
     context : GatewayContext
         The daemon.
-    keeper : JobKeeper
+    keeper : JobManager
         The jobs owned here, and the markers of all.
     store : JobStore
         Jobs in the key-value service.
@@ -77,7 +77,7 @@
     __slots__ = ("_cached", "_context", "_final", "_items", "_keeper", "_session", "_store")
 
     def __init__(
-        self, context: GatewayContext, keeper: JobKeeper, store: JobStore, session: Session
+        self, context: GatewayContext, keeper: JobManager, store: JobStore, session: Session
     ):
         self._context = context
         self._keeper = keeper
@@ -225,7 +225,7 @@
     def _remember(self, cache: dict, job_id: str, value: object) -> None:
         cache.pop(job_id, None)
         cache[job_id] = value
-        while len(cache) > MOST_CACHED_JOBS:
+        while len(cache) > MAX_CACHED_JOBS:
             oldest = next(iter(cache))
             del cache[oldest]
             if cache is self._cached:
@@ -238,7 +238,7 @@
     characters = 0
     for result in listed[position:]:
         characters += len(result.text)
-        if page and characters > MOST_PAGE_CHARACTERS:
+        if page and characters > MAX_PAGE_CHARACTERS:
             break
         page.append(result)
     return page
--- a/rackswitch/gateway/jobs/job_records.py
+++ b/rackswitch/gateway/jobs/job_records.py
@@ -86,7 +86,7 @@
     return "." + blake2b(identity.encode(), digest_size=16).hexdigest()
 
 
-async def pack_items(job: Job, most_value_bytes: int) -> list[bytes]:
+async def pack_items(job: Job, max_value_bytes: int) -> list[bytes]:
     """Return a job with its items, in chunks that a value may hold.
 
     Other work has its turn while a large job is compressed.
@@ -99,7 +99,7 @@
         await asyncio.sleep(0)
     parts.append(compressor.flush())
     packed = b"".join(parts)
-    chunk_bytes = int(most_value_bytes * VALUE_SHARE)
+    chunk_bytes = int(max_value_bytes * VALUE_SHARE)
     return [packed[start : start + chunk_bytes] for start in range(0, len(packed), chunk_bytes)]
 
 
--- a/rackswitch/gateway/jobs/job_store.py
+++ b/rackswitch/gateway/jobs/job_store.py
@@ -51,10 +51,10 @@
 
 __all__ = ["JobStore"]
 
-MOST_CHUNKS = 24
+MAX_CHUNKS = 24
 """A call takes 32 entries; some are for the marker, the owner and the conditions."""
 
-MOST_DELETIONS = 30
+MAX_DELETIONS = 30
 """Keys that one call deletes; it takes 32 entries."""
 
 
@@ -78,8 +78,8 @@
         """Keep a job and own it, in one write."""
         part_name = key_part(job.job_id)
         chunks = await pack_items(job, self._context.settings.kv_most_value_bytes)
-        if len(chunks) > MOST_CHUNKS:
-            return JobTooLarge(f"the job takes {len(chunks)} chunks, at most {MOST_CHUNKS} fit")
+        if len(chunks) > MAX_CHUNKS:
+            return JobTooLarge(f"the job takes {len(chunks)} chunks, at most {MAX_CHUNKS} fit")
         marker = marker_of(job)
         marker_key = JOBS_PREFIX + part_name
         operations = [
@@ -321,8 +321,8 @@
         return await self._delete(keys)
 
     async def _delete(self, keys: list[str]) -> KvUnavailable | None:
-        for start in range(0, len(keys), MOST_DELETIONS):
-            chosen = keys[start : start + MOST_DELETIONS]
+        for start in range(0, len(keys), MAX_DELETIONS):
+            chosen = keys[start : start + MAX_DELETIONS]
             part = TxnPart((), tuple(Operation(key, None) for key in chosen))
             done = await self._context.kv.txn([part])
             self._note(done)
--- a/rackswitch/gateway/jobs/owned_job.py
+++ b/rackswitch/gateway/jobs/owned_job.py
@@ -118,7 +118,7 @@
     ledger = JobLedger(
         job,
         listed,
-        most_failures=route.most_attempts,
+        max_failures=route.most_attempts,
         single_version=route.single_version,
     )
     return OwnedJob(
--- a/rackswitch/gateway/jobs/owned_jobs.py
+++ b/rackswitch/gateway/jobs/owned_jobs.py
@@ -7,8 +7,8 @@
 
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.jobs.job_checkpoints import JobCheckpoints
-from rackswitch.gateway.jobs.left_jobs import LeftJobs
 from rackswitch.gateway.jobs.owned_job import OwnedJob, new_owned_job
+from rackswitch.gateway.jobs.released_jobs import ReleasedJobs
 from rackswitch.jobs import Job, JobCheckpoint, JobResult
 from rackswitch.telemetry.events import JobDropped, JobOwned
 
@@ -41,7 +41,7 @@
         self._context = context
         self._checkpoints = checkpoints
         self._wake = wake
-        self._left = LeftJobs()
+        self._left = ReleasedJobs()
         self.by_id: dict[str, OwnedJob] = {}
         self.arriving: set[str] = set()
 
--- a/rackswitch/gateway/jobs/left_jobs.py
+++ b/rackswitch/gateway/jobs/released_jobs.py
@@ -5,7 +5,7 @@
 
 from rackswitch.jobs import JobCheckpoint
 
-__all__ = ["LeftJobs"]
+__all__ = ["ReleasedJobs"]
 
 LEFT_SECONDS = 3.0
 """How long the texts of a job are kept that another daemon was seen to own: that one asks for
@@ -40,7 +40,7 @@
         return bool(daemon) and (owner_revision, daemon) == (self.owner_revision, self.successor)
 
 
-class LeftJobs:
+class ReleasedJobs:
     """Keeps what was there of each left job until its new owner has had time to ask."""
 
     __slots__ = ("_left",)
--- a/rackswitch/gateway/jobs/result_appender.py
+++ b/rackswitch/gateway/jobs/result_appender.py
@@ -10,7 +10,7 @@
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.owned_job import OwnedJob
 from rackswitch.gateway.store.session import Session
-from rackswitch.jobs import JobOrphans, JobResult, listing_pause_seconds
+from rackswitch.jobs import JobResult, OrphanedJobs, listing_pause_seconds
 from rackswitch.telemetry.events import ResultsAppended
 
 __all__ = ["ResultAppender"]
@@ -30,7 +30,7 @@
         Whether this daemon can be sure that it owns what it owns.
     store : JobStore
         Jobs in the key-value service.
-    orphans : JobOrphans
+    orphans : OrphanedJobs
         Told of a job whose owner this daemon turns out not to be.
     wake : asyncio.Event
         Set after each try.
@@ -43,7 +43,7 @@
         context: GatewayContext,
         session: Session,
         store: JobStore,
-        orphans: JobOrphans,
+        orphans: OrphanedJobs,
         wake: asyncio.Event,
     ):
         self._session = session
--- a/rackswitch/gateway/jobs/tests/hand_over_fleet.py
+++ b/rackswitch/gateway/jobs/tests/hand_over_fleet.py
@@ -29,7 +29,7 @@
         self.pieces = pieces
         self.made: dict[str, list[tuple[int, float, str]]] = defaultdict(list)
         self.running: dict[str, int] = defaultdict(int)
-        self.most_at_once = 0
+        self.max_at_once = 0
 
     def made_again(self) -> int:
         """Return how many pieces were made more than once."""
@@ -58,7 +58,7 @@
         item_id = progress.item.item_id
         engines = self._steady
         engines.running[item_id] += 1
-        engines.most_at_once = max(engines.most_at_once, engines.running[item_id])
+        engines.max_at_once = max(engines.max_at_once, engines.running[item_id])
         try:
             while progress.last_number < engines.pieces:
                 await asyncio.sleep(PIECE_SECONDS)
--- a/rackswitch/gateway/jobs/tests/long_run.py
+++ b/rackswitch/gateway/jobs/tests/long_run.py
@@ -11,7 +11,7 @@
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.items.item_runner import ItemRunner
-from rackswitch.gateway.jobs.job_keeper import JobKeeper
+from rackswitch.gateway.jobs.job_manager import JobManager
 from rackswitch.gateway.jobs.job_outcomes import Appended, JobCreated, JobKnown, JobNotStored
 from rackswitch.gateway.jobs.job_records import (
     JOBS_PREFIX,
@@ -21,9 +21,9 @@
     pack_results,
 )
 from rackswitch.gateway.jobs.job_store import JobStore
-from rackswitch.gateway.store.copies import PrefixCopy
 from rackswitch.gateway.store.member_entries import MEMBERS_PREFIX, decode_member, vm_entry
 from rackswitch.gateway.store.presence import Presence
+from rackswitch.gateway.store.replicas import PrefixReplica
 from rackswitch.gateway.store.session import Session
 from rackswitch.gateway.tests.support import (
     NoLooks,
@@ -215,8 +215,8 @@
         )
         runner = (runner_kind or RandomRunner)(self.context, rng)
         store = store_kind(self.context)
-        self.keeper = JobKeeper(self.context, self.session, store, runner, NoLooks())
-        self._copy = PrefixCopy(CONTROL)
+        self.keeper = JobManager(self.context, self.session, store, runner, NoLooks())
+        self._copy = PrefixReplica(CONTROL)
         self._members: dict[str, object] = {}
 
     def start(self) -> None:
--- a/rackswitch/gateway/jobs/tests/test_hand_over.py
+++ b/rackswitch/gateway/jobs/tests/test_hand_over.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rackswitch.daemon.tests.support import run_virtual
-from rackswitch.gateway.jobs.job_checkpoints import LEAST_CHECKPOINT_PIECES
+from rackswitch.gateway.jobs.job_checkpoints import MIN_CHECKPOINT_PIECES
 from rackswitch.gateway.jobs.job_outcomes import JobCreated
 from rackswitch.gateway.jobs.job_reader import JobReader
 from rackswitch.gateway.jobs.job_records import (
@@ -20,7 +20,7 @@
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.peers.links import PeerUnreachable
 
-MOST_PAUSE_SECONDS = 0.3
+MAX_PAUSE_SECONDS = 0.3
 
 
 def play(scenario, **sizes):
@@ -48,7 +48,7 @@
         for job in jobs:
             await fleet.wait_whole(job)
         assert fleet.engines.made_again() == 0
-        assert fleet.engines.longest_pause_seconds() <= MOST_PAUSE_SECONDS
+        assert fleet.engines.longest_pause_seconds() <= MAX_PAUSE_SECONDS
 
     play(scenario)
 
@@ -63,7 +63,7 @@
             fleet.start(name)
         await fleet.wait_whole(job)
         assert fleet.engines.made_again() == 0
-        assert fleet.engines.longest_pause_seconds() <= MOST_PAUSE_SECONDS
+        assert fleet.engines.longest_pause_seconds() <= MAX_PAUSE_SECONDS
 
     play(scenario, names="abcd")
 
@@ -152,7 +152,7 @@
         assert fleet.owners() == [worker]
         assert len(await fleet.listed()) == len(job.items)
         assert fleet.engines.made_again() == 0
-        assert fleet.engines.longest_pause_seconds() <= MOST_PAUSE_SECONDS
+        assert fleet.engines.longest_pause_seconds() <= MAX_PAUSE_SECONDS
 
     play(scenario)
 
@@ -216,7 +216,7 @@
         fleet.silence(False)
         await fleet.wait_whole(job)
         assert fleet.engines.made_again() == 0
-        assert fleet.engines.most_at_once == 1
+        assert fleet.engines.max_at_once == 1
 
     play(scenario)
 
@@ -470,7 +470,7 @@
         assert fleet.kv.keys["control/owners/j"].entry.mod_revision > former
         assert "control/owners/j" not in [key for key, _ in fleet.kv.deleted[deleted:]]
         progress = fleet.nodes["a"].keeper.owned["j"].ledger.items.values()
-        assert min(item.last_number for item in progress) >= LEAST_CHECKPOINT_PIECES
+        assert min(item.last_number for item in progress) >= MIN_CHECKPOINT_PIECES
         await fleet.wait_whole(job)
 
     play(scenario)
--- a/rackswitch/gateway/jobs/tests/test_job_keeper.py
+++ b/rackswitch/gateway/jobs/tests/test_job_manager.py
@@ -6,7 +6,7 @@
 from rackswitch.daemon.tests.support import run_virtual
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.jobs.job_claims import ADOPT_AFTER_SECONDS
-from rackswitch.gateway.jobs.job_keeper import JobKeeper
+from rackswitch.gateway.jobs.job_manager import JobManager
 from rackswitch.gateway.jobs.job_outcomes import JobCreated, JobNotStored
 from rackswitch.gateway.jobs.job_records import OWNERS_PREFIX
 from rackswitch.gateway.jobs.job_store import JobStore
@@ -14,24 +14,24 @@
 from rackswitch.gateway.store.session import Session
 from rackswitch.gateway.tests.support import NoLooks, make_gateway_context
 from rackswitch.jobs import Job
-from rackswitch.jobs.orphans import RANK_PAUSE_SECONDS
+from rackswitch.jobs.orphaned_jobs import RANK_PAUSE_SECONDS
 from rackswitch.jobs.tests.support import make_job
 from rackswitch.standins.kv_store import KvStore
 
 
-def make_keeper(name: str, kv: KvStore) -> JobKeeper:
+def make_keeper(name: str, kv: KvStore) -> JobManager:
     context = make_gateway_context(name, kv)
     session = Session(context, lambda: None, lambda: True)
     session.lease.taken(0.0, kv.grant(1000.0, 0.0), 1000.0)
     session._own_leases.add(session.lease_id)
-    return JobKeeper(context, session, JobStore(context), runner=None, looks=NoLooks())
+    return JobManager(context, session, JobStore(context), runner=None, looks=NoLooks())
 
 
 def owner_entry(kv: KvStore) -> KvEntry:
     return kv.keys[OWNERS_PREFIX + "j"].entry
 
 
-async def tell(keeper: JobKeeper, kv: KvStore) -> None:
+async def tell(keeper: JobManager, kv: KvStore) -> None:
     for entry in kv.read("control/", is_prefix=True).entries:
         if entry.key.startswith(OWNERS_PREFIX):
             keeper.owner_put(entry)
--- a/rackswitch/gateway/jobs/tests/test_job_placer.py
+++ b/rackswitch/gateway/jobs/tests/test_job_placer.py
@@ -6,10 +6,10 @@
 
 from rackswitch.daemon.tests.support import run_virtual
 from rackswitch.gateway.jobs.job_outcomes import JobCreated, JobKnown, JobNotStored
-from rackswitch.gateway.jobs.job_placer import JobPlacer, TakenJobs
+from rackswitch.gateway.jobs.job_placer import AdoptedJobs, JobPlacer
 from rackswitch.gateway.jobs.job_records import marker_of, pack_job
 from rackswitch.gateway.jobs.known_jobs import JobOwner
-from rackswitch.gateway.jobs.tests.test_job_keeper import make_keeper
+from rackswitch.gateway.jobs.tests.test_job_manager import make_keeper
 from rackswitch.gateway.policy import PolicySettings
 from rackswitch.gateway.tests.path import check_whole, play, wait_for
 from rackswitch.gateway.tests.support import make_member
@@ -77,7 +77,7 @@
 def test_a_job_that_the_other_daemon_kept_without_a_word_is_kept_once():
     async def scenario():
         kv = KvStore()
-        taken = TakenJobs(make_keeper("b", kv)._context, make_keeper("b", kv))
+        taken = AdoptedJobs(make_keeper("b", kv)._context, make_keeper("b", kv))
         links = FixedLinks(PeerUnreachable("its answer was lost"), taken.take)
         placer = make_placer(kv, links)
         assert await placer.submit(make_job()) == JobKnown()
@@ -125,7 +125,7 @@
     async def scenario():
         keeper = make_keeper("b", KvStore())
         keeper._context.daemon.kv.faults.delay_seconds = 0.2
-        taken = TakenJobs(keeper._context, keeper)
+        taken = AdoptedJobs(keeper._context, keeper)
         asked = asyncio.create_task(taken.take(pb.TakeJobRequest(job=pack_job(make_job()))))
         await asyncio.sleep(0.05)
         asked.cancel()
@@ -161,7 +161,7 @@
 def test_what_is_no_job_is_not_taken():
     async def scenario():
         keeper = make_keeper("b", KvStore())
-        taken = TakenJobs(keeper._context, keeper)
+        taken = AdoptedJobs(keeper._context, keeper)
         reply = await taken.take(pb.TakeJobRequest(job=b"\xff\x00"))
         assert not reply.kept
         assert "`job`" in reply.detail
--- a/rackswitch/gateway/jobs/tests/test_path_jobs.py
+++ b/rackswitch/gateway/jobs/tests/test_path_jobs.py
@@ -176,7 +176,7 @@
         await stopping
 
     # Only a daemon that waits for nobody claims within the test's time.
-    monkeypatch.setattr("rackswitch.jobs.orphans.RANK_PAUSE_SECONDS", 1000.0)
+    monkeypatch.setattr("rackswitch.jobs.orphaned_jobs.RANK_PAUSE_SECONDS", 1000.0)
     play(scenario)
 
 
@@ -190,7 +190,7 @@
         await wait_for(lambda: any("j1" in g.jobs.owned for g in fleet.gateways.values()))
 
     # Only a daemon that waits for nobody claims within the test's time.
-    monkeypatch.setattr("rackswitch.jobs.orphans.RANK_PAUSE_SECONDS", 1000.0)
+    monkeypatch.setattr("rackswitch.jobs.orphaned_jobs.RANK_PAUSE_SECONDS", 1000.0)
     play(scenario)
 
 
--- a/rackswitch/gateway/jobs/tests/test_unsettled_appends.py
+++ b/rackswitch/gateway/jobs/tests/test_unsettled_appends.py
@@ -5,7 +5,7 @@
 from rackswitch.daemon.tests.support import run_virtual
 from rackswitch.gateway.jobs.job_outcomes import JobNotStored
 from rackswitch.gateway.jobs.job_store import JobStore
-from rackswitch.gateway.jobs.tests.test_job_keeper import make_keeper, tell
+from rackswitch.gateway.jobs.tests.test_job_manager import make_keeper, tell
 from rackswitch.gateway.tests.path import play, wait_for
 from rackswitch.jobs import JobResult
 from rackswitch.jobs.tests.support import make_job
--- a/rackswitch/gateway/listeners.py
+++ b/rackswitch/gateway/listeners.py
@@ -5,29 +5,29 @@
 
 import msgspec
 
-from rackswitch.gateway.beliefs import Beliefs
-from rackswitch.gateway.callers.edge import CallerEdge
+from rackswitch.gateway.callers.caller_handler import CallerHandler
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.store.watching import CopyKeeper
+from rackswitch.gateway.daemon_snapshot import DaemonSnapshot
+from rackswitch.gateway.store.watching import ReplicaManager
 from rackswitch.platform.settings import METRICS_PATH
 from rackswitch.web import WebServer
 from rackswitch.web.exchange import Exchange
 
-__all__ = ["OwnPages", "listeners"]
+__all__ = ["StatusPages", "listeners"]
 
 
 STATUS_PATH = "/status"
 JSON = (("content-type", "application/json"),)
 
 
-class OwnPages:
+class StatusPages:
     """What a daemon tells about itself.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    copies : CopyKeeper
+    copies : ReplicaManager
         Whether the key-value service has been read.
     beliefs : callable
         Returns what the daemon believes now.
@@ -35,7 +35,9 @@
 
     __slots__ = ("_beliefs", "_context", "_copies")
 
-    def __init__(self, context: GatewayContext, copies: CopyKeeper, beliefs: Callable[[], Beliefs]):
+    def __init__(
+        self, context: GatewayContext, copies: ReplicaManager, beliefs: Callable[[], DaemonSnapshot]
+    ):
         self._context = context
         self._copies = copies
         self._beliefs = beliefs
@@ -58,7 +60,7 @@
         await exchange.respond(200, (("content-type", "text/plain; version=0.0.4"),), figures)
 
 
-def listeners(context: GatewayContext, edge: CallerEdge, pages: OwnPages) -> list[WebServer]:
+def listeners(context: GatewayContext, edge: CallerHandler, pages: StatusPages) -> list[WebServer]:
     """Return the servers of a daemon, not started yet; the callers' is the first."""
     settings = context.settings
     servers = []
--- a/rackswitch/gateway/peer_service.py
+++ b/rackswitch/gateway/peer_service.py
@@ -6,13 +6,13 @@
 
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.duties.usage_service import UsageService
-from rackswitch.gateway.jobs.job_keeper import JobKeeper
-from rackswitch.gateway.jobs.job_placer import TakenJobs
+from rackswitch.gateway.jobs.job_manager import JobManager
+from rackswitch.gateway.jobs.job_placer import AdoptedJobs
 from rackswitch.gateway.jobs.job_reader import JobReader, ResultsPage
 from rackswitch.gateway.jobs.job_records import pack_checkpoint, pack_results
-from rackswitch.gateway.quarantine.quarantine_keeper import QuarantineKeeper
-from rackswitch.gateway.store.copy_server import CopyServer
-from rackswitch.gateway.store.store_relay import PassedOnCalls
+from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
+from rackswitch.gateway.store.replica_server import ReplicaServer
+from rackswitch.gateway.store.store_relay import ForwardedCalls
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.peers.gateway_grpc import GatewayPeersBase
 
@@ -26,32 +26,32 @@
     ----------
     context : GatewayContext
         The daemon.
-    copies : CopyServer
+    copies : ReplicaServer
         What followers ask for.
     reader : JobReader
         Results of the jobs owned here.
-    jobs : JobKeeper
+    jobs : JobManager
         The jobs themselves.
-    passed_on : PassedOnCalls
+    passed_on : ForwardedCalls
         Calls to the key-value service for daemons that cannot reach it.
-    taken : TakenJobs
+    taken : AdoptedJobs
         Jobs that other daemons accepted.
     usage : UsageService
         What was counted of tenants' requests.
-    quarantine : QuarantineKeeper
+    quarantine : QuarantineManager
         Told of targets that ended.
     """
 
     def __init__(
         self,
         context: GatewayContext,
-        copies: CopyServer,
+        copies: ReplicaServer,
         reader: JobReader,
-        jobs: JobKeeper,
-        passed_on: PassedOnCalls,
-        taken: TakenJobs,
+        jobs: JobManager,
+        passed_on: ForwardedCalls,
+        taken: AdoptedJobs,
         usage: UsageService,
-        quarantine: QuarantineKeeper,
+        quarantine: QuarantineManager,
     ):
         self._quarantine = quarantine
         self._usage = usage
--- a/rackswitch/gateway/place_lines.py
+++ b/rackswitch/gateway/placement_log.py
@@ -3,19 +3,19 @@
 import math
 
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.routing import Place, WorkKind
+from rackswitch.routing import TargetEstimate, WorkKind
 from rackswitch.telemetry.events import PlaceSeen
 
-__all__ = ["place_seen"]
+__all__ = ["placement_event"]
 
 
-def place_seen(
-    context: GatewayContext, place: Place | None, service: str, kind: WorkKind
+def placement_event(
+    context: GatewayContext, place: TargetEstimate | None, service: str, kind: WorkKind
 ) -> PlaceSeen | None:
     """Return the inputs of a choice for its log line; None if they did not decide."""
     if place is None or not context.places_by_load(service):
         return None
-    run_seconds = context.picture.usual_run_seconds(service, kind)
+    run_seconds = context.load_estimator.usual_run_seconds(service, kind)
     has_word = math.isfinite(place.word_age_seconds)
     return PlaceSeen(
         slots=place.slots,
--- a/rackswitch/gateway/quarantine/end_watch.py
+++ b/rackswitch/gateway/quarantine/end_detector.py
@@ -5,17 +5,17 @@
 
 from rackswitch.clients.probe import look_at
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.quarantine import LOOK_PAUSE_SECONDS, EndEvidence, Inquiries, TargetEnd
+from rackswitch.quarantine import LOOK_PAUSE_SECONDS, EndEvidence, EndInvestigations, TargetEnd
 from rackswitch.routing import ListedTarget
 from rackswitch.telemetry.events import TargetEnded
 
-__all__ = ["EndWatch"]
+__all__ = ["EndDetector"]
 
 LOOK_TIMEOUT_SECONDS = 0.5
 """A new connection takes 1 ms and two network delays; a lost packet is sent again after 1 s."""
 
 
-class EndWatch:
+class EndDetector:
     """Finds out which targets have ended under runs of this daemon.
 
     Parameters
@@ -31,7 +31,7 @@
     def __init__(self, context: GatewayContext, on_ended: Callable[[TargetEnd], None]):
         self._context = context
         self._on_ended = on_ended
-        self.inquiries = Inquiries()
+        self.inquiries = EndInvestigations()
         self.resolved = asyncio.Event()
         """Set when an inquiry is over, and replaced then."""
 
--- a/rackswitch/gateway/quarantine/end_teller.py
+++ b/rackswitch/gateway/quarantine/end_reporter.py
@@ -18,10 +18,10 @@
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.peers.gateway_grpc import GatewayPeersStub
 from rackswitch.peers.links import PeerUnreachable
-from rackswitch.quarantine import EndRecord, OwnEnds
+from rackswitch.quarantine import EndRecord, LocalEnds
 from rackswitch.telemetry.events import EndsTold
 
-__all__ = ["ENDS_PREFIX", "EndTeller", "Urgency"]
+__all__ = ["ENDS_PREFIX", "EndReporter", "Urgency"]
 
 ENDS_PREFIX = "control/ends/"
 
@@ -34,13 +34,13 @@
 elsewhere meanwhile, a call within some 0.05 s, and need never be told of. With 0.4 s until an end
 is known and 0.2 s until all have heard, that leaves half of the 3 s that a request may go on."""
 
-SERVICE_PATIENCE_SECONDS = 0.3
+SERVICE_TIMEOUT_SECONDS = 0.3
 """How long the service may take before the others are told directly; it answers in some 10 ms."""
 
 RETRY_SECONDS = 0.5
 """Between tries to write the record; up to twice that, so that many daemons' tries spread."""
 
-PEER_PATIENCE_SECONDS = 0.5
+PEER_TIMEOUT_SECONDS = 0.5
 
 PEERS_AT_ONCE = 32
 
@@ -53,14 +53,14 @@
     WITH_THE_NEXT = "with the next"
 
 
-class EndTeller:
+class EndReporter:
     """Keeps this daemon's record of ends where all daemons see it.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    own : OwnEnds
+    own : LocalEnds
         What there is to tell.
     may_write : callable
         Whether the record of an earlier process of this daemon is known, if there was one.
@@ -83,7 +83,7 @@
     def __init__(
         self,
         context: GatewayContext,
-        own: OwnEnds,
+        own: LocalEnds,
         may_write: Callable[[], bool],
         on_record: Callable[[EndRecord], None],
     ):
@@ -164,7 +164,7 @@
             return
         number = self._number
         writing = asyncio.create_task(self._write())
-        await asyncio.wait((writing,), timeout=SERVICE_PATIENCE_SECONDS)
+        await asyncio.wait((writing,), timeout=SERVICE_TIMEOUT_SECONDS)
         told_directly = 0
         if not writing.done() or not writing.result():
             told_directly = await self._tell_peers()
@@ -223,7 +223,7 @@
                     peer,
                     lambda stub: stub.TellEnds,
                     request,
-                    PEER_PATIENCE_SECONDS,
+                    PEER_TIMEOUT_SECONDS,
                     GatewayPeersStub,
                 )
             return not isinstance(reply, PeerUnreachable)
--- a/rackswitch/gateway/quarantine/quarantine_keeper.py
+++ b/rackswitch/gateway/quarantine/quarantine_manager.py
@@ -8,15 +8,15 @@
 
 from rackswitch.clients.kv import Compare, KvEntry, KvUnavailable, Operation, TxnPart
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.quarantine.end_teller import ENDS_PREFIX, EndTeller, Urgency
-from rackswitch.gateway.quarantine.end_watch import EndWatch
+from rackswitch.gateway.quarantine.end_detector import EndDetector
+from rackswitch.gateway.quarantine.end_reporter import ENDS_PREFIX, EndReporter, Urgency
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.quarantine import (
     EndRecord,
     Evidence,
-    Free,
     HeldBack,
-    OwnEnds,
+    LocalEnds,
+    NotSuspected,
     Paced,
     Suspicion,
     TargetEnd,
@@ -27,7 +27,7 @@
 from rackswitch.routing import ListedTarget
 from rackswitch.telemetry.events import RequestAcquitted, RequestHeldBack, TrialClaimed
 
-__all__ = ["TRIALS_PREFIX", "QuarantineKeeper", "RequestHeld"]
+__all__ = ["TRIALS_PREFIX", "QuarantineManager", "RequestHeld"]
 
 TRIALS_PREFIX = "control/trials/"
 
@@ -38,7 +38,7 @@
 PACED_PAUSE_SECONDS = 0.2
 """When to come back if it was not known in time what became of other targets."""
 
-MOST_GIVEN_BACK = 256
+MAX_GIVEN_BACK = 256
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
     revision: int
 
 
-class QuarantineKeeper:
+class QuarantineManager:
     """Asked before each send of a request, and told how each ended.
 
     Parameters
@@ -73,7 +73,7 @@
 
     Attributes
     ----------
-    watch : EndWatch
+    watch : EndDetector
         Finds out which targets have ended.
     """
 
@@ -94,9 +94,9 @@
         self._trials: dict[str, _Trials] = {}
         self._given_back: set[str] = set()
         self._copies_complete = copies_complete
-        self._own = OwnEnds()
-        self._teller = EndTeller(context, self._own, copies_complete, self._take_own)
-        self.watch = EndWatch(context, self._ended)
+        self._own = LocalEnds()
+        self._teller = EndReporter(context, self._own, copies_complete, self._take_own)
+        self.watch = EndDetector(context, self._ended)
 
     @property
     def knows_any(self) -> bool:
@@ -170,7 +170,7 @@
         while True:
             now_unix_seconds = self._context.unix_seconds()
             verdict = judge(self._suspicion(fingerprint), now_unix_seconds)
-            if isinstance(verdict, Free):
+            if isinstance(verdict, NotSuspected):
                 return None
             if isinstance(verdict, Paced):
                 if not await self._waited(deadline_seconds):
@@ -201,7 +201,7 @@
         if not ends and not is_on_trial:
             return
         # On a second end hangs whether this one is sent, and who else is left to blame.
-        is_suspected = self._evidence.most_suspected_beside(fingerprint) > 1
+        is_suspected = self._evidence.max_suspected_beside(fingerprint) > 1
         told_by_others = self._evidence.targets_told_by_others(
             fingerprint, self._context.daemon_name
         )
@@ -216,7 +216,7 @@
         if not self._trials:
             return
         fingerprint = fingerprint_of()
-        if fingerprint in self._trials and len(self._given_back) < MOST_GIVEN_BACK:
+        if fingerprint in self._trials and len(self._given_back) < MAX_GIVEN_BACK:
             self._given_back.add(fingerprint)
 
     def _suspicion(self, fingerprint: str) -> Suspicion:
--- a/rackswitch/gateway/quarantine/tests/quarantine_run.py
+++ b/rackswitch/gateway/quarantine/tests/quarantine_run.py
@@ -11,13 +11,13 @@
 
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.quarantine.end_teller import ENDS_PREFIX
-from rackswitch.gateway.quarantine.quarantine_keeper import TRIALS_PREFIX, QuarantineKeeper
-from rackswitch.gateway.store.copies import PrefixCopy
+from rackswitch.gateway.quarantine.end_reporter import ENDS_PREFIX
+from rackswitch.gateway.quarantine.quarantine_manager import TRIALS_PREFIX, QuarantineManager
 from rackswitch.gateway.store.member_entries import vm_entry
+from rackswitch.gateway.store.replicas import PrefixReplica
 from rackswitch.gateway.tests.support import break_at_random, make_gateway_context, make_member
 from rackswitch.peers.links import PeerUnreachable
-from rackswitch.quarantine import Look
+from rackswitch.quarantine import ProbeOutcome
 from rackswitch.routing import ListedTarget
 from rackswitch.standins.faulty_kv import KvFaults
 from rackswitch.standins.kv_store import KvStore
@@ -28,8 +28,8 @@
 TARGETS = 5
 CONTACT_SECONDS = 3.0
 COPY_SECONDS = 0.1
-MOST_ATTEMPTS = 2
-PATIENCE_SECONDS = 40.0
+MAX_ATTEMPTS = 2
+TIMEOUT_SECONDS = 40.0
 """Healthy requests are items of a job here: they wait that long."""
 FAULTS = ("cut", "outage", "crash", "crash all", "slow")
 CALM_SECONDS = (1.0, 6.0)
@@ -88,7 +88,7 @@
         self.is_cut = False
         self.disrupted_seconds = self.context.now_seconds()
         self.quarantine = run.keeper_kind(self.context, lambda: self._copy.revision > 0)
-        self._copy = PrefixCopy(CONTROL)
+        self._copy = PrefixReplica(CONTROL)
         members = [vm_entry(other, make_member()) for other in NAMES]
         self.context.daemon.membership.learn_listed(members, self.context.now_seconds())
         for target in run.targets:
@@ -106,7 +106,7 @@
 
     def _take(self, read) -> None:
         before = dict(self._copy.entries)
-        news = PrefixCopy(CONTROL, entries=before).replace(read.entries, read.revision)
+        news = PrefixReplica(CONTROL, entries=before).replace(read.entries, read.revision)
         for entry in news.entries:
             if entry.key.startswith(ENDS_PREFIX):
                 self.quarantine.record_put(entry)
@@ -154,7 +154,7 @@
 class QuarantineRun:
     """One seeded run; `sends` and `unserved` are what is judged."""
 
-    def __init__(self, seed: int, keeper_kind: type = QuarantineKeeper):
+    def __init__(self, seed: int, keeper_kind: type = QuarantineManager):
         self.rng = random.Random(seed)
         self.keeper_kind = keeper_kind
         self.store = KvStore()
@@ -170,7 +170,7 @@
 
     async def play(self, seconds: float) -> None:
         with (
-            patch("rackswitch.gateway.quarantine.end_watch.look_at", self._look),
+            patch("rackswitch.gateway.quarantine.end_detector.look_at", self._look),
             patch.object(
                 GatewayContext, "unix_seconds", lambda ctx: BASE_UNIX_SECONDS + ctx.now_seconds()
             ),
@@ -230,9 +230,9 @@
         for node in self.nodes.values():
             node.context.directory.put(target.listed())
 
-    async def _look(self, host: str, port: int, timeout_seconds: float) -> Look:
+    async def _look(self, host: str, port: int, timeout_seconds: float) -> ProbeOutcome:
         await asyncio.sleep(0.005)
-        return Look.ANSWERED if self.targets[port].is_up else Look.REFUSED
+        return ProbeOutcome.ANSWERED if self.targets[port].is_up else ProbeOutcome.REFUSED
 
     async def _ending_caller(self) -> None:
         while True:
@@ -241,7 +241,7 @@
 
     async def _ending_request(self, name: str) -> None:
         node, tried = self.nodes[name], set()
-        for _ in range(MOST_ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             if not node.serves or self.nodes[name] is not node:
                 return
             if await node.send(ENDING, 0.1, tried) in ("held", "not there"):
@@ -258,7 +258,7 @@
         work_seconds = self.rng.choice((0.05, 0.5, 2.0))
         tried: set[int] = set()
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 while True:
                     node = self.nodes[self.rng.choice(NAMES)]
                     if (
--- a/rackswitch/gateway/quarantine/tests/test_path_quarantine.py
+++ b/rackswitch/gateway/quarantine/tests/test_path_quarantine.py
@@ -25,7 +25,7 @@
 
 ENDING_BODY = b"ends whoever runs it"
 
-MOST_SENDS_AFTERWARDS = 3
+MAX_SENDS_AFTERWARDS = 3
 """Users bear so many more runs of a request once it has ended three targets and all had time to
 hear of it."""
 
@@ -76,7 +76,7 @@
         await asyncio.sleep(TIME_TO_HEAR_SECONDS)
         before = runs(fleet.services)
         answers = await come_back(fleet, fleet.services, 8)
-        assert runs(fleet.services) - before <= MOST_SENDS_AFTERWARDS
+        assert runs(fleet.services) - before <= MAX_SENDS_AFTERWARDS
         # Held back is said truly and at once, with a time to come back.
         assert all(status in (502, 503) for status, _ in answers)
         status, headers = answers[-1]
@@ -97,7 +97,7 @@
         await asyncio.sleep(TIME_TO_HEAR_SECONDS)
         before = runs(fleet.services)
         await come_back(fleet, fleet.services, 6)
-        assert runs(fleet.services) - before <= MOST_SENDS_AFTERWARDS
+        assert runs(fleet.services) - before <= MAX_SENDS_AFTERWARDS
 
     play(scenario, daemons=2, services=2)
 
@@ -164,7 +164,7 @@
             while len(results) < 5:
                 results += (await fleet.read("d1", "j1", len(results), 500)).results
         await asyncio.sleep(2.0)
-        assert ends(fleet.engines) - before <= MOST_SENDS_AFTERWARDS
+        assert ends(fleet.engines) - before <= MAX_SENDS_AFTERWARDS
         check_whole_but(results, [30, 77, 25, 40, 35, 20], 1)
 
     play(scenario, engines=4)
--- a/rackswitch/gateway/quarantine/tests/test_quarantine_runs.py
+++ b/rackswitch/gateway/quarantine/tests/test_quarantine_runs.py
@@ -7,14 +7,14 @@
 import pytest
 
 from rackswitch.daemon.tests.support import run_virtual
-from rackswitch.gateway.quarantine.quarantine_keeper import QuarantineKeeper
+from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
 from rackswitch.gateway.quarantine.tests.quarantine_run import QuarantineRun
-from rackswitch.quarantine.verdicts import ENDS_TO_HOLD, MOST_TRIALS
+from rackswitch.quarantine.verdicts import ENDS_TO_HOLD, MAX_TRIALS
 
 SECONDS = 90.0
 
 
-class Forgetful(QuarantineKeeper):
+class Forgetful(QuarantineManager):
     """Keeps what it knows of ends and of trials to itself."""
 
     async def run(self):
@@ -27,7 +27,7 @@
         return True
 
 
-class Harsh(QuarantineKeeper):
+class Harsh(QuarantineManager):
     """Holds back whatever was present at one end, and sends it on no trial."""
 
     def _suspicion(self, fingerprint):
@@ -41,7 +41,7 @@
 IS_ASKED_FIRST = ContextVar("is_asked_first", default=False)
 
 
-class AskedTwice(QuarantineKeeper):
+class AskedTwice(QuarantineManager):
     """Asked without a claim first, as for calls that still have to find room.
 
     Attributes
@@ -63,7 +63,7 @@
         return await super()._claim(fingerprint, due)
 
 
-def played(seed, kind=QuarantineKeeper):
+def played(seed, kind=QuarantineManager):
     run = QuarantineRun(seed, kind)
     run_virtual(run.play(SECONDS))
     return run
@@ -73,7 +73,7 @@
 def test_what_ends_targets_is_held_back_and_all_else_is_served(seed):
     run = played(seed)
     assert len(run.ends_under_it) >= 3
-    assert run.late_sends() <= MOST_TRIALS
+    assert run.late_sends() <= MAX_TRIALS
     assert run.served > 100
     assert run.unserved == []
 
@@ -82,14 +82,14 @@
     AskedTwice.claims.clear()
     for seed in range(3):
         run = played(seed, AskedTwice)
-        assert run.late_sends() <= MOST_TRIALS
+        assert run.late_sends() <= MAX_TRIALS
         assert run.unserved == []
     assert AskedTwice.claims
     assert not any(AskedTwice.claims)
 
 
 def test_daemons_that_tell_each_other_nothing_are_found_out():
-    assert any(played(seed, Forgetful).late_sends() > MOST_TRIALS for seed in range(3))
+    assert any(played(seed, Forgetful).late_sends() > MAX_TRIALS for seed in range(3))
 
 
 def test_holding_back_whatever_was_present_is_found_out():
--- a/rackswitch/gateway/store/control_entries.py
+++ b/rackswitch/gateway/store/control_entries.py
@@ -3,18 +3,18 @@
 import msgspec
 
 from rackswitch.clients.kv import KvEntry
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.duties.duty_turn import DUTIES_KEY, note_record
-from rackswitch.gateway.jobs.job_keeper import JobKeeper
+from rackswitch.gateway.jobs.job_manager import JobManager
 from rackswitch.gateway.jobs.job_records import JOBS_PREFIX, OWNERS_PREFIX
-from rackswitch.gateway.quarantine.end_teller import ENDS_PREFIX
-from rackswitch.gateway.quarantine.quarantine_keeper import TRIALS_PREFIX, QuarantineKeeper
-from rackswitch.gateway.store.copy_set import CopyHandlers
+from rackswitch.gateway.quarantine.end_reporter import ENDS_PREFIX
+from rackswitch.gateway.quarantine.quarantine_manager import TRIALS_PREFIX, QuarantineManager
 from rackswitch.gateway.store.member_entries import MEMBERS_PREFIX, decode_member, vm_entry
+from rackswitch.gateway.store.replica_set import ReplicaHandlers
 from rackswitch.gateway.store.role_entries import ROLES_PREFIX, RoleEntries
-from rackswitch.gateway.turns import TurnKeeper
-from rackswitch.gateway.versions.version_keeper import ORDERS_PREFIX, VersionKeeper
+from rackswitch.gateway.turns import TurnManager
+from rackswitch.gateway.versions.version_manager import ORDERS_PREFIX, VersionManager
 from rackswitch.membership import VmEntry
 from rackswitch.telemetry.events import EntryUnreadable
 
@@ -32,17 +32,17 @@
     ----------
     context : GatewayContext
         The daemon, whose membership learns of members.
-    jobs : JobKeeper
+    jobs : JobManager
         Told of jobs and their owners.
-    versions : VersionKeeper
+    versions : VersionManager
         Told of the records of orders.
     roles : RoleEntries
         Told which roles have a holder.
-    keeper : RoleKeeper
+    keeper : RoleManager
         Told of holders, of whom an earlier process of this daemon may be one.
-    duty_turns : TurnKeeper
+    duty_turns : TurnManager
         Told who calls the operators' API.
-    quarantine : QuarantineKeeper
+    quarantine : QuarantineManager
         Told of targets that ended, and of requests on trial.
     """
 
@@ -61,12 +61,12 @@
     def __init__(
         self,
         context: GatewayContext,
-        jobs: JobKeeper,
-        versions: VersionKeeper,
+        jobs: JobManager,
+        versions: VersionManager,
         roles: RoleEntries,
-        keeper: RoleKeeper,
-        duty_turns: TurnKeeper,
-        quarantine: QuarantineKeeper,
+        keeper: RoleManager,
+        duty_turns: TurnManager,
+        quarantine: QuarantineManager,
     ):
         self._quarantine = quarantine
         self._duty_turns = duty_turns
@@ -78,9 +78,9 @@
         self._members: dict[str, VmEntry] = {}
         self._members_changed = False
 
-    def handlers(self) -> CopyHandlers:
+    def handlers(self) -> ReplicaHandlers:
         """Return what takes in the entries."""
-        return CopyHandlers(self._put, self._deleted, on_told=self._tell_members)
+        return ReplicaHandlers(self._put, self._deleted, on_told=self._tell_members)
 
     def _put(self, entry: KvEntry) -> None:
         """Hand an entry on; one that nobody of this fleet wrote changes nothing.
--- a/rackswitch/gateway/store/peer_copies.py
+++ b/rackswitch/gateway/store/peer_replicas.py
@@ -6,14 +6,14 @@
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.engine_paces import EnginePaces
-from rackswitch.gateway.store.copy_messages import changes_in
-from rackswitch.gateway.store.copy_server import paces_to_tell
-from rackswitch.gateway.store.copy_set import CopySet
+from rackswitch.gateway.store.replica_messages import changes_in
+from rackswitch.gateway.store.replica_server import paces_to_tell
+from rackswitch.gateway.store.replica_set import ReplicaSet
 from rackswitch.gateway.store.service_watch import ServiceWatch
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.peers.gateway_grpc import GatewayPeersStub
 from rackswitch.peers.links import PeerUnreachable
-from rackswitch.spread import FollowChoice, SpreadTree, TreeMember, fresh_seconds
+from rackswitch.spread import DistributionTree, SourceSelector, TreeMember, fresh_seconds
 from rackswitch.telemetry.events import CannotFollow, Follows
 
 __all__ = ["PeerFollower"]
@@ -45,7 +45,7 @@
     ----------
     context : GatewayContext
         The daemon.
-    copies : CopySet
+    copies : ReplicaSet
         What is kept current.
     watch : ServiceWatch
         Switched on while this daemon must watch the service by itself.
@@ -71,7 +71,7 @@
     def __init__(
         self,
         context: GatewayContext,
-        copies: CopySet,
+        copies: ReplicaSet,
         watch: ServiceWatch,
         paces: EnginePaces,
         members_prefix: str,
@@ -82,9 +82,9 @@
         self._paces = paces
         self._members_prefix = members_prefix
         self._live: list[tuple[str, str]] = []
-        self._tree = SpreadTree(())
+        self._tree = DistributionTree(())
         self._settling_since_seconds = float("-inf")
-        self.choice = FollowChoice(float("-inf"))
+        self.choice = SourceSelector(float("-inf"))
         self.looked = asyncio.Event()
 
     async def run(self) -> None:
@@ -148,11 +148,11 @@
             self._settling_since_seconds = back_seconds
             self.choice.ask_all_again()
 
-    def _present_tree(self) -> SpreadTree:
+    def _present_tree(self) -> DistributionTree:
         live = self._context.daemon.membership.live_zones()
         if live != self._live:
             self._live = live
-            self._tree = SpreadTree(
+            self._tree = DistributionTree(
                 TreeMember(name, zone, self._context.room_of(name)) for name, zone in live
             )
         return self._tree
--- a/rackswitch/gateway/store/contact.py
+++ b/rackswitch/gateway/store/reachability.py
@@ -3,18 +3,18 @@
 from dataclasses import dataclass, field
 
 from rackswitch.clients.kv import KvUnavailable
-from rackswitch.requests import OutageMemory
+from rackswitch.requests import OutageTracker
 from rackswitch.telemetry import DecisionLog
 from rackswitch.telemetry.events import DependencyLost, DependencyRegained
 
-__all__ = ["StoreContact"]
+__all__ = ["StoreReachability"]
 
 KEY_VALUE = "key-value"
 """The service's name in logs and metrics."""
 
 
 @dataclass(slots=True)
-class StoreContact:
+class StoreReachability:
     """Contact with the key-value service, as its calls show it.
 
     Attributes
@@ -23,7 +23,7 @@
         When the first of the calls that went unanswered was made; None while all is well.
     back_seconds : float
         When the service last answered again after being away; minus infinity if never.
-    outage : OutageMemory
+    outage : OutageTracker
         How long the service was away before, and is now.
     failed_seconds : float
         When the last call went unanswered; minus infinity if none ever did.
@@ -32,7 +32,7 @@
     log: DecisionLog
     away_since_seconds: float | None = None
     back_seconds: float = float("-inf")
-    outage: OutageMemory = field(default_factory=OutageMemory)
+    outage: OutageTracker = field(default_factory=OutageTracker)
     failed_seconds: float = float("-inf")
 
     @property
--- a/rackswitch/gateway/store/copy_messages.py
+++ b/rackswitch/gateway/store/replica_messages.py
@@ -3,12 +3,12 @@
 import math
 
 from rackswitch.clients.kv import KvEntry, WatchNews
-from rackswitch.gateway.store.copies import PrefixCopy
+from rackswitch.gateway.store.replicas import PrefixReplica
 from rackswitch.peers import gateway_pb2 as pb
 
 __all__ = ["add_news", "changes_in"]
 
-MOST_TOLD_AGE_SECONDS = 60.0
+MAX_TOLD_AGE_SECONDS = 60.0
 """Largest age of a copy that is told to followers: far over `FRESH_SECONDS`, and it keeps a
 copy that was never confirmed, whose age is infinite, within the field's range."""
 
@@ -22,9 +22,9 @@
     return WatchNews(entries, news.revision, tuple(news.deleted))
 
 
-def add_news(reply: pb.FollowReply, copy: PrefixCopy, revision: int, now_seconds: float) -> None:
+def add_news(reply: pb.FollowReply, copy: PrefixReplica, revision: int, now_seconds: float) -> None:
     """Add to a reply what a follower at a revision of a copy misses."""
-    age_seconds = min(MOST_TOLD_AGE_SECONDS, now_seconds - copy.confirmed_at_seconds)
+    age_seconds = min(MAX_TOLD_AGE_SECONDS, now_seconds - copy.confirmed_at_seconds)
     news = reply.news.add(
         prefix=copy.prefix, revision=copy.revision, age_ms=math.ceil(age_seconds * 1000)
     )
--- a/rackswitch/gateway/store/copy_server.py
+++ b/rackswitch/gateway/store/replica_server.py
@@ -2,26 +2,26 @@
 
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.engine_paces import EnginePaces
-from rackswitch.gateway.store.copy_messages import add_news
-from rackswitch.gateway.store.copy_set import CopySet
+from rackswitch.gateway.store.replica_messages import add_news
+from rackswitch.gateway.store.replica_set import ReplicaSet
 from rackswitch.gateway.store.service_watch import ServiceWatch
 from rackswitch.peers import gateway_pb2 as pb
 
-__all__ = ["CopyServer", "paces_to_tell"]
+__all__ = ["ReplicaServer", "paces_to_tell"]
 
 START_HOLD_SECONDS = 0.25
 """How long a daemon that knows nothing yet holds a follower's question, so that after a loss of all
 daemons what the first one reads passes down the tree at once: shorter than the follower's slack."""
 
 
-class CopyServer:
+class ReplicaServer:
     """Answers daemons that follow this one.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    copies : CopySet
+    copies : ReplicaSet
         What is told.
     paces : EnginePaces
         Told along with the copies, both ways.
@@ -32,7 +32,7 @@
     __slots__ = ("_context", "_copies", "_paces", "_watch")
 
     def __init__(
-        self, context: GatewayContext, copies: CopySet, paces: EnginePaces, watch: ServiceWatch
+        self, context: GatewayContext, copies: ReplicaSet, paces: EnginePaces, watch: ServiceWatch
     ):
         self._watch = watch
         self._context = context
--- a/rackswitch/gateway/store/copy_set.py
+++ b/rackswitch/gateway/store/replica_set.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 
 from rackswitch.clients.kv import KvEntry, WatchNews
-from rackswitch.gateway.store.copies import PrefixCopy
+from rackswitch.gateway.store.replicas import PrefixReplica
 
-__all__ = ["CopyHandlers", "CopySet"]
+__all__ = ["ReplicaHandlers", "ReplicaSet"]
 
 CONFIRMED_STEP_SECONDS = 0.5
 """By how much newer the service's word must be before daemons that wait for news are told it
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CopyHandlers:
+class ReplicaHandlers:
     """Who is told of changes under a prefix, and of when the service last vouched for it.
 
     Attributes
@@ -31,17 +31,17 @@
     on_told: Callable[[], None] = lambda: None
 
 
-class CopySet:
+class ReplicaSet:
     """The copies of one daemon.
 
     Parameters
     ----------
-    handlers : dict of str to CopyHandlers
+    handlers : dict of str to ReplicaHandlers
         Who is told, by prefix.
 
     Attributes
     ----------
-    by_prefix : dict of str to PrefixCopy
+    by_prefix : dict of str to PrefixReplica
         The copies.
     told : asyncio.Event
         Set when there is news for others, and replaced then.
@@ -51,9 +51,9 @@
 
     __slots__ = ("_handlers", "_round_seconds", "by_prefix", "rounds", "told")
 
-    def __init__(self, handlers: dict[str, CopyHandlers]):
+    def __init__(self, handlers: dict[str, ReplicaHandlers]):
         self._handlers = handlers
-        self.by_prefix = {prefix: PrefixCopy(prefix) for prefix in handlers}
+        self.by_prefix = {prefix: PrefixReplica(prefix) for prefix in handlers}
         self.told = asyncio.Event()
         self.rounds = 0
         self._round_seconds = float("-inf")
--- a/rackswitch/gateway/store/copies.py
+++ b/rackswitch/gateway/store/replicas.py
@@ -10,14 +10,14 @@
 
 from rackswitch.clients.kv import KvEntry, WatchNews
 
-__all__ = ["CopyChanges", "PrefixCopy"]
+__all__ = ["PrefixReplica", "ReplicaChanges"]
 
-MOST_REMEMBERED_CHANGES = 2000
+MAX_REMEMBERED_CHANGES = 2000
 """Changes kept for followers; a follower seldom lags by more than a few."""
 
 
 @dataclass(frozen=True, slots=True)
-class CopyChanges:
+class ReplicaChanges:
     """What a follower misses; `whole` if the entries are all there are."""
 
     revision: int
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class PrefixCopy:
+class PrefixReplica:
     """The entries under one prefix as of a revision of the service.
 
     Attributes
@@ -82,10 +82,10 @@
         for key in news.deleted:
             self.entries.pop(key, None)
             self._changes.append(_Change(self.revision, key, None))
-        while len(self._changes) > MOST_REMEMBERED_CHANGES:
+        while len(self._changes) > MAX_REMEMBERED_CHANGES:
             self._oldest_revision = self._changes.popleft().revision
 
-    def changes_since(self, revision: int) -> CopyChanges | None:
+    def changes_since(self, revision: int) -> ReplicaChanges | None:
         """Return what a follower at a revision misses; None if that is nothing.
 
         Changes are remembered under the revision that this copy had after them, which a
@@ -94,12 +94,12 @@
         if self.revision == 0 or revision >= self.revision:
             return None
         if revision < self._oldest_revision:
-            return CopyChanges(self.revision, tuple(self.entries.values()), (), True)
+            return ReplicaChanges(self.revision, tuple(self.entries.values()), (), True)
         latest: dict[str, KvEntry | None] = {}
         for change in self._changes:
             if change.revision > revision:
                 latest[change.key] = change.entry
-        return CopyChanges(
+        return ReplicaChanges(
             self.revision,
             tuple(entry for entry in latest.values() if entry is not None),
             tuple(key for key, entry in latest.items() if entry is None),
--- a/rackswitch/gateway/store/service_watch.py
+++ b/rackswitch/gateway/store/service_watch.py
@@ -4,7 +4,7 @@
 
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.store.copy_set import CopySet
+from rackswitch.gateway.store.replica_set import ReplicaSet
 from rackswitch.requests import backoff_seconds
 from rackswitch.telemetry.events import WatchesService
 
@@ -14,7 +14,7 @@
 """Pause after a broken watch; a change must be in force within 2 s, most of which a silent
 watch may have used up already."""
 
-MOST_RETRY_SECONDS = 0.4
+MAX_RETRY_SECONDS = 0.4
 """The pause doubles up to this while tries fail: each try is a call that counts, and who waits
 for the service's return gains less than half of it by asking more often."""
 
@@ -38,7 +38,7 @@
     ----------
     context : GatewayContext
         The daemon.
-    copies : CopySet
+    copies : ReplicaSet
         What is kept current.
     members_prefix : str
         The prefix that tells of the other daemons. It is read before the others, since it may
@@ -47,7 +47,7 @@
 
     __slots__ = ("_context", "_copies", "_failures", "_for_all", "_members_prefix", "_on")
 
-    def __init__(self, context: GatewayContext, copies: CopySet, members_prefix: str):
+    def __init__(self, context: GatewayContext, copies: ReplicaSet, members_prefix: str):
         self._context = context
         self._copies = copies
         self._members_prefix = members_prefix
@@ -120,7 +120,7 @@
         return self._copies.by_prefix[self._members_prefix].confirmed_at_seconds == float("-inf")
 
     async def _pause(self, failures: int) -> None:
-        pause_seconds = backoff_seconds(FIRST_RETRY_SECONDS, MOST_RETRY_SECONDS, failures - 1)
+        pause_seconds = backoff_seconds(FIRST_RETRY_SECONDS, MAX_RETRY_SECONDS, failures - 1)
         await asyncio.sleep(pause_seconds * (0.5 + self._context.rng.random()))
 
     async def _read(self, prefix: str) -> bool:
--- a/rackswitch/gateway/store/state_keeper.py
+++ b/rackswitch/gateway/store/state_manager.py
@@ -2,8 +2,8 @@
 
 from rackswitch.clients.kv import KvEntry, KvUnavailable, Operation, TxnPart
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.quarantine.end_watch import EndWatch
-from rackswitch.gateway.store.copy_set import CopyHandlers
+from rackswitch.gateway.quarantine.end_detector import EndDetector
+from rackswitch.gateway.store.replica_set import ReplicaHandlers
 from rackswitch.platform.desired_state import (
     LIMITS_NAME,
     MalformedEntry,
@@ -26,38 +26,38 @@
 )
 from rackswitch.tenants import index_tenants
 
-__all__ = ["StateKeeper"]
+__all__ = ["StateManager"]
 
 SAME_ZONE_SECONDS = 0.0002
 OTHER_ZONE_SECONDS = 0.001
 """Network distances that routing starts from; the platform does not tell them."""
 
 
-class StateKeeper:
+class StateManager:
     """Follows what operators, trainers and targets write to the platform's service.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    ends : EndWatch
+    ends : EndDetector
         Told of targets that the list shows to have ended.
     """
 
     __slots__ = ("_context", "_ends")
 
-    def __init__(self, context: GatewayContext, ends: EndWatch):
+    def __init__(self, context: GatewayContext, ends: EndDetector):
         self._context = context
         self._ends = ends
 
-    def operator_handlers(self) -> CopyHandlers:
+    def operator_handlers(self) -> ReplicaHandlers:
         """Return what takes in the operators' and trainers' entries."""
         # Entries that go say nothing: the newest table and versions stay in force.
-        return CopyHandlers(self._operator_put, lambda key: None)
+        return ReplicaHandlers(self._operator_put, lambda key: None)
 
-    def target_handlers(self) -> CopyHandlers:
+    def target_handlers(self) -> ReplicaHandlers:
         """Return what takes in the list of targets."""
-        return CopyHandlers(self._target_put, self._target_deleted, self._list_confirmed)
+        return ReplicaHandlers(self._target_put, self._target_deleted, self._list_confirmed)
 
     def _operator_put(self, entry: KvEntry) -> None:
         decoded = decode_operator_entry(entry.key, entry.value)
@@ -161,7 +161,7 @@
         if not lapsed:
             self._context.loads.gone(instance)
             if before is not None:
-                self._context.picture.forget(before.start)
+                self._context.load_estimator.forget(before.start)
             if before is not None and not before.draining:
                 self._ends.ended(before.start, EndEvidence.UNLISTED)
         self._context.log.write(TargetGone(target=instance, still_used=lapsed))
@@ -177,7 +177,7 @@
             return
         self._context.loads.gone(listed.instance)
         if known is not None:
-            self._context.picture.forget(known.start)
+            self._context.load_estimator.forget(known.start)
         same_zone = listed.zone == self._context.settings.zone
         distance_seconds = SAME_ZONE_SECONDS if same_zone else OTHER_ZONE_SECONDS
         self._context.targets[listed.instance] = Target(
--- a/rackswitch/gateway/store/store_relay.py
+++ b/rackswitch/gateway/store/store_relay.py
@@ -18,17 +18,17 @@
     encode_call,
 )
 from rackswitch.platform.store_messages import StoreAnswer
-from rackswitch.relay import OWN_PATH, PathChoice
+from rackswitch.relay import OWN_PATH, PathSelector
 from rackswitch.telemetry import DecisionLog
 from rackswitch.telemetry.events import CallNotPassedOn, StorePathChanged
 
-__all__ = ["PassedOnCalls", "RelayTransport"]
+__all__ = ["ForwardedCalls", "RelayTransport"]
 
 PEER_SLACK_SECONDS = 0.1
 """How much longer than the service a peer may take to pass an answer on; some zones' round
 trips of a few milliseconds, and a busy loop."""
 
-MOST_PASSED_ON = 32
+MAX_PASSED_ON = 32
 """Calls of peers under way at once. A daemon makes some ten calls a second and waits for few
 of them at a time, so this serves several peers and bounds what a fault of theirs costs."""
 
@@ -67,7 +67,7 @@
         self._links = links
         self._membership = membership
         self._log = log
-        self.choice = PathChoice(membership.own.zone)
+        self.choice = PathSelector(membership.own.zone)
 
     async def send(self, call: StoreCall) -> StoreAnswer | KvUnavailable:
         """Make a call by the first path that brings an answer.
@@ -146,7 +146,7 @@
         return StoreAnswer(reply.status, reply.content)
 
 
-class PassedOnCalls:
+class ForwardedCalls:
     """Makes calls for daemons that cannot reach the service, over the own path only.
 
     Parameters
@@ -174,7 +174,7 @@
             return self._refuse(request, call.detail)
         if not self._relay.choice.own_is_good:
             return pb.PassOnReply(refused="no path to the service here either")
-        if self._under_way >= MOST_PASSED_ON:
+        if self._under_way >= MAX_PASSED_ON:
             return pb.PassOnReply(refused="too many calls are being passed on")
         self._under_way += 1
         try:
--- a/rackswitch/gateway/store/tests/spread_run.py
+++ b/rackswitch/gateway/store/tests/spread_run.py
@@ -13,10 +13,10 @@
     latest_news,
 )
 from rackswitch.gateway.items.engine_paces import EnginePaces
-from rackswitch.gateway.store.copy_set import CopyHandlers
 from rackswitch.gateway.store.member_entries import MEMBERS_PREFIX, decode_member, vm_entry
 from rackswitch.gateway.store.presence import Presence
-from rackswitch.gateway.store.watching import CopyKeeper
+from rackswitch.gateway.store.replica_set import ReplicaHandlers
+from rackswitch.gateway.store.watching import ReplicaManager
 from rackswitch.gateway.tests.support import make_gateway_context
 from rackswitch.peers.links import PeerUnreachable
 from rackswitch.standins.faulty_kv import FaultyKv, KvFaults
@@ -136,10 +136,10 @@
         self.learnt_seconds: dict[str, float] = {}
         self._members: dict[str, object] = {}
         handlers = {
-            CONTROL: CopyHandlers(self._member_put, self._member_deleted),
-            STATE: CopyHandlers(self._state_put, lambda key: None),
+            CONTROL: ReplicaHandlers(self._member_put, self._member_deleted),
+            STATE: ReplicaHandlers(self._state_put, lambda key: None),
         }
-        self.keeper = CopyKeeper(self.context, handlers, EnginePaces(), CONTROL)
+        self.keeper = ReplicaManager(self.context, handlers, EnginePaces(), CONTROL)
         self.presence = Presence(self.context, 1, self.keeper.looked)
 
     def _member_put(self, entry: KvEntry) -> None:
--- a/rackswitch/gateway/store/tests/test_copy_machine.py
+++ b/rackswitch/gateway/store/tests/test_copy_machine.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from rackswitch.clients.kv import KvEntry, WatchNews, latest_news
-from rackswitch.gateway.store.copies import PrefixCopy
+from rackswitch.gateway.store.replicas import PrefixReplica
 from rackswitch.table import TableDocument, TableView
 
 CONFIG = "op/config"
@@ -56,7 +56,7 @@
     """A copy, and the table that its entries bring into force."""
 
     def __init__(self) -> None:
-        self.copy = PrefixCopy("op/")
+        self.copy = PrefixReplica("op/")
         self.view = TableView()
 
     def tell(self, news: WatchNews) -> None:
--- a/rackswitch/gateway/store/tests/test_copies.py
+++ b/rackswitch/gateway/store/tests/test_replicas.py
@@ -2,14 +2,14 @@
 from hypothesis import given
 
 from rackswitch.clients.kv import KvEntry, WatchNews
-from rackswitch.gateway.store.copies import PrefixCopy
+from rackswitch.gateway.store.replicas import PrefixReplica
 
 
 def entry(key: str, revision: int) -> KvEntry:
     return KvEntry(key, str(revision).encode(), revision, revision)
 
 
-def follow(follower: PrefixCopy, leader: PrefixCopy) -> None:
+def follow(follower: PrefixReplica, leader: PrefixReplica) -> None:
     changes = leader.changes_since(follower.revision)
     if changes is None:
         return
@@ -20,7 +20,7 @@
 
 
 def test_a_reading_tells_only_what_changed():
-    copy = PrefixCopy("p/")
+    copy = PrefixReplica("p/")
     copy.replace([entry("p/a", 1), entry("p/b", 2)], 5)
     news = copy.replace([entry("p/b", 2), entry("p/c", 7)], 8)
     assert [item.key for item in news.entries] == ["p/c"]
@@ -28,14 +28,14 @@
 
 
 def test_an_older_reading_changes_nothing():
-    copy = PrefixCopy("p/")
+    copy = PrefixReplica("p/")
     copy.replace([entry("p/a", 7)], 8)
     assert copy.replace([], 5) == WatchNews((), 8)
     assert set(copy.entries) == {"p/a"}
 
 
 def test_a_new_follower_gets_the_whole():
-    leader, follower = PrefixCopy("p/"), PrefixCopy("p/")
+    leader, follower = PrefixReplica("p/"), PrefixReplica("p/")
     leader.replace([entry("p/a", 1)], 5)
     changes = leader.changes_since(0)
     assert changes is not None and changes.whole
@@ -45,7 +45,7 @@
 
 
 def test_a_follower_that_is_a_little_behind_gets_only_what_it_misses():
-    leader = PrefixCopy("p/")
+    leader = PrefixReplica("p/")
     leader.replace([entry("p/a", 1), entry("p/b", 2)], 5)
     leader.apply(WatchNews((entry("p/c", 6),), 6))
     changes = leader.changes_since(5)
@@ -58,7 +58,7 @@
 
 @given(st.lists(step, max_size=60))
 def test_a_follower_that_asks_now_and_then_has_the_same_entries(steps):
-    leader, follower = PrefixCopy("p/"), PrefixCopy("p/")
+    leader, follower = PrefixReplica("p/"), PrefixReplica("p/")
     leader.replace([], 1)
     revision = 1
     for key, is_put, asks in steps:
--- a/rackswitch/gateway/store/tests/test_service_watch.py
+++ b/rackswitch/gateway/store/tests/test_service_watch.py
@@ -11,7 +11,7 @@
 
 from rackswitch.clients.kv import KvUnavailable, WatchNews
 from rackswitch.daemon.tests.support import run_virtual
-from rackswitch.gateway.store.copy_set import CopyHandlers, CopySet
+from rackswitch.gateway.store.replica_set import ReplicaHandlers, ReplicaSet
 from rackswitch.gateway.store.service_watch import CUT_OFF_FAILURES, ServiceWatch
 from rackswitch.gateway.tests.support import make_gateway_context
 from rackswitch.standins.kv_store import KvStore
@@ -36,8 +36,8 @@
 def test_who_watches_for_all_and_is_answered_again_is_cut_off_no_more():
     async def scenario():
         context = make_gateway_context("a", KvStore())
-        handlers = CopyHandlers(lambda entry: None, lambda key: None)
-        copies = CopySet({PREFIX: handlers})
+        handlers = ReplicaHandlers(lambda entry: None, lambda key: None)
+        copies = ReplicaSet({PREFIX: handlers})
         copies.by_prefix[PREFIX].revision = 1
         watch = ServiceWatch(context, copies, PREFIX)
         context.daemon.kv = BackAgainKv(CUT_OFF_FAILURES)
--- a/rackswitch/gateway/store/tests/test_spread_runs.py
+++ b/rackswitch/gateway/store/tests/test_spread_runs.py
@@ -98,9 +98,9 @@
     run_virtual(scenario())
 
 
-@pytest.mark.parametrize(("outage_seconds", "most_calls"), [(1.0, 60), (2.5, 700)])
+@pytest.mark.parametrize(("outage_seconds", "max_calls"), [(1.0, 60), (2.5, 700)])
 def test_a_short_outage_for_all_does_not_send_the_whole_fleet_to_the_service(
-    outage_seconds, most_calls
+    outage_seconds, max_calls
 ):
     async def scenario():
         run = SpreadRun(64, zones=4)
@@ -113,7 +113,7 @@
         for node in run.living():
             node.context.kv.faults.refused = 0.0
         await asyncio.sleep(3.0)
-        assert run.service.priced - calls < most_calls
+        assert run.service.priced - calls < max_calls
         assert (await run.spread("after it"))[-1] < 0.3
         await run.stop()
 
--- a/rackswitch/gateway/store/tests/test_store_relay.py
+++ b/rackswitch/gateway/store/tests/test_store_relay.py
@@ -7,7 +7,7 @@
 
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.policy import PolicySettings
-from rackswitch.gateway.store.store_relay import MOST_PASSED_ON, PassedOnCalls, RelayTransport
+from rackswitch.gateway.store.store_relay import MAX_PASSED_ON, ForwardedCalls, RelayTransport
 from rackswitch.gateway.tests.path import check_whole, play, wait_for
 from rackswitch.membership import MemberState, MemberUpdate
 from rackswitch.peers import gateway_pb2 as pb
@@ -236,7 +236,7 @@
         gateway = fleet.gateways["d0"]
         relay = gateway.context.kv._transport
         lines = Lines()
-        passed_on = PassedOnCalls(gateway.context, relay)
+        passed_on = ForwardedCalls(gateway.context, relay)
         gateway.context.daemon.log, log = lines, gateway.context.daemon.log
         known = pb.PassOnRequest(daemon="d1", call=encode_call(READ))
         stranger = pb.PassOnRequest(daemon="nobody", call=encode_call(READ))
@@ -245,7 +245,7 @@
         assert "`daemon`" in (await passed_on.serve(stranger)).refused
         assert "`call`" in (await passed_on.serve(garbage)).refused
         assert [line.daemon_asking for line in lines.lines] == ["nobody", "d1"]
-        passed_on._under_way = MOST_PASSED_ON
+        passed_on._under_way = MAX_PASSED_ON
         assert (await passed_on.serve(known)).refused
         gateway.context.daemon.log = log
         assert relay.choice.paths([], True, 0.0) == [OWN_PATH]
--- a/rackswitch/gateway/store/tests/test_target_list.py
+++ b/rackswitch/gateway/store/tests/test_target_list.py
@@ -6,10 +6,10 @@
 
 from rackswitch.clients.kv import KvEntry
 from rackswitch.daemon.tests.support import run_virtual
-from rackswitch.gateway.quarantine.quarantine_keeper import QuarantineKeeper
-from rackswitch.gateway.store.state_keeper import StateKeeper
+from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
+from rackswitch.gateway.store.state_manager import StateManager
 from rackswitch.gateway.tests.support import make_gateway_context
-from rackswitch.routing import LoadWord, TargetDirectory
+from rackswitch.routing import ReportedLoad, TargetDirectory
 from rackswitch.routing.directory import LAPSE_GRACE_SECONDS
 from rackswitch.standins.kv_store import KvStore
 
@@ -21,8 +21,8 @@
 
     def __init__(self):
         self.context = make_gateway_context("a", KvStore())
-        self.quarantine = QuarantineKeeper(self.context, lambda: True)
-        self.handlers = StateKeeper(self.context, self.quarantine.watch).target_handlers()
+        self.quarantine = QuarantineManager(self.context, lambda: True)
+        self.handlers = StateManager(self.context, self.quarantine.watch).target_handlers()
         self._revision = 0
 
     def put(self, instance, born=BORN_UNIX_MS, **changes):
@@ -160,14 +160,14 @@
         for instance in ("i-1", "i-2"):
             listed.put(instance)
             target = context.directory.entries[instance]
-            context.picture.heard(target.start, "engines", LoadWord(1, 0, 4, 1.0, 0.0))
+            context.load_estimator.heard(target.start, "engines", ReportedLoad(1, 0, 4, 1.0, 0.0))
         context.contact.back_seconds = context.now_seconds()
         listed.handlers.on_deleted("servers/i-1")
         context.forget_unlisted()
-        during = context.picture.starts()
+        during = context.load_estimator.starts()
         await asyncio.sleep(LAPSE_GRACE_SECONDS + 0.1)
         context.forget_unlisted()
-        return during, context.picture.starts()
+        return during, context.load_estimator.starts()
 
     during, after = run_virtual(scenario())
     assert during == {f"i-1@{BORN_UNIX_MS}", f"i-2@{BORN_UNIX_MS}"}
--- a/rackswitch/gateway/store/tests/test_watching.py
+++ b/rackswitch/gateway/store/tests/test_watching.py
@@ -8,8 +8,8 @@
 from rackswitch.clients.kv import KvEntry, WatchNews
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.peer_service import GatewayPeersService
-from rackswitch.gateway.store.copy_set import CopyHandlers
-from rackswitch.gateway.store.watching import CopyKeeper
+from rackswitch.gateway.store.replica_set import ReplicaHandlers
+from rackswitch.gateway.store.watching import ReplicaManager
 from rackswitch.gateway.tests.support import make_gateway_context, make_member
 from rackswitch.membership import VmEntry
 from rackswitch.peers.links import PeerLinks
@@ -47,10 +47,10 @@
         self.context = make_gateway_context(name, KvStore())
         self.context.daemon.links = PeerLinks("")
         self.paces = EnginePaces()
-        handlers = CopyHandlers(
+        handlers = ReplicaHandlers(
             lambda entry: self.told.append(entry.key), lambda key: self.told.append("-" + key)
         )
-        self.keeper = CopyKeeper(self.context, {PREFIX: handlers}, self.paces, PREFIX)
+        self.keeper = ReplicaManager(self.context, {PREFIX: handlers}, self.paces, PREFIX)
         self.copies = self.keeper._copies
         self.follower = self.keeper._follower
         self.service = GatewayPeersService(
--- a/rackswitch/gateway/store/watching.py
+++ b/rackswitch/gateway/store/watching.py
@@ -8,23 +8,23 @@
 
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.engine_paces import EnginePaces
-from rackswitch.gateway.store.copies import PrefixCopy
-from rackswitch.gateway.store.copy_server import CopyServer
-from rackswitch.gateway.store.copy_set import CopyHandlers, CopySet
-from rackswitch.gateway.store.peer_copies import PeerFollower
+from rackswitch.gateway.store.peer_replicas import PeerFollower
+from rackswitch.gateway.store.replica_server import ReplicaServer
+from rackswitch.gateway.store.replica_set import ReplicaHandlers, ReplicaSet
+from rackswitch.gateway.store.replicas import PrefixReplica
 from rackswitch.gateway.store.service_watch import ServiceWatch
 
-__all__ = ["CopyKeeper"]
+__all__ = ["ReplicaManager"]
 
 
-class CopyKeeper:
+class ReplicaManager:
     """The copies of one daemon.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    handlers : dict of str to CopyHandlers
+    handlers : dict of str to ReplicaHandlers
         Who is told, by prefix.
     paces : EnginePaces
         Told along with the copies, both ways.
@@ -33,7 +33,7 @@
 
     Attributes
     ----------
-    server : CopyServer
+    server : ReplicaServer
         Answers daemons that follow this one.
     """
 
@@ -42,17 +42,17 @@
     def __init__(
         self,
         context: GatewayContext,
-        handlers: dict[str, CopyHandlers],
+        handlers: dict[str, ReplicaHandlers],
         paces: EnginePaces,
         members_prefix: str,
     ):
-        self._copies = CopySet(handlers)
+        self._copies = ReplicaSet(handlers)
         self._watch = ServiceWatch(context, self._copies, members_prefix)
         self._follower = PeerFollower(context, self._copies, self._watch, paces, members_prefix)
-        self.server = CopyServer(context, self._copies, paces, self._watch)
+        self.server = ReplicaServer(context, self._copies, paces, self._watch)
 
     @property
-    def copies(self) -> dict[str, PrefixCopy]:
+    def copies(self) -> dict[str, PrefixReplica]:
         """The copies, by prefix."""
         return self._copies.by_prefix
 
--- a/rackswitch/gateway/tests/support.py
+++ b/rackswitch/gateway/tests/support.py
@@ -7,8 +7,8 @@
 
 from rackswitch.daemon.tests.support import make_context
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.store.contact import StoreContact
 from rackswitch.gateway.store.member_entries import MemberEntry
+from rackswitch.gateway.store.reachability import StoreReachability
 from rackswitch.routing import ListedTarget
 from rackswitch.standins.faulty_kv import KvFaults
 from rackswitch.standins.kv_store import KvStore
@@ -19,7 +19,7 @@
     name: str, store: KvStore, seed: int = 1, faults: KvFaults | None = None
 ) -> GatewayContext:
     daemon = make_context(name, store, random.Random(seed), faults)
-    return GatewayContext(stand_in_settings(name), daemon, StoreContact(daemon.log))
+    return GatewayContext(stand_in_settings(name), daemon, StoreReachability(daemon.log))
 
 
 def make_member(started_at_unix_seconds: float = 0.0, room: float = 0.0) -> MemberEntry:
--- a/rackswitch/gateway/tests/test_bad_input.py
+++ b/rackswitch/gateway/tests/test_bad_input.py
@@ -6,11 +6,11 @@
 import pytest
 
 from rackswitch.gateway.tests.path import play, runs_of
-from rackswitch.jobs import MOST_ITEMS
+from rackswitch.jobs import MAX_ITEMS
 from rackswitch.standins.platform_fleet import HOST, PlatformFleet, desired_state
 
 HEAD = f"Host: {HOST}\r\nX-Rackswitch-Request-Id: r1\r\nX-Rackswitch-Deadline-Ms: 400\r\n"
-PATIENCE_SECONDS = 8.0
+TIMEOUT_SECONDS = 8.0
 
 
 async def send_raw(fleet: PlatformFleet, data: bytes) -> bytes:
@@ -18,7 +18,7 @@
     host, _, port = fleet.gateways["d0"].url.removeprefix("http://").partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(data)
-    async with asyncio.timeout(PATIENCE_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         answer = await reader.read()
     writer.close()
     return answer
@@ -84,10 +84,10 @@
     async def scenario(fleet):
         limits = desired_state(2)["limits"] | {"max_body_bytes": 33_554_432}
         fleet.store.put("op/config", desired_state(2, limits=limits))
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while fleet.gateways["d0"].context.table_revision != 2:
                 await asyncio.sleep(0.02)
-        items = [{"id": f"i{number}", "path": "/jobs/1"} for number in range(MOST_ITEMS + 1)]
+        items = [{"id": f"i{number}", "path": "/jobs/1"} for number in range(MAX_ITEMS + 1)]
         body = json.dumps({"items": items, "model": "m0"}).encode()
         status, _, text = await fleet.request("d0", "POST", "/jobs/new", body, "j1")
         assert status == 413
--- a/rackswitch/gateway/turns.py
+++ b/rackswitch/gateway/turns.py
@@ -4,12 +4,12 @@
 from dataclasses import dataclass
 
 from rackswitch.clients.kv import Compare, KvEntry, KvUnavailable, Operation, TxnPart
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.leases import OrderTurns
 from rackswitch.telemetry.events import OrdersTakenOver
 
-__all__ = ["Entry", "Turn", "TurnKeeper"]
+__all__ = ["Entry", "Turn", "TurnManager"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     revision: int
 
 
-class TurnKeeper:
+class TurnManager:
     """This daemon's side of roles whose holders take turns by a record in the service.
 
     A holder enters itself in the record under its role's fence and acts only shortly after that.
@@ -58,13 +58,13 @@
     ----------
     context : GatewayContext
         The daemon.
-    roles : RoleKeeper
+    roles : RoleManager
         Leases on roles.
     """
 
     __slots__ = ("_context", "_read_under", "_roles", "order_turns")
 
-    def __init__(self, context: GatewayContext, roles: RoleKeeper):
+    def __init__(self, context: GatewayContext, roles: RoleManager):
         self._context = context
         self._roles = roles
         self._read_under: dict[str, int] = {}
--- a/rackswitch/gateway/versions/order_sender.py
+++ b/rackswitch/gateway/versions/order_sender.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.turns import Turn, TurnKeeper
+from rackswitch.gateway.turns import Turn, TurnManager
 from rackswitch.platform.orders import EngineReport, OrderAnswer, OrderClient, VersionOrder
 from rackswitch.routing import ListedTarget
 from rackswitch.table import Handling, RouteRow
@@ -26,7 +26,7 @@
 LOOK_SECONDS = 0.05
 """Between looks at the list of targets while a load is awaited: two in a keeper's tick."""
 
-LOAD_PATIENCE_SECONDS = 4.0
+LOAD_TIMEOUT_SECONDS = 4.0
 """A load takes 0.9 s and is told with a lag; an order that has shown no effect by then is
 looked after."""
 
@@ -78,13 +78,13 @@
         The daemon.
     engines : OrderClient
         Makes the calls.
-    turns : TurnKeeper
+    turns : TurnManager
         Until when after its entry an order may leave.
     """
 
     __slots__ = ("_context", "_engines", "_turns")
 
-    def __init__(self, context: GatewayContext, engines: OrderClient, turns: TurnKeeper):
+    def __init__(self, context: GatewayContext, engines: OrderClient, turns: TurnManager):
         self._context = context
         self._engines = engines
         self._turns = turns
@@ -135,7 +135,7 @@
         )
 
     async def _wait_loaded(self, model: str, target: ListedTarget, version: int) -> bool:
-        deadline_seconds = self._context.now_seconds() + LOAD_PATIENCE_SECONDS
+        deadline_seconds = self._context.now_seconds() + LOAD_TIMEOUT_SECONDS
         next_report_seconds = self._context.now_seconds() + 2 * REPORT_EVERY_SECONDS
         while self._context.now_seconds() < deadline_seconds:
             await asyncio.sleep(LOOK_SECONDS)
--- a/rackswitch/gateway/versions/tests/order_run.py
+++ b/rackswitch/gateway/versions/tests/order_run.py
@@ -4,14 +4,14 @@
 import random
 from dataclasses import dataclass, field
 
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.tests.support import (
     break_at_random,
     make_gateway_context,
     turn_violations,
 )
-from rackswitch.gateway.versions.version_keeper import ORDERS_PREFIX, VersionKeeper
+from rackswitch.gateway.versions.version_manager import ORDERS_PREFIX, VersionManager
 from rackswitch.leases import OrderTurns
 from rackswitch.platform.orders import EngineReport, NoReport, OrderAnswer, VersionOrder
 from rackswitch.routing import ListedTarget, Target
@@ -111,7 +111,7 @@
         self.rng = random.Random(seed)
         self.kv = KvStore()
         self.engines = {name: Engine() for name in ENGINES}
-        self.keepers: dict[str, VersionKeeper] = {}
+        self.keepers: dict[str, VersionManager] = {}
         self._faults: dict[str, KvFaults] = {}
         self._naive = naive
         self._tasks: set[asyncio.Task[None]] = set()
@@ -151,10 +151,10 @@
             listed = ListedTarget(engine, "s", "h", 1, "z", 4, False, {"m": 1})
             context.directory.put(listed)
             context.targets[engine] = Target(engine, listed.url, "z")
-        roles = RoleKeeper(context.daemon, lambda: ["versions/s"])
+        roles = RoleManager(context.daemon, lambda: ["versions/s"])
         # Every engine is to have the newest version, so that there is much to order.
         client = SlowOrderClient(self)
-        keeper = VersionKeeper(context, roles, client, lambda model: self.newest, EnginePaces())
+        keeper = VersionManager(context, roles, client, lambda model: self.newest, EnginePaces())
         if self._naive:
             keeper._turns.order_turns = NaiveTurns(name)
         self.keepers[name] = keeper
@@ -162,7 +162,7 @@
         context.daemon.spawn_duty(keeper.run())
         context.daemon.spawn_duty(self._follow(keeper))
 
-    async def _follow(self, keeper: VersionKeeper) -> None:
+    async def _follow(self, keeper: VersionManager) -> None:
         """Tell a daemon of the record, of versions and of the engines, some time late."""
         context = keeper._context
         while True:
--- a/rackswitch/gateway/versions/tests/test_version_keeper.py
+++ b/rackswitch/gateway/versions/tests/test_version_manager.py
@@ -5,12 +5,12 @@
 import msgspec
 
 from rackswitch.clients.kv import Operation, TxnPart
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.daemon.tests.support import run_virtual
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.tests.support import make_gateway_context
 from rackswitch.gateway.versions.order_sender import PlannedLoad
-from rackswitch.gateway.versions.version_keeper import ORDERS_PREFIX, VersionKeeper
+from rackswitch.gateway.versions.version_manager import ORDERS_PREFIX, VersionManager
 from rackswitch.routing import ListedTarget, Target
 from rackswitch.standins.kv_store import KvStore
 from rackswitch.table import ServiceRow, StoredRow, TableDocument
@@ -33,7 +33,7 @@
         return True
 
 
-def make_keeper(name: str, kv: KvStore) -> tuple[VersionKeeper, FakeSender]:
+def make_keeper(name: str, kv: KvStore) -> tuple[VersionManager, FakeSender]:
     context = make_gateway_context(name, kv)
     context.daemon.view.offer(TABLE)
     for engine in ("e0", "e1"):
@@ -41,8 +41,8 @@
         context.directory.put(listed)
         context.targets[engine] = Target(engine, listed.url, "z")
     context.named_versions = {"m": 2, "n": 2}
-    roles = RoleKeeper(context.daemon, lambda: ["versions/s"])
-    keeper = VersionKeeper(context, roles, None, lambda model: 0, EnginePaces())
+    roles = RoleManager(context.daemon, lambda: ["versions/s"])
+    keeper = VersionManager(context, roles, None, lambda model: 0, EnginePaces())
     sender = FakeSender(context.now_seconds)
     keeper._sender = sender
     context.daemon.spawn(roles.run())
--- a/rackswitch/gateway/versions/version_keeper.py
+++ b/rackswitch/gateway/versions/version_manager.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from rackswitch.clients.kv import KvEntry
-from rackswitch.daemon.roles import RoleKeeper
+from rackswitch.daemon.roles import RoleManager
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.engine_paces import FIRST_PACE_SECONDS, EnginePaces
-from rackswitch.gateway.turns import TurnKeeper
+from rackswitch.gateway.turns import TurnManager
 from rackswitch.gateway.versions.order_sender import (
     ORDERS_PREFIX,
     OrderSender,
@@ -29,7 +29,7 @@
     plan_service_loads,
 )
 
-__all__ = ["ORDERS_PREFIX", "VersionKeeper"]
+__all__ = ["ORDERS_PREFIX", "VersionManager"]
 
 TICK_SECONDS = 0.1
 
@@ -87,14 +87,14 @@
     loads: tuple[OrderedLoad, ...] = ()
 
 
-class VersionKeeper:
+class VersionManager:
     """Compares engines with the versions that trainers have named, and orders loads.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    roles : RoleKeeper
+    roles : RoleManager
         Leases on roles.
     engines : OrderClient
         Makes the calls.
@@ -117,7 +117,7 @@
     def __init__(
         self,
         context: GatewayContext,
-        roles: RoleKeeper,
+        roles: RoleManager,
         engines: OrderClient,
         oldest_usable_version: Callable[[str], int],
         paces: EnginePaces,
@@ -125,7 +125,7 @@
         self._paces = paces
         self._oldest_usable_version = oldest_usable_version
         self._context = context
-        self._turns = TurnKeeper(context, roles)
+        self._turns = TurnManager(context, roles)
         self._sender = OrderSender(context, engines, self._turns)
         self._loads: dict[str, _ServiceLoads] = {}
         self._named_at_seconds: dict[tuple[str, int], float] = {}
--- a/rackswitch/jobs/__init__.py
+++ b/rackswitch/jobs/__init__.py
@@ -12,14 +12,14 @@
 from rackswitch.jobs.ledger import __all__ as _ledger_all
 from rackswitch.jobs.listing import *  # noqa: F403
 from rackswitch.jobs.listing import __all__ as _listing_all
+from rackswitch.jobs.local_runs import *  # noqa: F403
+from rackswitch.jobs.local_runs import __all__ as _local_runs_all
 from rackswitch.jobs.messages import *  # noqa: F403
 from rackswitch.jobs.messages import __all__ as _messages_all
 from rackswitch.jobs.occupancy import *  # noqa: F403
 from rackswitch.jobs.occupancy import __all__ as _occupancy_all
-from rackswitch.jobs.orphans import *  # noqa: F403
-from rackswitch.jobs.orphans import __all__ as _orphans_all
-from rackswitch.jobs.own_runs import *  # noqa: F403
-from rackswitch.jobs.own_runs import __all__ as _own_runs_all
+from rackswitch.jobs.orphaned_jobs import *  # noqa: F403
+from rackswitch.jobs.orphaned_jobs import __all__ as _orphaned_jobs_all
 from rackswitch.jobs.placement import *  # noqa: F403
 from rackswitch.jobs.placement import __all__ as _placement_all
 from rackswitch.jobs.progress import *  # noqa: F403
@@ -42,10 +42,10 @@
     *_leaving_all,
     *_ledger_all,
     *_listing_all,
+    *_local_runs_all,
     *_messages_all,
     *_occupancy_all,
-    *_orphans_all,
-    *_own_runs_all,
+    *_orphaned_jobs_all,
     *_placement_all,
     *_progress_all,
     *_retention_all,
--- a/rackswitch/jobs/checkpoints.py
+++ b/rackswitch/jobs/checkpoints.py
@@ -20,7 +20,7 @@
     "restore_items",
 ]
 
-MOST_CHECKPOINT_CHARACTERS = 300_000
+MAX_CHECKPOINT_CHARACTERS = 300_000
 """Texts kept of one job. A value holds 1 MiB, and bytes between zones are paid for; the
 longest texts, which decide when a step is whole, go first."""
 
@@ -66,8 +66,8 @@
 
 def checkpoint_items(
     ledger: JobLedger,
-    least_pieces: int,
-    most_characters: int = MOST_CHECKPOINT_CHARACTERS,
+    min_pieces: int,
+    max_characters: int = MAX_CHECKPOINT_CHARACTERS,
 ) -> tuple[ItemCheckpoint, ...]:
     """Return what is worth keeping of a job's unfinished items, longest texts first.
 
@@ -75,9 +75,9 @@
     ----------
     ledger : JobLedger
         The job.
-    least_pieces : int
+    min_pieces : int
         Shorter texts are left out: they are made again as fast as they are read back.
-    most_characters : int, optional
+    max_characters : int, optional
         What the texts may have together.
     """
     unfinished = [item for item in ledger.items.values() if item.phase is not ItemPhase.LISTED]
@@ -85,12 +85,12 @@
     chosen: list[ItemCheckpoint] = []
     characters = 0
     for progress in unfinished:
-        worth = progress.last_number >= least_pieces or progress.result is not None
+        worth = progress.last_number >= min_pieces or progress.result is not None
         if not worth and not progress.failures and not progress.reward_failures:
             continue
         checkpoint = _checkpoint(progress)
         characters += sum(len(piece) for piece in checkpoint.pieces)
-        if characters > most_characters:
+        if characters > max_characters:
             break
         chosen.append(checkpoint)
     return tuple(chosen)
--- a/rackswitch/jobs/engine_memory.py
+++ b/rackswitch/jobs/engine_memory.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass, field
 
+from rackswitch.jobs.local_runs import LocalRun
 from rackswitch.jobs.occupancy import LOAD_LIFE_SECONDS
-from rackswitch.jobs.own_runs import OwnRun
 from rackswitch.jobs.progress import ItemProgress
 from rackswitch.jobs.schedule import LengthForecast
 
 __all__ = [
     "EngineMemory",
-    "FreeRoom",
-    "free_room",
+    "FreeCapacity",
+    "free_capacity",
     "item_tokens",
     "tokens_at_end",
     "tokens_held",
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FreeRoom:
+class FreeCapacity:
     """What more an engine takes.
 
     Attributes
@@ -118,14 +118,14 @@
         return total_tokens - own_tokens_at_end - others_tokens
 
 
-def free_room(
+def free_capacity(
     slots: int,
     own_runs: int,
     own_queued: int,
     others_runs: int,
     free_tokens: float,
     is_shared: bool = True,
-) -> FreeRoom:
+) -> FreeCapacity:
     """Return what an engine takes of one owner: the two bounds together.
 
     Parameters
@@ -144,10 +144,10 @@
     """
     own_room = slots - own_runs
     if not is_shared:
-        return FreeRoom(own_room, free_tokens)
+        return FreeCapacity(own_room, free_tokens)
     if own_queued:
-        return FreeRoom(min(own_room, QUEUED_RUNS - own_queued), free_tokens)
-    return FreeRoom(min(own_room, max(QUEUED_RUNS, own_room - others_runs)), free_tokens)
+        return FreeCapacity(min(own_room, QUEUED_RUNS - own_queued), free_tokens)
+    return FreeCapacity(min(own_room, max(QUEUED_RUNS, own_room - others_runs)), free_tokens)
 
 
 def item_tokens(progress: ItemProgress, forecast: LengthForecast) -> float:
@@ -155,17 +155,17 @@
     return progress.item.prompt_tokens + _text_tokens(progress, forecast)
 
 
-def tokens_at_end(runs: Iterable[OwnRun], forecast: LengthForecast) -> float:
+def tokens_at_end(runs: Iterable[LocalRun], forecast: LengthForecast) -> float:
     """Return what runs at one engine will hold together at their ends."""
     return _tokens(runs, lambda progress: _text_tokens(progress, forecast))
 
 
-def tokens_held(runs: Iterable[OwnRun], forecast: LengthForecast) -> float:
+def tokens_held(runs: Iterable[LocalRun], forecast: LengthForecast) -> float:
     """Return what runs at one engine hold together by now."""
     return _tokens(runs, lambda progress: progress.last_number / forecast.pieces_per_token)
 
 
-def _tokens(runs: Iterable[OwnRun], text_tokens: Callable[[ItemProgress], float]) -> float:
+def _tokens(runs: Iterable[LocalRun], text_tokens: Callable[[ItemProgress], float]) -> float:
     """Add up texts, and prompts once for each group: its items share their prompt."""
     prompts: dict[tuple[str, str], int] = {}
     total = 0.0
--- a/rackswitch/jobs/leaving.py
+++ b/rackswitch/jobs/leaving.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from rackswitch.jobs.schedule import EngineRoom
+from rackswitch.jobs.schedule import EngineCapacity
 
 __all__ = ["LeavingEngines", "LeavingRun", "runs_to_move"]
 
@@ -15,7 +15,7 @@
 """A run stays only if it is whole at least this long before its engine's end: the forecast of its
 end may be off by some pieces, and the engine's clock by as much."""
 
-LEAST_REMAINING_SECONDS = 0.2
+MIN_REMAINING_SECONDS = 0.2
 """A run that lacks less than this stays whenever its engine ends: elsewhere, to read its prompt and
 text anew and get a place in a batch would take as long."""
 
@@ -27,7 +27,7 @@
     until_seconds: dict[str, float] = field(default_factory=dict)
 
     def noticed(
-        self, start: str, now_seconds: float, left_seconds: float | None, least_seconds: float
+        self, start: str, now_seconds: float, left_seconds: float | None, min_seconds: float
     ) -> bool:
         """Take in that an engine leaves; return whether that is news.
 
@@ -42,11 +42,11 @@
             Monotonic clock.
         left_seconds : float or None
             What it says that is left; None if it does not say.
-        least_seconds : float
+        min_seconds : float
             For how long any engine serves after such a notice, at least; 0 if that is not known,
             and its end may then come at any moment.
         """
-        bound_seconds = now_seconds + (least_seconds if left_seconds is None else left_seconds)
+        bound_seconds = now_seconds + (min_seconds if left_seconds is None else left_seconds)
         known_seconds = self.until_seconds.get(start)
         if known_seconds is None:
             self.until_seconds[start] = bound_seconds
@@ -107,7 +107,7 @@
 def runs_to_move(
     runs: Iterable[LeavingRun],
     until_seconds: dict[str, float],
-    rooms: list[EngineRoom],
+    rooms: list[EngineCapacity],
     now_seconds: float,
 ) -> list[tuple[LeavingRun, str]]:
     """Return the runs that go on elsewhere now, the most urgent first, and where there is room.
@@ -121,7 +121,7 @@
         Runs at engines that leave.
     until_seconds : dict of str to float
         By start, until when an engine can be counted on (monotonic).
-    rooms : list of EngineRoom
+    rooms : list of EngineCapacity
         Room at the engines that stay; what is planned is taken off.
     now_seconds : float
         Monotonic clock.
@@ -139,12 +139,12 @@
 
 
 def _ends_in_time(run: LeavingRun, until_seconds: float, now_seconds: float) -> bool:
-    if run.remaining_seconds < LEAST_REMAINING_SECONDS:
+    if run.remaining_seconds < MIN_REMAINING_SECONDS:
         return True
     return now_seconds + run.remaining_seconds <= until_seconds - LAST_PIECE_MARGIN_SECONDS
 
 
-def _room_for(run: LeavingRun, rooms: list[EngineRoom]) -> EngineRoom | None:
+def _room_for(run: LeavingRun, rooms: list[EngineCapacity]) -> EngineCapacity | None:
     fit = [
         room
         for room in rooms
--- a/rackswitch/jobs/ledger.py
+++ b/rackswitch/jobs/ledger.py
@@ -15,8 +15,8 @@
 
 __all__ = ["JobLedger"]
 
-MOST_RESULTS_PER_SEGMENT = 256
-MOST_SEGMENT_CHARACTERS = 500_000
+MAX_RESULTS_PER_SEGMENT = 256
+MAX_SEGMENT_CHARACTERS = 500_000
 """Keeps a segment, as base64, below the 1 MiB that a value may have."""
 
 RETRY_PAUSE_SECONDS = 0.05
@@ -34,7 +34,7 @@
         The job.
     listed : list of JobResult
         Results that are kept, by position.
-    most_failures : int
+    max_failures : int
         Failures of an item's runs after which it is given up.
     single_version : bool
         Whether all of a text must be made by one version.
@@ -42,7 +42,7 @@
 
     job: Job
     listed: list[JobResult] = field(default_factory=list)
-    most_failures: int = 3
+    max_failures: int = 3
     single_version: bool = False
     ended: bool = False
     items: dict[str, ItemProgress] = field(default_factory=dict)
@@ -111,7 +111,7 @@
         if progress.result is not None:
             return
         progress.failures += 1
-        if progress.failures >= self.most_failures:
+        if progress.failures >= self.max_failures:
             self.give_up(progress)
             return
         progress.phase = ItemPhase.WAITING
@@ -130,7 +130,7 @@
         """Note the answer of the reward call."""
         self._finish(progress, score)
 
-    def reward_failed(self, progress: ItemProgress, failures: int, most_failures: int) -> bool:
+    def reward_failed(self, progress: ItemProgress, failures: int, max_failures: int) -> bool:
         """Note answers by which the reward service failed; return whether to try again.
 
         Parameters
@@ -139,11 +139,11 @@
             The item.
         failures : int
             Answers since the last call of this method.
-        most_failures : int
+        max_failures : int
             How many of them, over all calls, the reward call's own route allows.
         """
         progress.reward_failures += failures
-        if progress.reward_failures < most_failures:
+        if progress.reward_failures < max_failures:
             return True
         self.give_up(progress)
         return False
@@ -158,9 +158,9 @@
         """Return the results to append now, and the position of the first of them."""
         segment: list[JobResult] = []
         characters = 0
-        for result in self._pending[:MOST_RESULTS_PER_SEGMENT]:
+        for result in self._pending[:MAX_RESULTS_PER_SEGMENT]:
             characters += len(result.text)
-            if segment and characters > MOST_SEGMENT_CHARACTERS:
+            if segment and characters > MAX_SEGMENT_CHARACTERS:
                 break
             segment.append(result)
         return len(self.listed), segment
--- a/rackswitch/jobs/own_runs.py
+++ b/rackswitch/jobs/local_runs.py
@@ -5,7 +5,7 @@
 from rackswitch.jobs.ledger import JobLedger
 from rackswitch.jobs.progress import ItemProgress
 
-__all__ = ["BEGIN_PATIENCE_SECONDS", "OwnRun", "OwnRuns"]
+__all__ = ["BEGIN_PATIENCE_SECONDS", "LocalRun", "LocalRuns"]
 
 BEGIN_PATIENCE_SECONDS = 0.1
 """Within this time an engine with a free slot takes the connection, reads the prompt and brings the
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnRun:
+class LocalRun:
     """One run under way.
 
     Attributes
@@ -53,16 +53,16 @@
 
 
 @dataclass(slots=True)
-class OwnRuns:
+class LocalRuns:
     """All runs under way, by engine's start, job and item."""
 
-    by_start: dict[str, dict[tuple[str, str], OwnRun]] = field(default_factory=dict)
+    by_start: dict[str, dict[tuple[str, str], LocalRun]] = field(default_factory=dict)
 
-    def began(self, run: OwnRun) -> None:
+    def began(self, run: LocalRun) -> None:
         """Count a run in."""
         self.by_start.setdefault(run.start, {})[run.key] = run
 
-    def ended(self, run: OwnRun) -> None:
+    def ended(self, run: LocalRun) -> None:
         """Count a run out; a later one of its item stays."""
         runs = self.by_start.get(run.start, {})
         if runs.get(run.key) is not run:
@@ -71,7 +71,7 @@
         if not runs:
             del self.by_start[run.start]
 
-    def at(self, start: str) -> list[OwnRun]:
+    def at(self, start: str) -> list[LocalRun]:
         """Return the runs at one start of an engine."""
         return list(self.by_start.get(start, {}).values())
 
--- a/rackswitch/jobs/messages.py
+++ b/rackswitch/jobs/messages.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-__all__ = ["MOST_ITEMS", "Job", "JobItem", "JobResult", "RewardCall", "check_job"]
+__all__ = ["MAX_ITEMS", "Job", "JobItem", "JobResult", "RewardCall", "check_job"]
 
-MOST_ITEMS = 20_000
+MAX_ITEMS = 20_000
 """Items of one job: some twenty times the largest step that users expect (1,024 samples).
 What is looked at for each item at every tick stays within a few milliseconds."""
 
--- a/rackswitch/jobs/orphans.py
+++ b/rackswitch/jobs/orphaned_jobs.py
@@ -4,7 +4,7 @@
 
 from rackswitch.leases import rank_candidates
 
-__all__ = ["JobOrphans"]
+__all__ = ["OrphanedJobs"]
 
 RANK_PAUSE_SECONDS = 0.4
 """How much longer each further candidate waits, so that they seldom race; a claim takes a
@@ -13,11 +13,11 @@
 CLAIM_RETRY_SECONDS = 0.6
 """Between two claims of the same job by one daemon."""
 
-MOST_RANK = 4
+MAX_RANK = 4
 
 
 @dataclass(slots=True)
-class JobOrphans:
+class OrphanedJobs:
     """Jobs without an owner, as far as this daemon knows.
 
     Parameters
@@ -69,9 +69,9 @@
         if since_seconds is None or now_seconds < self.next_try_seconds.get(name, 0.0):
             return False
         ranked = rank_candidates(name, live)
-        rank = ranked.index(self.daemon) if self.daemon in ranked else MOST_RANK
+        rank = ranked.index(self.daemon) if self.daemon in ranked else MAX_RANK
         # One rank is left free for a former owner that lives and comes back for it.
-        place = 0 if held else min(rank, MOST_RANK) + (not released)
+        place = 0 if held else min(rank, MAX_RANK) + (not released)
         if now_seconds < since_seconds + place * RANK_PAUSE_SECONDS:
             return False
         self.next_try_seconds[name] = now_seconds + CLAIM_RETRY_SECONDS
--- a/rackswitch/jobs/placement.py
+++ b/rackswitch/jobs/placement.py
@@ -9,13 +9,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-__all__ = ["OwnerCandidate", "OwnerChoice"]
+__all__ = ["OwnerCandidate", "OwnerSelector"]
 
 ITEMS_A_SHARE = 1200.0
 """Open items that a daemon takes for each whole processor it has, so that one with half a
 processor still holds the open steps of two trainers."""
 
-LEAST_ITEMS = 600.0
+MIN_ITEMS = 600.0
 """What is taken by a daemon that does not tell its room: as one with half a processor."""
 
 WARM_SECONDS = 9.0
@@ -56,12 +56,12 @@
 
     def has_room(self, items: int) -> bool:
         """Return whether so many more items would not be too many."""
-        most_items = self.room * ITEMS_A_SHARE if self.room else LEAST_ITEMS
-        return self.open_items + items <= most_items
+        max_items = self.room * ITEMS_A_SHARE if self.room else MIN_ITEMS
+        return self.open_items + items <= max_items
 
 
 @dataclass(slots=True)
-class OwnerChoice:
+class OwnerSelector:
     """One daemon's choices, and what it has learnt by them.
 
     Parameters
--- a/rackswitch/jobs/schedule.py
+++ b/rackswitch/jobs/schedule.py
@@ -9,17 +9,17 @@
 from rackswitch.jobs.ledger import JobLedger
 from rackswitch.jobs.messages import Job
 from rackswitch.jobs.progress import ItemProgress
-from rackswitch.jobs.stragglers import SpareRoom
-from rackswitch.routing import Place, choose_place
+from rackswitch.jobs.stragglers import SpareCapacity
+from rackswitch.routing import TargetEstimate, choose_target
 
 __all__ = [
-    "EngineRoom",
+    "EngineCapacity",
     "ItemOrder",
     "ItemStart",
     "LengthForecast",
     "expected_work_seconds",
     "plan_starts",
-    "spare_rooms",
+    "spare_capacities",
 ]
 
 FIRST_PIECES_PER_TOKEN = 0.02
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class EngineRoom:
+class EngineCapacity:
     """Room at one engine, as the owner of the jobs sees it.
 
     Attributes
@@ -60,7 +60,7 @@
         Smoothed time between the events of one stream there.
     versions : dict of str to int
         The weights it has, by model; items that need newer ones do not go there.
-    place : Place or None
+    place : TargetEstimate or None
         What one more run may expect there by what the engine tells. Where it is given, the pace
         is taken from it and not from `runs` and `seconds_per_piece`; None if its service tells
         no pace.
@@ -78,7 +78,7 @@
     versions: dict[str, int]
     slots: int = 0
     runs: int = 0
-    place: Place | None = None
+    place: TargetEstimate | None = None
     run_seconds: float = USUAL_RUN_SECONDS
     free_tokens: float = math.inf
 
@@ -187,7 +187,7 @@
 
 def plan_starts(
     ledgers: Iterable[JobLedger],
-    engines: list[EngineRoom],
+    engines: list[EngineCapacity],
     service_of: dict[str, str],
     due_seconds: dict[str, float],
     now_seconds: float,
@@ -210,7 +210,7 @@
     ----------
     ledgers : iterable of JobLedger
         The jobs owned here.
-    engines : list of EngineRoom
+    engines : list of EngineCapacity
         Room at the engines; what is planned is taken off.
     service_of, due_seconds : dict
         By job, the service that runs its items and when it is due (monotonic).
@@ -282,7 +282,9 @@
     return (progress.run_number == 0, due_seconds - work_seconds)
 
 
-def _rooms_for(rooms: list[EngineRoom], service: str, ledger: JobLedger) -> list[EngineRoom]:
+def _rooms_for(
+    rooms: list[EngineCapacity], service: str, ledger: JobLedger
+) -> list[EngineCapacity]:
     """Return the engines that have a slot and may run a job's items."""
     return [
         room
@@ -294,8 +296,8 @@
 
 
 def _best_engine(
-    fit: list[EngineRoom], progress: ItemProgress, pieces: float, rng: random.Random
-) -> EngineRoom | None:
+    fit: list[EngineCapacity], progress: ItemProgress, pieces: float, rng: random.Random
+) -> EngineCapacity | None:
     if not fit:
         return None
     if all(room.place is not None for room in fit):
@@ -311,17 +313,17 @@
 
 
 def _drawn_engine(
-    rooms: list[EngineRoom], avoid: str | None, pieces: float, rng: random.Random
-) -> EngineRoom:
+    rooms: list[EngineCapacity], avoid: str | None, pieces: float, rng: random.Random
+) -> EngineCapacity:
     """Return one of some engines that tell their pace."""
     preferred = {room.instance: room for room in rooms if room.instance != avoid}
     by_name = preferred or {room.instance: room for room in rooms}
     places = [room.place for room in by_name.values() if room.place is not None]
     run_seconds = max(room.run_seconds for room in by_name.values())
-    return by_name[choose_place(places, pieces, run_seconds, rng).instance]
+    return by_name[choose_target(places, pieces, run_seconds, rng).instance]
 
 
-def _keep_for_large(fit: list[EngineRoom]) -> None:
+def _keep_for_large(fit: list[EngineCapacity]) -> None:
     """Let memory become free at one engine for an item that fits none.
 
     Else smaller ones would take each bit that becomes free, and it would wait for as long as
@@ -330,9 +332,9 @@
     max(fit, key=lambda room: room.free_tokens).free_slots = 0
 
 
-def spare_rooms(rooms: list[EngineRoom]) -> dict[str, SpareRoom]:
+def spare_capacities(rooms: list[EngineCapacity]) -> dict[str, SpareCapacity]:
     """Return, by service, the fastest engine that has room left."""
-    spare: dict[str, SpareRoom] = {}
+    spare: dict[str, SpareCapacity] = {}
     for room in rooms:
         free_slots = room.free_slots
         if room.place is not None:
@@ -343,5 +345,7 @@
         known = spare.get(room.service)
         pace_seconds = room.expected_seconds_per_piece()
         if known is None or pace_seconds < known.seconds_per_piece:
-            spare[room.service] = SpareRoom(room.instance, pace_seconds, free_slots, room.versions)
+            spare[room.service] = SpareCapacity(
+                room.instance, pace_seconds, free_slots, room.versions
+            )
     return spare
--- a/rackswitch/jobs/step_order.py
+++ b/rackswitch/jobs/step_order.py
@@ -10,9 +10,9 @@
 
 from rackswitch.jobs.ledger import JobLedger
 from rackswitch.jobs.progress import ItemPhase, ItemProgress
-from rackswitch.jobs.schedule import USUAL_SECONDS_PER_PIECE, EngineRoom, LengthForecast
+from rackswitch.jobs.schedule import USUAL_SECONDS_PER_PIECE, EngineCapacity, LengthForecast
 
-__all__ = ["SlackOrder", "paces_to_be_had", "surplus_groups"]
+__all__ = ["SlackOrder", "available_paces", "surplus_groups"]
 
 SLACK_GRAIN_SECONDS = 0.25
 """Slacks that differ by less are taken for equal, and the more urgent class goes first:
@@ -55,7 +55,7 @@
     return set(others[wanted - carried :])
 
 
-def paces_to_be_had(rooms: Iterable[EngineRoom]) -> dict[str, float]:
+def available_paces(rooms: Iterable[EngineCapacity]) -> dict[str, float]:
     """Return, by service, the pace of its best engine for one more run, in seconds a piece."""
     paces: dict[str, float] = {}
     for room in rooms:
--- a/rackswitch/jobs/stragglers.py
+++ b/rackswitch/jobs/stragglers.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-__all__ = ["RunGaps", "SpareRoom", "should_move"]
+__all__ = ["PieceIntervals", "SpareCapacity", "should_move"]
 
 GAPS_SEEN = 9
 """Gaps between pieces that are looked at; their median forgives the pause of a load."""
 
-LEAST_GAPS = 5
+MIN_GAPS = 5
 """Before so many gaps nothing is said of a run's pace: a fifth of a second at a usual one."""
 
 MOVE_RATIO = 1.15
@@ -25,12 +25,12 @@
 """What a move takes: a new connection, the prompt and the text so far read once more, and a
 place in a batch. A run stays unless it gains more than that."""
 
-MOST_MOVES = 3
+MAX_MOVES = 3
 """Moves of one item, so that a wrong belief about paces does not send it round."""
 
 
 @dataclass(slots=True)
-class RunGaps:
+class PieceIntervals:
     """When the pieces of one run came, and the last gaps between them."""
 
     gaps_seconds: deque[float] = field(default_factory=lambda: deque(maxlen=GAPS_SEEN))
@@ -56,13 +56,13 @@
 
     def seconds_per_piece(self) -> float | None:
         """Return the run's usual gap; None if too few were seen."""
-        if len(self.gaps_seconds) < LEAST_GAPS:
+        if len(self.gaps_seconds) < MIN_GAPS:
             return None
         return median(self.gaps_seconds)
 
 
 @dataclass(slots=True)
-class SpareRoom:
+class SpareCapacity:
     """Room at the fastest engine of a service that nothing waits for.
 
     Attributes
@@ -81,7 +81,7 @@
 
 def should_move(
     run_seconds_per_piece: float | None,
-    spare: SpareRoom | None,
+    spare: SpareCapacity | None,
     instance: str,
     remaining_pieces: float,
     moves: int,
@@ -92,7 +92,7 @@
     ----------
     run_seconds_per_piece : float or None
         The run's own pace.
-    spare : SpareRoom or None
+    spare : SpareCapacity or None
         Where it could go.
     instance : str
         Where it is.
@@ -103,7 +103,7 @@
     """
     if run_seconds_per_piece is None or spare is None or spare.free_slots <= 0:
         return False
-    if spare.instance == instance or moves >= MOST_MOVES:
+    if spare.instance == instance or moves >= MAX_MOVES:
         return False
     if run_seconds_per_piece <= MOVE_RATIO * spare.seconds_per_piece:
         return False
--- a/rackswitch/jobs/tests/test_checkpoints.py
+++ b/rackswitch/jobs/tests/test_checkpoints.py
@@ -10,7 +10,7 @@
     may_resume_from,
     restore_items,
 )
-from rackswitch.jobs.checkpoints import MOST_CHECKPOINT_CHARACTERS
+from rackswitch.jobs.checkpoints import MAX_CHECKPOINT_CHARACTERS
 from rackswitch.jobs.tests.support import finish, make_job
 
 
@@ -23,9 +23,9 @@
         assert progress.accept(TextPiece(progress.last_number + 1, text, 1), 0) is None
 
 
-def successor_of(ledger: JobLedger, least_pieces: int = 1) -> JobLedger:
+def successor_of(ledger: JobLedger, min_pieces: int = 1) -> JobLedger:
     after = JobLedger(ledger.job, list(ledger.listed))
-    restore_items(after, checkpoint_items(ledger, least_pieces))
+    restore_items(after, checkpoint_items(ledger, min_pieces))
     return after
 
 
@@ -83,15 +83,15 @@
 
 def test_texts_that_fill_the_bound_to_the_last_character_are_kept():
     ledger = JobLedger(make_job())
-    run(ledger, "i0", 2, "x" * (MOST_CHECKPOINT_CHARACTERS // 2))
+    run(ledger, "i0", 2, "x" * (MAX_CHECKPOINT_CHARACTERS // 2))
     assert [item.item_id for item in checkpoint_items(ledger, 1)] == ["i0"]
 
 
 def test_short_texts_are_left_out_and_the_longest_go_first():
     ledger = JobLedger(make_job())
     run(ledger, "i0", 2)
-    run(ledger, "i1", 30, "x" * (MOST_CHECKPOINT_CHARACTERS // 50))
-    run(ledger, "i2", 31, "x" * (MOST_CHECKPOINT_CHARACTERS // 50))
+    run(ledger, "i1", 30, "x" * (MAX_CHECKPOINT_CHARACTERS // 50))
+    run(ledger, "i2", 31, "x" * (MAX_CHECKPOINT_CHARACTERS // 50))
     kept = checkpoint_items(ledger, 24)
     assert [item.item_id for item in kept] == ["i2"]
     assert [item.item_id for item in checkpoint_items(JobLedger(make_job()), 0)] == [
--- a/rackswitch/jobs/tests/test_engine_memory.py
+++ b/rackswitch/jobs/tests/test_engine_memory.py
@@ -8,18 +8,18 @@
 
 from rackswitch.jobs import (
     BEGIN_PATIENCE_SECONDS,
+    EngineCapacity,
     EngineLoad,
     EngineMemory,
     EngineOccupancy,
-    EngineRoom,
     ItemProgress,
     JobItem,
     JobLedger,
     LengthForecast,
-    OwnRun,
-    OwnRuns,
+    LocalRun,
+    LocalRuns,
     TextPiece,
-    free_room,
+    free_capacity,
     item_tokens,
     plan_starts,
     tokens_at_end,
@@ -30,14 +30,14 @@
 
 
 def make_tokens_item(
-    name: str, prompt: int, expected: float, most_out: int = 100_000, group: str = "g"
+    name: str, prompt: int, expected: float, max_out: int = 100_000, group: str = "g"
 ) -> JobItem:
     return JobItem(
         item_id=name,
         path="/",
         headers=(),
         body=b"",
-        tokens=prompt + most_out,
+        tokens=prompt + max_out,
         expected_tokens=expected,
         group=group,
         prompt_tokens=prompt,
@@ -48,8 +48,8 @@
     return JobLedger(msgspec.structs.replace(make_job(), items=tuple(items)))
 
 
-def runs_of(ledger: JobLedger) -> list[OwnRun]:
-    return [OwnRun(ledger, progress, "e", "e@1", 0.0) for progress in ledger.items.values()]
+def runs_of(ledger: JobLedger) -> list[LocalRun]:
+    return [LocalRun(ledger, progress, "e", "e@1", 0.0) for progress in ledger.items.values()]
 
 
 def test_a_run_holds_its_prompt_and_its_text():
@@ -63,9 +63,9 @@
 
 def test_a_text_does_not_become_longer_than_it_may_and_without_a_guess_it_becomes_so_long():
     forecast = LengthForecast()
-    bounded = ItemProgress(make_tokens_item("a", 1000, 500.0, most_out=200))
+    bounded = ItemProgress(make_tokens_item("a", 1000, 500.0, max_out=200))
     assert item_tokens(bounded, forecast) == 1200
-    unguessed = ItemProgress(make_tokens_item("a", 1000, 0.0, most_out=300))
+    unguessed = ItemProgress(make_tokens_item("a", 1000, 0.0, max_out=300))
     assert item_tokens(unguessed, forecast) == 1300
 
 
@@ -117,20 +117,20 @@
     ],
 )
 def test_an_owner_queues_at_most_one_run_beyond_what_it_knows_of(own, queued, others, slots):
-    assert free_room(6, own, queued, others, math.inf).slots == slots
+    assert free_capacity(6, own, queued, others, math.inf).slots == slots
 
 
 def test_with_shares_off_each_owner_takes_all_slots_for_its_own():
     for own in range(7):
-        room = free_room(6, own, own_queued=2, others_runs=5, free_tokens=9.0, is_shared=False)
+        room = free_capacity(6, own, own_queued=2, others_runs=5, free_tokens=9.0, is_shared=False)
         assert (room.slots, room.tokens) == (6 - own, 9.0)
 
 
 def test_no_run_goes_where_memory_would_run_out():
     ledger = make_tokens_ledger([make_tokens_item(f"i{n}", 0, 4000.0) for n in range(6)])
     rooms = [
-        EngineRoom("small", "s", 6, 0.04, {"m": 1}, 6, runs=1, free_tokens=9000.0),
-        EngineRoom("large", "s", 6, 0.08, {"m": 1}, 6, runs=1, free_tokens=90_000.0),
+        EngineCapacity("small", "s", 6, 0.04, {"m": 1}, 6, runs=1, free_tokens=9000.0),
+        EngineCapacity("large", "s", 6, 0.08, {"m": 1}, 6, runs=1, free_tokens=90_000.0),
     ]
     forecast = LengthForecast()
     starts = plan_starts(
@@ -143,13 +143,13 @@
 
 def test_without_memory_counted_items_start_as_before():
     ledger = make_tokens_ledger([make_tokens_item(f"i{n}", 0, 4000.0) for n in range(6)])
-    room = EngineRoom("small", "s", 6, 0.04, {"m": 1}, 6, runs=1, free_tokens=0.0)
+    room = EngineCapacity("small", "s", 6, 0.04, {"m": 1}, 6, runs=1, free_tokens=0.0)
     assert len(plan_starts([ledger], [room], {"j": "s"}, {"j": 0.0}, 0.0)) == 6
 
 
 def test_an_engine_without_runs_takes_one_that_is_larger_than_it():
     ledger = make_tokens_ledger([make_tokens_item(f"i{n}", 0, 4000.0) for n in range(2)])
-    room = EngineRoom("e", "s", 6, 0.04, {"m": 1}, 6, free_tokens=100.0)
+    room = EngineCapacity("e", "s", 6, 0.04, {"m": 1}, 6, free_tokens=100.0)
     starts = plan_starts(
         [ledger], [room], {"j": "s"}, {"j": 0.0}, 0.0, tokens_of=lambda progress: 4000.0
     )
@@ -160,7 +160,7 @@
     """One engine: 10 tokens are free, 100 are wanted first, and small ones come for ever."""
     items = [make_tokens_item("large", 0, 100.0), make_tokens_item("tiny", 0, 5.0)]
     ledger = make_tokens_ledger(items)
-    rooms = [EngineRoom("e", "s", 5, 0.04, {"m": 1}, 6, runs=1, free_tokens=10.0)]
+    rooms = [EngineCapacity("e", "s", 5, 0.04, {"m": 1}, 6, runs=1, free_tokens=10.0)]
     forecast = LengthForecast()
 
     def plan() -> list[str]:
@@ -171,13 +171,13 @@
         return [start.progress.item.item_id for start in starts]
 
     assert plan() == []
-    rooms[0] = EngineRoom("e", "s", 5, 0.04, {"m": 1}, 6, runs=1, free_tokens=105.0)
+    rooms[0] = EngineCapacity("e", "s", 5, 0.04, {"m": 1}, 6, runs=1, free_tokens=105.0)
     assert plan() == ["large", "tiny"]
 
 
 def test_a_run_that_has_brought_no_piece_in_time_is_queued():
     ledger = make_tokens_ledger([make_tokens_item("a", 0, 10.0), make_tokens_item("b", 0, 10.0)])
-    runs = OwnRuns()
+    runs = LocalRuns()
     for run in runs_of(ledger):
         runs.began(run)
     assert runs.queued("e@1", BEGIN_PATIENCE_SECONDS / 2) == 0
@@ -215,7 +215,7 @@
                 queued = sum(owner == number for owner, _ in engine.queue)
                 words.own["e"] = own
                 others = words.others_last("e") or 0
-                room = free_room(slots, own, queued, others, math.inf)
+                room = free_capacity(slots, own, queued, others, math.inf)
                 for _ in range(max(0, room.slots)):
                     serial += 1
                     engine.queue.append((number, serial))
--- a/rackswitch/jobs/tests/test_leaving.py
+++ b/rackswitch/jobs/tests/test_leaving.py
@@ -2,7 +2,7 @@
 
 import random
 
-from rackswitch.jobs import EngineRoom, LeavingEngines, LeavingRun, runs_to_move
+from rackswitch.jobs import EngineCapacity, LeavingEngines, LeavingRun, runs_to_move
 from rackswitch.jobs.leaving import LAST_PIECE_MARGIN_SECONDS
 
 
@@ -21,7 +21,7 @@
 
 
 def free_engine(name: str = "f", free: int = 6, version: int = 1, pace: float = 0.04, runs=0):
-    return EngineRoom(name, "s", free, pace, {"m": version}, 6, runs)
+    return EngineCapacity(name, "s", free, pace, {"m": version}, 6, runs)
 
 
 def moved(runs, rooms, until_seconds: float = 3.0, now_seconds: float = 0.0) -> list[str]:
@@ -59,13 +59,13 @@
     tight.free_tokens = 499.0
     assert moved(runs, [tight]) == []
     assert moved(runs, [tight, free_engine("g", version=2)]) == ["a"]
-    other = EngineRoom("t", "t", 6, 0.04, {"m": 2}, 6)
+    other = EngineCapacity("t", "t", 6, 0.04, {"m": 2}, 6)
     assert moved(runs, [other]) == []
 
 
 def test_without_a_bound_all_that_is_worth_it_goes():
     engines = LeavingEngines()
-    assert engines.noticed("e@1", 10.0, None, least_seconds=0.0)
+    assert engines.noticed("e@1", 10.0, None, min_seconds=0.0)
     assert engines.until_seconds == {"e@1": 10.0}
     runs = [leaving_run("nearly whole", 2), leaving_run("half", 10)]
     assert moved(runs, [free_engine()], engines.until_seconds["e@1"], 10.0) == ["half"]
@@ -73,13 +73,13 @@
 
 def test_the_time_left_counts_from_the_first_notice():
     engines = LeavingEngines()
-    assert engines.noticed("e@1", 10.0, None, least_seconds=3.0)
-    assert not engines.noticed("e@1", 11.0, None, least_seconds=3.0)
+    assert engines.noticed("e@1", 10.0, None, min_seconds=3.0)
+    assert not engines.noticed("e@1", 11.0, None, min_seconds=3.0)
     assert engines.until_seconds["e@1"] == 13.0
     # What the engine says goes before the bound, and may only shorten it.
-    assert not engines.noticed("e@1", 11.0, 1.5, least_seconds=3.0)
+    assert not engines.noticed("e@1", 11.0, 1.5, min_seconds=3.0)
     assert engines.until_seconds["e@1"] == 12.5
-    assert not engines.noticed("e@1", 12.0, 1.5, least_seconds=3.0)
+    assert not engines.noticed("e@1", 12.0, 1.5, min_seconds=3.0)
     assert engines.until_seconds["e@1"] == 12.5
     engines.keep_only([])
     assert engines.until_seconds == {}
@@ -137,7 +137,7 @@
 def test_a_reclaim_in_the_middle_of_a_load_moves_runs_only_to_engines_that_do_not_load():
     """An engine that loads tells no version of that model, so nothing may go there."""
     runs = [leaving_run("a", 120, oldest_version=3)]
-    loading = EngineRoom("loading", "s", 6, 0.03, {}, 6)
+    loading = EngineCapacity("loading", "s", 6, 0.03, {}, 6)
     older = free_engine("older", version=2)
     assert moved(runs, [loading, older]) == []
     loaded = free_engine("loaded", version=3, pace=0.08)
--- a/rackswitch/jobs/tests/test_ledger.py
+++ b/rackswitch/jobs/tests/test_ledger.py
@@ -49,7 +49,7 @@
 
 
 def test_an_item_is_given_up_after_the_allowed_failures_and_not_before():
-    ledger = JobLedger(make_job(), most_failures=3)
+    ledger = JobLedger(make_job(), max_failures=3)
     progress = ledger.items["i0"]
     for _ in range(2):
         ledger.started(progress)
@@ -62,18 +62,18 @@
 
 def test_failed_reward_calls_count_against_the_reward_route_and_not_the_items():
     # Found on the register's quiet day: the job's route allowed 3, the reward's 4.
-    ledger = JobLedger(make_job(reward=True), most_failures=3)
+    ledger = JobLedger(make_job(reward=True), max_failures=3)
     finish(ledger, "i0")
     progress = ledger.items["i0"]
     assert progress.phase is ItemPhase.SCORING
-    assert ledger.reward_failed(progress, 3, most_failures=4)
+    assert ledger.reward_failed(progress, 3, max_failures=4)
     assert progress.result is None
-    assert not ledger.reward_failed(progress, 1, most_failures=4)
+    assert not ledger.reward_failed(progress, 1, max_failures=4)
     assert progress.result == JobResult(item_id="i0", completed=False)
 
 
 def test_broken_runs_do_not_count_as_failures():
-    ledger = JobLedger(make_job(), most_failures=1)
+    ledger = JobLedger(make_job(), max_failures=1)
     progress = ledger.items["i0"]
     for _ in range(10):
         ledger.started(progress)
--- a/rackswitch/jobs/tests/test_placement.py
+++ b/rackswitch/jobs/tests/test_placement.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from rackswitch.jobs import OwnerCandidate, OwnerChoice
-from rackswitch.jobs.placement import AVOID_SECONDS, ITEMS_A_SHARE, LEAST_ITEMS, WARM_SECONDS
+from rackswitch.jobs import OwnerCandidate, OwnerSelector
+from rackswitch.jobs.placement import AVOID_SECONDS, ITEMS_A_SHARE, MIN_ITEMS, WARM_SECONDS
 
 
 def candidates(**open_items: int) -> list[OwnerCandidate]:
@@ -11,25 +11,25 @@
 
 
 def test_a_job_goes_to_the_daemon_that_owns_most_and_else_stays():
-    choice = OwnerChoice("a")
+    choice = OwnerSelector("a")
     assert choice.owner(candidates(a=0, b=0, c=0), 100, 0.0) == "a"
     assert choice.owner(candidates(a=0, b=100, c=300), 100, 0.0) == "c"
     # Both sides of a tie choose alike.
-    assert OwnerChoice("b").owner(candidates(b=100, c=100), 100, 0.0) == "c"
-    assert OwnerChoice("c").owner(candidates(b=100, c=100), 100, 0.0) == "c"
+    assert OwnerSelector("b").owner(candidates(b=100, c=100), 100, 0.0) == "c"
+    assert OwnerSelector("c").owner(candidates(b=100, c=100), 100, 0.0) == "c"
 
 
 def test_nobody_gets_more_than_it_has_room_for():
-    choice = OwnerChoice("a")
+    choice = OwnerSelector("a")
     most = int(0.5 * ITEMS_A_SHARE)
     assert choice.owner(candidates(a=0, b=most - 100), 100, 0.0) == "b"
     assert choice.owner(candidates(a=0, b=most - 99), 100, 0.0) == "a"
-    unknown = OwnerCandidate("b", 0.0, int(LEAST_ITEMS))
+    unknown = OwnerCandidate("b", 0.0, int(MIN_ITEMS))
     assert choice.owner([unknown], 1, 0.0) == "a"
 
 
 def test_a_daemon_that_took_no_job_is_left_alone_for_a_while():
-    choice = OwnerChoice("a")
+    choice = OwnerSelector("a")
     choice.failed("b", 10.0)
     assert choice.owner(candidates(a=0, b=100), 10, 10.0) == "a"
     assert choice.owner(candidates(a=0, b=100), 10, 10.0 + AVOID_SECONDS) == "b"
@@ -40,7 +40,7 @@
     """Each trainer has two open steps of 130 items, which reach any daemon of a zone."""
     rng = random.Random(1)
     names = [f"d{number}" for number in range(daemons)]
-    choices = {name: OwnerChoice(name) for name in names}
+    choices = {name: OwnerSelector(name) for name in names}
     owners: dict[tuple[int, int], str] = {}
     naive: dict[tuple[int, int], str] = {}
     for step in range(12):
@@ -66,10 +66,10 @@
         OwnerCandidate("b", 0.5, 0, idle_seconds=8.0),
         OwnerCandidate("c", 0.5, 0, idle_seconds=4.0),
     ]
-    assert OwnerChoice("a").owner(known, 100, 0.0) == "c"
+    assert OwnerSelector("a").owner(known, 100, 0.0) == "c"
     busy = OwnerCandidate("d", 0.5, 10, idle_seconds=8.0)
-    assert OwnerChoice("a").owner([*known, busy], 100, 0.0) == "d"
-    assert OwnerChoice("a").owner([OwnerCandidate("b", 0.5, 0, WARM_SECONDS)], 1, 0.0) == "a"
+    assert OwnerSelector("a").owner([*known, busy], 100, 0.0) == "d"
+    assert OwnerSelector("a").owner([OwnerCandidate("b", 0.5, 0, WARM_SECONDS)], 1, 0.0) == "a"
 
 
 @pytest.mark.parametrize("warm", [True, False])
@@ -77,7 +77,7 @@
     """Its step is over after 3 s, and the next comes a second later, to any of 17 daemons."""
     rng = random.Random(2)
     names = [f"d{number}" for number in range(17)]
-    choices = {name: OwnerChoice(name) for name in names}
+    choices = {name: OwnerSelector(name) for name in names}
     owned_at: dict[str, float] = {}
     owners = []
     for step in range(16):
@@ -93,14 +93,14 @@
 
 
 def test_while_daemons_are_stopped_in_turn_a_job_goes_to_one_that_is_not_stopped_next():
-    choice = OwnerChoice("a")
+    choice = OwnerSelector("a")
     others = candidates(a=0, b=300)
     renewed = OwnerCandidate("c", 0.5, 0, is_renewed=True)
     assert choice.owner([*others, renewed], 100, 0.0) == "c"
     fuller = OwnerCandidate("d", 0.5, 100, is_renewed=True)
     assert choice.owner([*others, renewed, fuller], 100, 0.0) == "d"
     # None of them has room: as if none was known.
-    full = OwnerCandidate("c", 0.5, int(LEAST_ITEMS), is_renewed=True)
+    full = OwnerCandidate("c", 0.5, int(MIN_ITEMS), is_renewed=True)
     assert choice.owner([*others, full], 100, 0.0) == "b"
     # It did not take a job just now.
     choice.failed("c", 0.0)
--- a/rackswitch/jobs/tests/test_schedule.py
+++ b/rackswitch/jobs/tests/test_schedule.py
@@ -2,24 +2,26 @@
 import pytest
 
 from rackswitch.jobs import (
-    EngineRoom,
+    EngineCapacity,
     JobLedger,
-    JobOrphans,
     LengthForecast,
-    SpareRoom,
+    OrphanedJobs,
+    SpareCapacity,
     plan_starts,
-    spare_rooms,
+    spare_capacities,
 )
 from rackswitch.jobs.schedule import FIRST_PIECES_PER_TOKEN
 from rackswitch.jobs.tests.support import make_item, make_job
 from rackswitch.leases import rank_candidates
 
 
-def room(name: str, free: int, pace: float = 0.05, version: int = 1) -> EngineRoom:
-    return EngineRoom(name, "s", free, pace, {"m": version})
+def room(name: str, free: int, pace: float = 0.05, version: int = 1) -> EngineCapacity:
+    return EngineCapacity(name, "s", free, pace, {"m": version})
 
 
-def plan(ledgers: list[JobLedger], rooms: list[EngineRoom], due: dict[str, float] | None = None):
+def plan(
+    ledgers: list[JobLedger], rooms: list[EngineCapacity], due: dict[str, float] | None = None
+):
     services = {ledger.job.job_id: "s" for ledger in ledgers}
     deadlines = due or {ledger.job.job_id: 0.0 for ledger in ledgers}
     starts = plan_starts(ledgers, rooms, services, deadlines, 0.0)
@@ -47,14 +49,14 @@
 def test_a_fast_engine_that_is_well_filled_still_goes_before_a_slow_one():
     starts = plan(
         [ledger_of([900])],
-        [room("slow", 12, 0.065), EngineRoom("fast", "s", 1, 0.05, {"m": 1}, runs=11)],
+        [room("slow", 12, 0.065), EngineCapacity("fast", "s", 1, 0.05, {"m": 1}, runs=11)],
     )
     assert starts == [("i0", "fast")]
 
 
 def test_a_full_engine_gets_a_text_only_if_waiting_there_is_faster():
-    full = EngineRoom("full", "s", 12, 0.04, {"m": 1}, slots=12, runs=18)
-    slower = EngineRoom("slower", "s", 12, 0.05, {"m": 1}, slots=12)
+    full = EngineCapacity("full", "s", 12, 0.04, {"m": 1}, slots=12, runs=18)
+    slower = EngineCapacity("slower", "s", 12, 0.05, {"m": 1}, slots=12)
     lengths = [20 / FIRST_PIECES_PER_TOKEN, 200 / FIRST_PIECES_PER_TOKEN]
     assert plan([ledger_of(lengths)], [full, slower]) == [("i1", "full"), ("i0", "slower")]
 
@@ -92,7 +94,7 @@
     first, second, _ = rank_candidates("j", live)
 
     def claims(daemon: str, held: bool, at_seconds: float, released: bool = False) -> bool:
-        orphans = JobOrphans(daemon)
+        orphans = OrphanedJobs(daemon)
         orphans.orphaned("j", 0.0)
         return orphans.may_claim("j", live, held, released, at_seconds)
 
@@ -108,7 +110,7 @@
 
 
 def test_a_job_with_an_owner_is_not_claimed():
-    orphans = JobOrphans("a")
+    orphans = OrphanedJobs("a")
     assert not orphans.may_claim("j", ["a"], False, False, 100.0)
     orphans.orphaned("j", 0.0)
     orphans.owned("j")
@@ -128,7 +130,7 @@
 
 def test_a_job_that_finds_no_room_does_not_hold_up_another_service():
     ledgers = [ledger_of([10, 10], "j1"), ledger_of([10], "j2")]
-    rooms = [room("a", 1), EngineRoom("b", "t", 1, 0.05, {"m": 1})]
+    rooms = [room("a", 1), EngineCapacity("b", "t", 1, 0.05, {"m": 1})]
     starts = plan_starts(ledgers, rooms, {"j1": "s", "j2": "t"}, {"j1": 1.0, "j2": 9.0}, 0.0)
     assert {start.instance for start in starts} == {"a", "b"}
 
@@ -153,7 +155,7 @@
 
 
 def test_after_a_claim_the_next_one_waits_and_an_owner_resets_that():
-    orphans = JobOrphans("a")
+    orphans = OrphanedJobs("a")
     orphans.orphaned("j", 0.0)
     assert orphans.may_claim("j", ["a"], True, False, 1.0)
     assert not orphans.may_claim("j", ["a"], True, False, 1.1)
@@ -168,9 +170,9 @@
         room("slow", 3, 0.09, 4),
         room("fast", 2, 0.03, 5),
         room("slower", 1, 0.2),
-        EngineRoom("b", "t", 1, 0.05, {"m": 1}),
+        EngineCapacity("b", "t", 1, 0.05, {"m": 1}),
     ]
-    spare = spare_rooms(rooms)
-    assert spare["s"] == SpareRoom("fast", 0.03, 2, {"m": 5})
+    spare = spare_capacities(rooms)
+    assert spare["s"] == SpareCapacity("fast", 0.03, 2, {"m": 5})
     assert spare["t"].instance == "b"
-    assert spare_rooms([room("full", 0)]) == {}
+    assert spare_capacities([room("full", 0)]) == {}
--- a/rackswitch/jobs/tests/test_step_order.py
+++ b/rackswitch/jobs/tests/test_step_order.py
@@ -5,14 +5,14 @@
 import msgspec
 
 from rackswitch.jobs import (
-    EngineRoom,
+    EngineCapacity,
     ItemPhase,
     JobItem,
     JobLedger,
     LengthForecast,
     SlackOrder,
     TextPiece,
-    paces_to_be_had,
+    available_paces,
     plan_starts,
     surplus_groups,
 )
@@ -126,11 +126,11 @@
 
 def test_the_pace_to_be_had_is_that_of_the_best_engine_of_a_service():
     rooms = [
-        EngineRoom("a", "s", 1, 0.08, {"m": 1}),
-        EngineRoom("b", "s", 1, 0.04, {"m": 1}),
-        EngineRoom("c", "t", 1, 0.06, {"m": 1}),
+        EngineCapacity("a", "s", 1, 0.08, {"m": 1}),
+        EngineCapacity("b", "s", 1, 0.04, {"m": 1}),
+        EngineCapacity("c", "t", 1, 0.06, {"m": 1}),
     ]
-    assert paces_to_be_had(rooms) == {"s": 0.04, "t": 0.06}
+    assert available_paces(rooms) == {"s": 0.04, "t": 0.06}
 
 
 def test_an_item_is_never_held_back_beside_a_free_engine():
@@ -147,7 +147,7 @@
         due = {ledger.job.job_id: rng.uniform(-5.0, 9.0) for ledger in ledgers}
         classes = {job_id: rng.randint(0, 4) for job_id in due}
         rooms = [
-            EngineRoom(f"e{n}", "s", rng.randint(0, 6), rng.uniform(0.03, 0.09), {"m": 1}, 6)
+            EngineCapacity(f"e{n}", "s", rng.randint(0, 6), rng.uniform(0.03, 0.09), {"m": 1}, 6)
             for n in range(rng.randint(1, 6))
         ]
         free = sum(room.free_slots for room in rooms)
@@ -175,7 +175,7 @@
         if rounds % 2 == 0 and rounds < 10:
             ledgers.append(group_ledger([[rng.uniform(5, 20)]], job_id=f"r{rounds}"))
         due = {ledger.job.job_id: 7.5 + place for place, ledger in enumerate(ledgers)}
-        room = EngineRoom("a", "s", 1, 0.04, {"m": 1}, 6)
+        room = EngineCapacity("a", "s", 1, 0.04, {"m": 1}, 6)
         order = order_of(ledgers, due)
         services = dict.fromkeys(due, "s")
         for start in plan_starts(ledgers, [room], services, due, 0.0, order=order):
@@ -190,7 +190,7 @@
         group_ledger([[10], [10], [90]], wanted=2, job_id="early"),
         group_ledger([[10]], job_id="late"),
     ]
-    room = EngineRoom("a", "s", 4, 0.04, {"m": 1})
+    room = EngineCapacity("a", "s", 4, 0.04, {"m": 1})
     services, due = {"early": "s", "late": "s"}, {"early": 5.0, "late": 9.0}
     starts = plan_starts(ledgers, [room], services, due, 0.0)
     items = [start.progress.item.item_id for start in starts]
--- a/rackswitch/jobs/tests/test_stragglers.py
+++ b/rackswitch/jobs/tests/test_stragglers.py
@@ -1,9 +1,9 @@
 import pytest
 
-from rackswitch.jobs import RunGaps, SpareRoom, should_move
-from rackswitch.jobs.stragglers import GAPS_SEEN, LEAST_GAPS, MOST_MOVES
+from rackswitch.jobs import PieceIntervals, SpareCapacity, should_move
+from rackswitch.jobs.stragglers import GAPS_SEEN, MAX_MOVES, MIN_GAPS
 
-SPARE = SpareRoom("fast", 0.04, 2)
+SPARE = SpareCapacity("fast", 0.04, 2)
 
 
 @pytest.mark.parametrize(
@@ -16,10 +16,10 @@
         (0.045, SPARE, "slow", 500.0, 0, False),
         (None, SPARE, "slow", 50.0, 0, False),
         (0.12, None, "slow", 50.0, 0, False),
-        (0.12, SpareRoom("fast", 0.04, 0), "slow", 50.0, 0, False),
+        (0.12, SpareCapacity("fast", 0.04, 0), "slow", 50.0, 0, False),
         (0.12, SPARE, "fast", 50.0, 0, False),
         (0.12, SPARE, "slow", 2.0, 0, False),
-        (0.12, SPARE, "slow", 50.0, MOST_MOVES, False),
+        (0.12, SPARE, "slow", 50.0, MAX_MOVES, False),
     ],
 )
 def test_a_slow_run_with_much_to_come_goes_where_there_is_room(
@@ -28,9 +28,9 @@
     assert should_move(pace, spare, instance, remaining, moves) is moved
 
 
-def gaps_of(*gaps_seconds: float) -> RunGaps:
+def gaps_of(*gaps_seconds: float) -> PieceIntervals:
     """Return a run whose pieces came with these gaps."""
-    gaps = RunGaps()
+    gaps = PieceIntervals()
     gaps.piece_came(0.0)
     now_seconds = 0.0
     for gap_seconds in gaps_seconds:
@@ -50,11 +50,11 @@
 
 
 def test_too_few_gaps_say_nothing():
-    assert gaps_of(*[0.5] * (LEAST_GAPS - 1)).seconds_per_piece() is None
+    assert gaps_of(*[0.5] * (MIN_GAPS - 1)).seconds_per_piece() is None
 
 
 def test_the_first_piece_has_no_gap():
-    gaps = RunGaps()
+    gaps = PieceIntervals()
     assert gaps.piece_came(3.0) is None
     assert gaps.piece_came(3.5) == 0.5
     assert gaps.first_at_seconds == 3.0
--- a/rackswitch/limits/buckets.py
+++ b/rackswitch/limits/buckets.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from rackswitch.limits.shares import UNITS_TOLERANCE, ShareBook
+from rackswitch.limits.shares import UNITS_TOLERANCE, ShareLedger
 
 __all__ = ["ConcurrencyLimit", "RateLimit"]
 
@@ -16,11 +16,11 @@
 
     Attributes
     ----------
-    book : ShareBook
+    book : ShareLedger
         Shares in requests per second.
     """
 
-    book: ShareBook
+    book: ShareLedger
     tokens: float = 0.0
     filled_at_seconds: float | None = None
     demand_per_second: float = 0.0
@@ -71,7 +71,7 @@
 class ConcurrencyLimit:
     """Requests in progress at once, up to this daemon's share of a global number."""
 
-    book: ShareBook
+    book: ShareLedger
     in_progress: int = 0
     refused: int = 0
 
--- a/rackswitch/limits/shares.py
+++ b/rackswitch/limits/shares.py
@@ -15,7 +15,7 @@
 
 from rackswitch.outcomes import check_invariant
 
-__all__ = ["LOAN_LIFE_SECONDS", "Loan", "ShareBook"]
+__all__ = ["LOAN_LIFE_SECONDS", "LentShare", "ShareLedger"]
 
 LOAN_LIFE_SECONDS = 6.0
 LOAN_MARGIN_SECONDS = 0.5
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loan:
+class LentShare:
     """Units of a limit lent from one daemon to another until a deadline."""
 
     loan_id: int
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class ShareBook:
+class ShareLedger:
     """One daemon's part of one limit, in the limit's own unit.
 
     Attributes
@@ -45,8 +45,8 @@
     """
 
     base_units: float
-    lent: list[Loan] = field(default_factory=list)
-    borrowed: dict[tuple[str, int], Loan] = field(default_factory=dict)
+    lent: list[LentShare] = field(default_factory=list)
+    borrowed: dict[tuple[str, int], LentShare] = field(default_factory=dict)
     announced_at_seconds: dict[int, float] = field(default_factory=dict)
     _next_loan: int = 1
 
@@ -57,7 +57,7 @@
         borrowed_units = sum(loan.units for loan in self.borrowed.values())
         return max(0.0, self.base_units - lent_units) + borrowed_units
 
-    def lend(self, wanted_units: float, used_units: float, now_seconds: float) -> Loan | None:
+    def lend(self, wanted_units: float, used_units: float, now_seconds: float) -> LentShare | None:
         """Give up spare base units for the time of one loan.
 
         Parameters
@@ -71,7 +71,7 @@
 
         Returns
         -------
-        Loan or None
+        LentShare or None
             The loan as the lender counts it; the borrower's copy ends earlier by the
             margin. None if there is nothing to spare.
         """
@@ -82,7 +82,7 @@
         if units <= UNITS_TOLERANCE:
             return None
         deadline_seconds = now_seconds + LOAN_LIFE_SECONDS + LOAN_MARGIN_SECONDS
-        loan = Loan(self._next_loan, units, deadline_seconds)
+        loan = LentShare(self._next_loan, units, deadline_seconds)
         self._next_loan += 1
         self.lent.append(loan)
         total = sum(each.units for each in self.lent)
@@ -110,7 +110,7 @@
         deadline_seconds = announced_at_seconds + LOAN_LIFE_SECONDS
         if now_seconds >= deadline_seconds:
             return False
-        loan = Loan(loan_id, units, deadline_seconds)
+        loan = LentShare(loan_id, units, deadline_seconds)
         self.borrowed.setdefault((lender, loan_id), loan)
         return True
 
--- a/rackswitch/limits/tests/test_shares.py
+++ b/rackswitch/limits/tests/test_shares.py
@@ -11,7 +11,7 @@
     run_state_machine_as_test,
 )
 
-from rackswitch.limits import LOAN_LIFE_SECONDS, RateLimit, ShareBook
+from rackswitch.limits import LOAN_LIFE_SECONDS, RateLimit, ShareLedger
 
 LIMIT = 90.0
 DAEMONS = 4
@@ -24,7 +24,7 @@
     def __init__(self):
         super().__init__()
         self.now_seconds = 0.0
-        self.books = [ShareBook(LIMIT / DAEMONS) for _ in range(DAEMONS)]
+        self.books = [ShareLedger(LIMIT / DAEMONS) for _ in range(DAEMONS)]
         self.sequence = 0
         self.announcements = []
         self.loans = []
@@ -82,7 +82,7 @@
 
 
 def test_loans_follow_demand_and_come_back():
-    idle, busy = ShareBook(10.0), ShareBook(10.0)
+    idle, busy = ShareLedger(10.0), ShareLedger(10.0)
     busy.announce(1, 0.0)
     loan = idle.lend(100.0, 0.0, 1.0)
     assert busy.borrow("idle", loan.loan_id, loan.units, 1, 1.1)
@@ -94,7 +94,7 @@
 
 def test_rate_limit_lets_through_its_rate():
     rng = random.Random(1)
-    limit = RateLimit(ShareBook(20.0))
+    limit = RateLimit(ShareLedger(20.0))
     now_seconds, passed = 0.0, 0
     while now_seconds < 30.0:
         now_seconds += rng.expovariate(100.0)
--- a/rackswitch/load/campaign.py
+++ b/rackswitch/load/campaign.py
@@ -34,9 +34,9 @@
 EDITS_PER_SECOND = 1.5
 FAULT_PAUSE_SECONDS = (0.3, 2.5)
 FAULT_LIFE_SECONDS = (0.3, 3.0)
-HEALING_PATIENCE_SECONDS = 60.0
+HEALING_TIMEOUT_SECONDS = 60.0
 TWO_AT_ONCE_SHARE = 0.3
-CALL_PATIENCE_SECONDS = 20.0
+CALL_TIMEOUT_SECONDS = 20.0
 
 Fault = Callable[["Campaign"], Awaitable[None]]
 FAULTS: Registry[Fault] = Registry("fault")
@@ -259,7 +259,7 @@
         """Wait for two more whole steps, all calls' ends, and one table everywhere."""
         goal = self.trainer.record.steps + 2
         try:
-            async with asyncio.timeout(HEALING_PATIENCE_SECONDS):
+            async with asyncio.timeout(HEALING_TIMEOUT_SECONDS):
                 while self.trainer.record.steps < goal and not training.done():
                     await asyncio.sleep(0.05)
                 while len({d.context.view.revision for d in self.fleet.daemons.values()}) > 1:
@@ -270,7 +270,7 @@
         training.cancel()
         await asyncio.gather(training, return_exceptions=True)
         if self._calls:
-            _, pending = await asyncio.wait(self._calls, timeout=CALL_PATIENCE_SECONDS)
+            _, pending = await asyncio.wait(self._calls, timeout=CALL_TIMEOUT_SECONDS)
             if pending:
                 self.report.violations.append(f"{len(pending)} calls without a final answer")
 
--- a/rackswitch/load/daemon_process.py
+++ b/rackswitch/load/daemon_process.py
@@ -22,7 +22,7 @@
 GRACE_SECONDS = 8.0
 """How long a process that was asked to stop may take before it is killed."""
 
-START_PATIENCE_SECONDS = 20.0
+START_TIMEOUT_SECONDS = 20.0
 """How long a process may take until it listens, also on a busy machine."""
 
 POLL_SECONDS = 0.05
@@ -159,13 +159,13 @@
     async def _wait_answering(self, life: Life) -> None:
         try:
             async with (
-                asyncio.timeout(START_PATIENCE_SECONDS),
+                asyncio.timeout(START_TIMEOUT_SECONDS),
                 aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1.0)) as session,
             ):
                 while life.runs and not await self.readiness(session):
                     await asyncio.sleep(POLL_SECONDS)
         except TimeoutError:
-            self.violations.append(f"{self.name} did not listen {START_PATIENCE_SECONDS:.0f} s")
+            self.violations.append(f"{self.name} did not listen {START_TIMEOUT_SECONDS:.0f} s")
 
     async def _watch(self, life: Life) -> None:
         code = await life.process.wait()
--- a/rackswitch/load/main.py
+++ b/rackswitch/load/main.py
@@ -20,8 +20,8 @@
 __all__ = ["main"]
 
 SECONDS_PER_RUN = 30.0
-END_PATIENCE_SECONDS = 120.0
-SOAK_PATIENCE_SECONDS = 120.0
+END_TIMEOUT_SECONDS = 120.0
+SOAK_TIMEOUT_SECONDS = 120.0
 """Beyond a soak's own time, for its start, its last faults and its recovery."""
 
 EXIT_NOT_ENDED = 6
@@ -30,7 +30,7 @@
 async def _run_bounded(campaign: Campaign, run_seconds: float) -> CampaignReport:
     """Run a campaign; one that does not end shows what waits, and ends the program."""
     task = asyncio.create_task(campaign.run(run_seconds))
-    done, _ = await asyncio.wait({task}, timeout=run_seconds + END_PATIENCE_SECONDS)
+    done, _ = await asyncio.wait({task}, timeout=run_seconds + END_TIMEOUT_SECONDS)
     if done:
         return task.result()
     print(f"seed {campaign.report.seed} did not end; what waits:", flush=True)
@@ -45,7 +45,7 @@
     """Run a soak; an order to stop ends it with all that it started."""
     task = asyncio.create_task(soak.run(seconds))
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-    return await asyncio.wait_for(task, seconds + SOAK_PATIENCE_SECONDS)
+    return await asyncio.wait_for(task, seconds + SOAK_TIMEOUT_SECONDS)
 
 
 class Commands:
--- a/rackswitch/load/soak.py
+++ b/rackswitch/load/soak.py
@@ -25,7 +25,7 @@
 FAULT_PAUSE_SECONDS = (0.1, 1.2)
 """Shortest and longest pause before the next fault begins."""
 
-MOST_FAULTS_AT_ONCE = 4
+MAX_FAULTS_AT_ONCE = 4
 CHECK_SECONDS = 0.5
 POLL_SECONDS = 0.1
 READY_SECONDS = 15.0
@@ -35,7 +35,7 @@
 JOBS_WHOLE_SECONDS = 30.0
 """After it, until when all jobs must be whole; some must first be taken over from a dead daemon."""
 
-MOST_SHOWN = 20
+MAX_SHOWN = 20
 
 
 @dataclass(slots=True)
@@ -126,7 +126,7 @@
             await asyncio.sleep(self._rng.uniform(*FAULT_PAUSE_SECONDS))
             running = {task for task in running if not task.done()}
             for number in self._rng.sample(range(len(self._kinds)), min(2, len(self._kinds))):
-                if len(running) < MOST_FAULTS_AT_ONCE:
+                if len(running) < MAX_FAULTS_AT_ONCE:
                     self._counts[self._kinds[number]] += 1
                     fault = self._chosen[number]
                     running.add(asyncio.ensure_future(fault(self.site)))
@@ -201,7 +201,7 @@
 
     def _reported(self) -> SoakReport:
         report = self.report
-        report.violations = self.site.violations[:MOST_SHOWN]
+        report.violations = self.site.violations[:MAX_SHOWN]
         report.faults = dict(self._counts)
         report.answers = dict(self.callers.answers)
         taken = [job for trainer in self.trainers for job in trainer.jobs if job.is_taken]
--- a/rackswitch/load/soak_callers.py
+++ b/rackswitch/load/soak_callers.py
@@ -28,7 +28,7 @@
 """A 500 would be the daemon's own, since no target here answers so."""
 
 NOT_RUN = frozenset((408, 429, 503))
-MOST_RUNS = {"look": 3, "lodge": 1, "added": 3}
+MAX_RUNS = {"look": 3, "lodge": 1, "added": 3}
 """As the operator's table says of the routes."""
 
 
@@ -131,7 +131,7 @@
         for seen in self.seen:
             count = runs[seen.request_id]
             said = f"{seen.request_id} at {seen.daemon}: {seen.status} {seen.detail}"
-            if count > MOST_RUNS[seen.kind]:
+            if count > MAX_RUNS[seen.kind]:
                 found.append(f"{said}, ran {count} times")
             if seen.status == 200 and (seen.detail or not count):
                 found.append(f"{said}, ran {count} times, not its own answer")
--- a/rackswitch/load/soak_faults.py
+++ b/rackswitch/load/soak_faults.py
@@ -13,8 +13,8 @@
 SoakFault = Callable[[SoakSite], Awaitable[None]]
 SOAK_FAULTS: Registry[SoakFault] = Registry("fault of a soak")
 
-MOST_DELAY_SECONDS = 0.4
-MOST_LOST_ANSWERS = 8
+MAX_DELAY_SECONDS = 0.4
+MAX_LOST_ANSWERS = 8
 
 
 async def _replace(site: SoakSite, daemon: DaemonProcess, planned: bool) -> None:
@@ -78,7 +78,7 @@
 
 @SOAK_FAULTS.register("store-slow")
 async def _store_slow(site: SoakSite) -> None:
-    slow = LinkFaults(delay_seconds=site.rng.uniform(0.05, MOST_DELAY_SECONDS))
+    slow = LinkFaults(delay_seconds=site.rng.uniform(0.05, MAX_DELAY_SECONDS))
     await site.fault_links([daemon.link for daemon in site.daemons], slow)
 
 
@@ -100,7 +100,7 @@
 
 @SOAK_FAULTS.register("store-loses-answers")
 async def _store_loses_answers(site: SoakSite) -> None:
-    count = site.rng.randint(1, MOST_LOST_ANSWERS)
+    count = site.rng.randint(1, MAX_LOST_ANSWERS)
     await site.fault_stand_in(site.store.faults, lost_answers=count)
 
 
@@ -136,7 +136,7 @@
 
 @SOAK_FAULTS.register("target-slow")
 async def _target_slow(site: SoakSite) -> None:
-    slow = LinkFaults(delay_seconds=site.rng.uniform(0.02, MOST_DELAY_SECONDS))
+    slow = LinkFaults(delay_seconds=site.rng.uniform(0.02, MAX_DELAY_SECONDS))
     await site.fault_links([site.rng.choice(site.targets).link], slow)
 
 
--- a/rackswitch/load/soak_trainer.py
+++ b/rackswitch/load/soak_trainer.py
@@ -14,11 +14,11 @@
 
 __all__ = ["JobSeen", "SoakTrainer"]
 
-PATIENCE_SECONDS = 4.0
+TIMEOUT_SECONDS = 4.0
 WAIT_MS = 400
 RETRY_SECONDS = 0.1
-MOST_ITEMS = 12
-MOST_PIECES = 250
+MAX_ITEMS = 12
+MAX_PIECES = 250
 """About a second of an engine's time."""
 
 REREAD_SHARE = 0.3
@@ -75,8 +75,8 @@
 
     async def work_through(self, session: aiohttp.ClientSession) -> JobSeen:
         """Submit one job and read it to its end."""
-        count = self._rng.randint(2, MOST_ITEMS)
-        pieces = [self._rng.randint(1, MOST_PIECES) for _ in range(count)]
+        count = self._rng.randint(2, MAX_ITEMS)
+        pieces = [self._rng.randint(1, MAX_PIECES) for _ in range(count)]
         oldest = max(1, self._site.named_version - STALENESS_VERSIONS)
         job = JobSeen(f"{self._name}-{len(self.jobs)}", pieces, oldest)
         self.jobs.append(job)
@@ -180,7 +180,7 @@
         self._site.violations.append(line)
 
     def _session(self) -> aiohttp.ClientSession:
-        return aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=PATIENCE_SECONDS))
+        return aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=TIMEOUT_SECONDS))
 
 
 def _text(pieces: int) -> str:
--- a/rackswitch/load/tests/test_campaign.py
+++ b/rackswitch/load/tests/test_campaign.py
@@ -8,12 +8,12 @@
 from rackswitch.load.campaign import FAULTS, Campaign
 from rackswitch.registry import UnknownNameError
 
-PATIENCE_SECONDS = 120.0
+TIMEOUT_SECONDS = 120.0
 
 
 @pytest.mark.parametrize(("profile", "seed"), [(ASSOCIATION, 4), (REGISTER, 5)])
 def test_nothing_that_must_hold_is_violated(profile, seed):
-    report = asyncio.run(asyncio.wait_for(Campaign(profile, seed).run(8.0), PATIENCE_SECONDS))
+    report = asyncio.run(asyncio.wait_for(Campaign(profile, seed).run(8.0), TIMEOUT_SECONDS))
     assert report.violations == []
     assert sum(report.faults.values()) >= 2
     assert report.completed > 0
--- a/rackswitch/load/tests/test_link.py
+++ b/rackswitch/load/tests/test_link.py
@@ -7,7 +7,7 @@
 from rackswitch.load.link import BACKWARD, BOTH, FORWARD, Link, LinkFaults
 
 SHORT_SECONDS = 0.2
-PATIENCE_SECONDS = 5.0
+TIMEOUT_SECONDS = 5.0
 
 
 async def _echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -25,7 +25,7 @@
         link = Link(f"{host}:{port}")
         await link.open()
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 await scenario(link)
         finally:
             await link.close()
--- a/rackswitch/load/tests/test_soak.py
+++ b/rackswitch/load/tests/test_soak.py
@@ -15,12 +15,12 @@
 
 SEED = 11
 FAULT_SECONDS = 2.5
-PATIENCE_SECONDS = 100.0
+TIMEOUT_SECONDS = 100.0
 
 
 def test_nothing_that_must_hold_is_violated_by_real_processes(tmp_path):
     soak = Soak(SEED, 3, tmp_path)
-    report = asyncio.run(asyncio.wait_for(soak.run(FAULT_SECONDS), PATIENCE_SECONDS))
+    report = asyncio.run(asyncio.wait_for(soak.run(FAULT_SECONDS), TIMEOUT_SECONDS))
     assert report.violations == []
     assert sum(report.faults.values()) >= 2
     assert report.answers["200"] > 0
--- a/rackswitch/peers/links.py
+++ b/rackswitch/peers/links.py
@@ -13,7 +13,7 @@
 
 __all__ = ["SECRET_METADATA", "PeerLinks", "PeerUnreachable"]
 
-MOST_CHANNELS = 64
+MAX_CHANNELS = 64
 SECRET_METADATA = "rackswitch-fleet-secret"
 PEER_ERRORS = (GRPCError, StreamTerminatedError, OSError, TimeoutError, asyncio.IncompleteReadError)
 
@@ -40,13 +40,13 @@
         The fleet's secret, by which daemons know each other; empty if there is none.
     """
 
-    __slots__ = ("_channels", "_secret", "blocked", "calls", "most_channels")
+    __slots__ = ("_channels", "_secret", "blocked", "calls", "max_channels")
 
     def __init__(self, secret: str):
         self._secret = secret
         self._channels: OrderedDict[tuple[str, int], Channel] = OrderedDict()
         self.calls = 0
-        self.most_channels = MOST_CHANNELS
+        self.max_channels = MAX_CHANNELS
         self.blocked: set[str] = set()
         """Peers that tests have cut off."""
 
@@ -82,7 +82,7 @@
             channel = Channel(host, port)
             self._channels[key] = channel
         self._channels.move_to_end(key)
-        if len(self._channels) > self.most_channels:
+        if len(self._channels) > self.max_channels:
             _, oldest = self._channels.popitem(last=False)
             oldest.close()
         return channel
--- a/rackswitch/platform/connections.py
+++ b/rackswitch/platform/connections.py
@@ -9,13 +9,13 @@
 from aiohttp.client_proto import ResponseHandler
 
 from rackswitch.platform.answers import OTHER_TARGET_STATUS
-from rackswitch.platform.load_words import load_word_of
+from rackswitch.platform.load_header import load_word_of
 from rackswitch.platform.names import REQUEST_ID_HEADER
-from rackswitch.routing import ListedTarget, LoadWord
+from rackswitch.routing import ListedTarget, ReportedLoad
 
 __all__ = ["TargetSessions", "WordHeard"]
 
-WordHeard = Callable[[ListedTarget, LoadWord], None]
+WordHeard = Callable[[ListedTarget, ReportedLoad], None]
 """Takes in what a target says of its load."""
 
 CONNECT_TIMEOUT_SECONDS = 0.5
--- a/rackswitch/platform/events.py
+++ b/rackswitch/platform/events.py
@@ -5,7 +5,7 @@
 from rackswitch.jobs import TextPiece
 from rackswitch.platform.names import VERSIONS_HEADER
 
-__all__ = ["EventCutter", "EventParser"]
+__all__ = ["EventParser", "EventSplitter"]
 
 VERSION_FIELD = VERSIONS_HEADER.lower()
 
@@ -95,7 +95,7 @@
         return piece
 
 
-class EventCutter:
+class EventSplitter:
     """Cuts a stream into whole events without changing a byte.
 
     Attributes
--- a/rackswitch/platform/item_runs.py
+++ b/rackswitch/platform/item_runs.py
@@ -19,7 +19,7 @@
 from rackswitch.platform.caller_headers import headers_for_target
 from rackswitch.platform.connections import TargetSessions
 from rackswitch.platform.events import EventParser
-from rackswitch.platform.load_words import load_word_of
+from rackswitch.platform.load_header import load_word_of
 from rackswitch.platform.names import (
     EXPECT_INSTANCE_HEADER,
     LAST_EVENT_HEADER,
@@ -28,7 +28,7 @@
     VERSIONS_HEADER,
 )
 from rackswitch.routing import ListedTarget
-from rackswitch.tenants import ANYBODY, Caller
+from rackswitch.tenants import ANONYMOUS, Caller
 
 __all__ = ["ItemClient", "ItemRequest", "ItemRunEnd", "ItemRunEnded"]
 
@@ -89,7 +89,7 @@
     item: JobItem
     after_piece: int
     urgency: int
-    caller: Caller = ANYBODY
+    caller: Caller = ANONYMOUS
 
 
 class ItemClient:
--- a/rackswitch/platform/job_calls.py
+++ b/rackswitch/platform/job_calls.py
@@ -25,7 +25,7 @@
 
 RESULTS_PATH = "/rackswitch/lots/"
 ITEMS_PATH = "/rackswitch/items/"
-MOST_WAIT_SECONDS = 30.0
+MAX_WAIT_SECONDS = 30.0
 """Longest time that a read may ask to be held for."""
 
 
@@ -129,7 +129,7 @@
     wait_ms = exchange.header(WAIT_HEADER) or "0"
     if not wait_ms.isdigit():
         return MalformedRequest(f"`{WAIT_HEADER}` must be a whole number (found {wait_ms!r})")
-    return ReadResults(job_id, int(position), min(MOST_WAIT_SECONDS, int(wait_ms) / 1000))
+    return ReadResults(job_id, int(position), min(MAX_WAIT_SECONDS, int(wait_ms) / 1000))
 
 
 def _query_value(exchange: Exchange, name: str) -> str | None:
--- a/rackswitch/platform/load_words.py
+++ b/rackswitch/platform/load_header.py
@@ -7,11 +7,11 @@
 from collections.abc import Mapping
 
 from rackswitch.platform.names import SERVER_LOAD_HEADER
-from rackswitch.routing import LoadWord
+from rackswitch.routing import ReportedLoad
 
 __all__ = ["load_word_of"]
 
-LEAST_FIGURES = 3
+MIN_FIGURES = 3
 """Running, waiting, slots; with fewer there is no word."""
 
 PACE_FIGURE = 3
@@ -20,14 +20,14 @@
 USUAL_PERCENT = 100
 """The pace of a target at which work takes its usual time."""
 
-MOST_PERCENT = 100_000
+MAX_PERCENT = 100_000
 """A pace over this, a thousand times slower than usual, is taken for an error of the target."""
 
-MOST_DIGITS = 9
+MAX_DIGITS = 9
 """Longer numbers are no counts, and would be costly to convert."""
 
 
-def load_word_of(headers: Mapping[str, str], now_seconds: float) -> LoadWord | None:
+def load_word_of(headers: Mapping[str, str], now_seconds: float) -> ReportedLoad | None:
     """Return the load that a target tells with an answer; None if it tells none that makes sense.
 
     Parameters
@@ -39,22 +39,22 @@
     """
     parts = headers.get(SERVER_LOAD_HEADER, "").split(",")
     figures = [_figure(part) for part in parts[: PACE_FIGURE + 1]]
-    if len(figures) < LEAST_FIGURES:
+    if len(figures) < MIN_FIGURES:
         return None
-    running, waiting, slots = figures[:LEAST_FIGURES]
+    running, waiting, slots = figures[:MIN_FIGURES]
     if running is None or waiting is None or not slots:
         return None
     if len(figures) <= PACE_FIGURE:
-        return LoadWord(running, waiting, slots, None, now_seconds)
+        return ReportedLoad(running, waiting, slots, None, now_seconds)
     percent = figures[PACE_FIGURE]
-    if not percent or percent > MOST_PERCENT:
+    if not percent or percent > MAX_PERCENT:
         return None
-    return LoadWord(running, waiting, slots, percent / USUAL_PERCENT, now_seconds)
+    return ReportedLoad(running, waiting, slots, percent / USUAL_PERCENT, now_seconds)
 
 
 def _figure(text: str) -> int | None:
     """Return a whole number as it stands in a header, or None."""
     digits = text.strip()
-    if not digits.isascii() or not digits.isdigit() or len(digits) > MOST_DIGITS:
+    if not digits.isascii() or not digits.isdigit() or len(digits) > MAX_DIGITS:
         return None
     return int(digits)
--- a/rackswitch/platform/loaded_models.py
+++ b/rackswitch/platform/loaded_models.py
@@ -6,10 +6,10 @@
 
 __all__ = ["Count", "WireLoadedModel", "versions_of"]
 
-MOST_COUNT = 2**53
+MAX_COUNT = 2**53
 """The largest whole number that every writer of JSON can tell."""
 
-Count = Annotated[int, msgspec.Meta(ge=0, le=MOST_COUNT)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
 """A whole number that counts something."""
 
 
--- a/rackswitch/platform/servers.py
+++ b/rackswitch/platform/servers.py
@@ -13,12 +13,12 @@
 
 __all__ = ["decode_target", "target_instance"]
 
-MOST_SLOTS = 100_000
+MAX_SLOTS = 100_000
 """More than any engine works on at once; a larger number is another writer's."""
 
 ADDRESS = re.compile(r"([0-9.]+):([0-9]{1,5})", re.ASCII)
 
-Slots = Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
+Slots = Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
 Milliseconds = Annotated[float, msgspec.Meta(ge=0)]
 Name = Annotated[str, msgspec.Meta(min_length=1)]
 
--- a/rackswitch/platform/store.py
+++ b/rackswitch/platform/store.py
@@ -64,7 +64,7 @@
 WATCH_PATH = "/rackswitch/kv-watch"
 """The one call that the service answers only when there is news, or its time is over."""
 
-MOST_PAGES = 200
+MAX_PAGES = 200
 
 
 @KV_CLIENTS.register(PROTOCOL_NAME)
@@ -126,7 +126,7 @@
         entries: dict[str, KvEntry] = {}
         first_revision = 0
         start = after_key
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             # The service takes the key to go on from under the name of a revision.
             query = {"path_prefix": prefix, **({"since_rev": start} if start else {})}
             query.update(STALE if may_be_stale else {})
--- a/rackswitch/platform/store_calls.py
+++ b/rackswitch/platform/store_calls.py
@@ -29,13 +29,13 @@
 TARGET_PREFIX = "/rackswitch/kv-"
 """All calls to the service begin so; nothing else is passed on."""
 
-MOST_TARGET_CHARACTERS = 2000
+MAX_TARGET_CHARACTERS = 2000
 """A key has at most 200 bytes; escaped, and with the other fields, it stays below this."""
 
-MOST_CONTENT_BYTES = 4_000_000
+MAX_CONTENT_BYTES = 4_000_000
 """A value may have 1 MiB, some 1.4 MB in base64; a job of several chunks has more of them."""
 
-MOST_LIMIT_SECONDS = 5.0
+MAX_LIMIT_SECONDS = 5.0
 """More than any call of ours is given."""
 
 
@@ -94,12 +94,12 @@
         return MalformedCall(f"`method` {call.method!r} is none of {METHODS}")
     if not call.target.startswith(TARGET_PREFIX) or not call.target.isprintable():
         return MalformedCall(f"`target` does not begin with {TARGET_PREFIX}")
-    if len(call.target) > MOST_TARGET_CHARACTERS:
-        return MalformedCall(f"`target` has more than {MOST_TARGET_CHARACTERS} characters")
-    if len(call.content) > MOST_CONTENT_BYTES:
-        return MalformedCall(f"`content` has more than {MOST_CONTENT_BYTES} bytes")
-    if not 0 < call.limit_seconds <= MOST_LIMIT_SECONDS:
-        return MalformedCall(f"`limit_seconds` is not in (0, {MOST_LIMIT_SECONDS}]")
+    if len(call.target) > MAX_TARGET_CHARACTERS:
+        return MalformedCall(f"`target` has more than {MAX_TARGET_CHARACTERS} characters")
+    if len(call.content) > MAX_CONTENT_BYTES:
+        return MalformedCall(f"`content` has more than {MAX_CONTENT_BYTES} bytes")
+    if not 0 < call.limit_seconds <= MAX_LIMIT_SECONDS:
+        return MalformedCall(f"`limit_seconds` is not in (0, {MAX_LIMIT_SECONDS}]")
     return call
 
 
--- a/rackswitch/platform/tests/test_events.py
+++ b/rackswitch/platform/tests/test_events.py
@@ -2,7 +2,7 @@
 from hypothesis import given
 
 from rackswitch.jobs import TextPiece
-from rackswitch.platform.events import EventCutter, EventParser
+from rackswitch.platform.events import EventParser, EventSplitter
 
 STREAM = (
     b"id: 1\ndata: a\n\n"
@@ -49,7 +49,7 @@
 
 @given(st.lists(st.integers(0, 1000), max_size=8))
 def test_cut_events_are_the_streams_own_bytes(places):
-    cutter = EventCutter()
+    cutter = EventSplitter()
     events = [event for data in cut(STREAM, places) for event in cutter.feed(data)]
     assert b"".join(events) == STREAM
     assert len(events) == 3
@@ -58,7 +58,7 @@
 
 
 def test_a_part_of_an_event_is_kept_back():
-    cutter = EventCutter()
+    cutter = EventSplitter()
     assert list(cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda")) == [b"id: 1\ndata: a\n\n"]
     assert not cutter.is_between_events
     assert cutter.last_number == "1"
--- a/rackswitch/platform/tests/test_load_words.py
+++ b/rackswitch/platform/tests/test_load_header.py
@@ -2,20 +2,20 @@
 
 import pytest
 
-from rackswitch.platform.load_words import load_word_of
+from rackswitch.platform.load_header import load_word_of
 from rackswitch.platform.names import SERVER_LOAD_HEADER
-from rackswitch.routing import LoadWord
+from rackswitch.routing import ReportedLoad
 
 
 @pytest.mark.parametrize(
     ("text", "word"),
     [
-        ("6,9,8", LoadWord(6, 9, 8, None, 1.5)),
-        (" 6, 9 ,8 ", LoadWord(6, 9, 8, None, 1.5)),
-        ("6,9,8,120", LoadWord(6, 9, 8, 1.2, 1.5)),
-        ("0,0,6,55", LoadWord(0, 0, 6, 0.55, 1.5)),
+        ("6,9,8", ReportedLoad(6, 9, 8, None, 1.5)),
+        (" 6, 9 ,8 ", ReportedLoad(6, 9, 8, None, 1.5)),
+        ("6,9,8,120", ReportedLoad(6, 9, 8, 1.2, 1.5)),
+        ("0,0,6,55", ReportedLoad(0, 0, 6, 0.55, 1.5)),
         # What later services may add is not ours to read.
-        ("6,9,8,120,7,x", LoadWord(6, 9, 8, 1.2, 1.5)),
+        ("6,9,8,120,7,x", ReportedLoad(6, 9, 8, 1.2, 1.5)),
         ("6,9", None),
         ("", None),
         (",,,", None),
--- a/rackswitch/quarantine/inquiries.py
+++ b/rackswitch/quarantine/end_investigations.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-__all__ = ["LOOK_PAUSE_SECONDS", "EndEvidence", "Inquiries", "Look", "TargetEnd"]
+__all__ = ["LOOK_PAUSE_SECONDS", "EndEvidence", "EndInvestigations", "ProbeOutcome", "TargetEnd"]
 
 LOOK_PAUSE_SECONDS = 0.2
 """Between two looks at a target that refused a connection or did not answer."""
@@ -22,11 +22,11 @@
 """How long a target that neither answers nor refuses is asked after: an entry goes from the
 platform's list after three heartbeats of silence, 2.6 to 3.5 s on the recorded day."""
 
-MOST_RUNS = 64
+MAX_RUNS = 64
 """Broken runs that are kept of one target: more than an engine's slots and its queue's head."""
 
 
-class Look(Enum):
+class ProbeOutcome(Enum):
     """What one try to connect to a target showed."""
 
     ANSWERED = "answered"
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Inquiries:
+class EndInvestigations:
     """The targets whose runs broke and of which it is not known yet whether they ended."""
 
     _open: dict[str, _Inquiry] = field(default_factory=dict)
@@ -79,12 +79,12 @@
         if inquiry is None:
             inquiry = _Inquiry({}, now_seconds + INQUIRY_SECONDS)
             self._open[target] = inquiry
-        if len(inquiry.fingerprints) < MOST_RUNS:
+        if len(inquiry.fingerprints) < MAX_RUNS:
             inquiry.fingerprints.setdefault(fingerprint, now_seconds)
         return is_new
 
     def looked(
-        self, target: str, look: Look, looked_at_seconds: float, now_seconds: float
+        self, target: str, look: ProbeOutcome, looked_at_seconds: float, now_seconds: float
     ) -> TargetEnd | None:
         """Take in a look; return the target's end if it shows one.
 
@@ -92,7 +92,7 @@
         ----------
         target : str
             The target.
-        look : Look
+        look : ProbeOutcome
             What was seen.
         looked_at_seconds, now_seconds : float
             When the look began, and when it ended (same clock).
@@ -100,12 +100,12 @@
         inquiry = self._open.get(target)
         if inquiry is None:
             return None
-        if look is Look.ANSWERED:
+        if look is ProbeOutcome.ANSWERED:
             # What broke while the look was under way may have to do with a later end.
             later = {fp: at for fp, at in inquiry.fingerprints.items() if at > looked_at_seconds}
             inquiry.fingerprints = later
             inquiry.refusals = 0
-        elif look is Look.REFUSED:
+        elif look is ProbeOutcome.REFUSED:
             inquiry.refusals += 1
             if inquiry.refusals >= REFUSALS_TO_TELL:
                 return self.ended(target, EndEvidence.REFUSED)
--- a/rackswitch/quarantine/evidence.py
+++ b/rackswitch/quarantine/evidence.py
@@ -2,15 +2,15 @@
 
 from dataclasses import dataclass, field
 
-from rackswitch.quarantine.records import Acquittal, EndedTarget, EndRecord
+from rackswitch.quarantine.records import ClearedRequest, EndedTarget, EndRecord
 
-__all__ = ["Evidence", "OwnEnds"]
+__all__ = ["Evidence", "LocalEnds"]
 
-MOST_ENDS = 32
+MAX_ENDS = 32
 """Ends that one daemon tells of: a request is held back after three, so that ten requests of that
 kind at one daemon are not lost among others. Full, a record has some 45 KB."""
 
-MOST_ACQUITTALS = 64
+MAX_ACQUITTALS = 64
 
 RECORD_LIFE_SECONDS = 3600.0
 """After so long without another end a request may run freely again: what ended its targets may have
@@ -18,11 +18,11 @@
 
 
 @dataclass(slots=True)
-class OwnEnds:
+class LocalEnds:
     """The ends that this daemon has seen, within bounds."""
 
     ends: list[EndedTarget] = field(default_factory=list)
-    acquittals: list[Acquittal] = field(default_factory=list)
+    acquittals: list[ClearedRequest] = field(default_factory=list)
 
     def adopt(self, record: EndRecord) -> None:
         """Go on with the record of an earlier process of this daemon."""
@@ -42,7 +42,7 @@
                 left.append(EndedTarget(end.target, runs, end.at_unix_seconds))
         self.ends = left
         if targets:
-            told = Acquittal(fingerprint, tuple(sorted(targets)), now_unix_seconds)
+            told = ClearedRequest(fingerprint, tuple(sorted(targets)), now_unix_seconds)
             self.acquittals = [kept for kept in self.acquittals if kept.fingerprint != fingerprint]
             self.acquittals.append(told)
 
@@ -51,8 +51,8 @@
         oldest_seconds = now_unix_seconds - RECORD_LIFE_SECONDS
         ends = [end for end in self.ends if end.at_unix_seconds >= oldest_seconds]
         acquittals = [kept for kept in self.acquittals if kept.at_unix_seconds >= oldest_seconds]
-        self.ends = ends[-MOST_ENDS:]
-        self.acquittals = acquittals[-MOST_ACQUITTALS:]
+        self.ends = ends[-MAX_ENDS:]
+        self.acquittals = acquittals[-MAX_ACQUITTALS:]
 
     def record(self, number: int, lease_id: int) -> EndRecord:
         """Return what there is to tell."""
@@ -111,7 +111,7 @@
         targets = self._ends.get(fingerprint, ())
         return any(self._present[target] == {fingerprint} for target in targets)
 
-    def most_suspected_beside(self, fingerprint: str) -> int:
+    def max_suspected_beside(self, fingerprint: str) -> int:
         """Return the most ends of any request that was present at an end with this one."""
         self._refresh()
         others = {
--- a/rackswitch/quarantine/records.py
+++ b/rackswitch/quarantine/records.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-__all__ = ["Acquittal", "EndRecord", "EndedTarget", "TrialRecord"]
+__all__ = ["ClearedRequest", "EndRecord", "EndedTarget", "TrialRecord"]
 
 
 class EndedTarget(msgspec.Struct, frozen=True):
@@ -24,7 +24,7 @@
     at_unix_seconds: float
 
 
-class Acquittal(msgspec.Struct, frozen=True):
+class ClearedRequest(msgspec.Struct, frozen=True):
     """A request that a target has answered, so that ends it was present at have other causes."""
 
     fingerprint: str
@@ -46,7 +46,7 @@
     number: int = 0
     lease_id: int = 0
     ends: tuple[EndedTarget, ...] = ()
-    acquittals: tuple[Acquittal, ...] = ()
+    acquittals: tuple[ClearedRequest, ...] = ()
 
 
 class TrialRecord(msgspec.Struct, frozen=True):
