--- a/rackswitch/quarantine/tests/test_decisions.py
+++ b/rackswitch/quarantine/tests/test_decisions.py
@@ -9,23 +9,23 @@
 
 from rackswitch.quarantine import (
     EndEvidence,
+    EndInvestigations,
     EndRecord,
     Evidence,
-    Free,
     HeldBack,
-    Inquiries,
-    Look,
-    OwnEnds,
+    LocalEnds,
+    NotSuspected,
     Paced,
+    ProbeOutcome,
     Suspicion,
     TrialDue,
     TrialRecord,
     judge,
     request_fingerprint,
 )
-from rackswitch.quarantine.evidence import MOST_ENDS, RECORD_LIFE_SECONDS
-from rackswitch.quarantine.inquiries import INQUIRY_SECONDS, MOST_RUNS, REFUSALS_TO_TELL
-from rackswitch.quarantine.verdicts import ENDS_TO_HOLD, MOST_TRIALS
+from rackswitch.quarantine.end_investigations import INQUIRY_SECONDS, MAX_RUNS, REFUSALS_TO_TELL
+from rackswitch.quarantine.evidence import MAX_ENDS, RECORD_LIFE_SECONDS
+from rackswitch.quarantine.verdicts import ENDS_TO_HOLD, MAX_TRIALS
 
 PARTS = ("tenant", "host.example", "POST", "/a/b?c", b"body")
 
@@ -42,46 +42,46 @@
 
 
 def test_a_target_has_ended_when_it_refuses_for_a_while_and_not_when_it_answers():
-    inquiries = Inquiries()
+    inquiries = EndInvestigations()
     assert inquiries.broke("t", "f", 0.0)
     assert not inquiries.broke("t", "g", 0.1)
     for number in range(REFUSALS_TO_TELL - 1):
-        assert inquiries.looked("t", Look.REFUSED, number, number) is None
-    end = inquiries.looked("t", Look.REFUSED, 3.0, 3.0)
+        assert inquiries.looked("t", ProbeOutcome.REFUSED, number, number) is None
+    end = inquiries.looked("t", ProbeOutcome.REFUSED, 3.0, 3.0)
     assert (end.fingerprints, end.evidence) == (("f", "g"), EndEvidence.REFUSED)
     assert not inquiries.is_open("t")
     inquiries.broke("u", "f", 0.0)
-    assert inquiries.looked("u", Look.ANSWERED, 0.0, 0.1) is None
+    assert inquiries.looked("u", ProbeOutcome.ANSWERED, 0.0, 0.1) is None
     assert inquiries.count("f") == 0
 
 
 def test_an_answer_says_nothing_of_runs_that_broke_after_the_look_began():
-    inquiries = Inquiries()
+    inquiries = EndInvestigations()
     inquiries.broke("t", "f", 0.0)
     inquiries.broke("t", "g", 1.5)
-    inquiries.looked("t", Look.ANSWERED, 1.0, 2.0)
+    inquiries.looked("t", ProbeOutcome.ANSWERED, 1.0, 2.0)
     assert (inquiries.count("f"), inquiries.count("g")) == (0, 1)
 
 
 def test_a_target_that_is_silent_is_left_after_a_while_unless_the_list_tells_its_end():
-    inquiries = Inquiries()
+    inquiries = EndInvestigations()
     for target in ("t", "u"):
         inquiries.broke(target, "f", 0.0)
-        assert inquiries.looked(target, Look.SILENT, 0.0, INQUIRY_SECONDS - 0.1) is None
+        assert inquiries.looked(target, ProbeOutcome.SILENT, 0.0, INQUIRY_SECONDS - 0.1) is None
     assert inquiries.ended("t", EndEvidence.UNLISTED).fingerprints == ("f",)
-    inquiries.looked("u", Look.SILENT, INQUIRY_SECONDS, INQUIRY_SECONDS)
+    inquiries.looked("u", ProbeOutcome.SILENT, INQUIRY_SECONDS, INQUIRY_SECONDS)
     assert inquiries.ended("u", EndEvidence.UNLISTED) is None
 
 
 def test_what_is_kept_of_one_target_is_bounded():
-    inquiries = Inquiries()
-    for number in range(10 * MOST_RUNS):
+    inquiries = EndInvestigations()
+    for number in range(10 * MAX_RUNS):
         inquiries.broke("t", f"f{number}", 0.0)
-    assert len(inquiries.ended("t", EndEvidence.REPLACED).fingerprints) == MOST_RUNS
+    assert len(inquiries.ended("t", EndEvidence.REPLACED).fingerprints) == MAX_RUNS
 
 
 def record(number, ends, acquitted=()):
-    own = OwnEnds()
+    own = LocalEnds()
     for target, runs in ends.items():
         own.ended(target, tuple(runs), 100.0)
     for fingerprint, targets in acquitted:
@@ -110,11 +110,11 @@
     assert evidence.count("g") == 0
     assert evidence.is_alone("f")
     assert not evidence.is_alone("h")
-    assert evidence.most_suspected_beside("h") == 2
+    assert evidence.max_suspected_beside("h") == 2
 
 
 def test_an_acquittal_takes_own_ends_out_and_tells_only_of_those_of_others():
-    own = OwnEnds()
+    own = LocalEnds()
     own.ended("t", ("f", "g"), 100.0)
     own.ended("u", ("f",), 100.0)
     own.acquit("f", set(), 101.0)
@@ -126,18 +126,18 @@
 
 
 def test_own_ends_are_bounded_in_number_and_time():
-    own = OwnEnds()
-    for number in range(5 * MOST_ENDS):
+    own = LocalEnds()
+    for number in range(5 * MAX_ENDS):
         own.ended(f"t{number}", ("f",), float(number))
-    own.expire(float(5 * MOST_ENDS))
-    assert len(own.ends) == MOST_ENDS
-    assert own.ends[-1].target == f"t{5 * MOST_ENDS - 1}"
-    own.expire(RECORD_LIFE_SECONDS + 5 * MOST_ENDS)
+    own.expire(float(5 * MAX_ENDS))
+    assert len(own.ends) == MAX_ENDS
+    assert own.ends[-1].target == f"t{5 * MAX_ENDS - 1}"
+    own.expire(RECORD_LIFE_SECONDS + 5 * MAX_ENDS)
     assert own.ends == []
 
 
 def test_a_later_process_goes_on_with_the_record_of_an_earlier_one():
-    own = OwnEnds()
+    own = LocalEnds()
     own.ended("v", ("f",), 102.0)
     own.adopt(record(4, {"t": "f", "u": "f"}))
     evidence = Evidence()
@@ -151,9 +151,9 @@
 @pytest.mark.parametrize(
     ("suspicion", "kind"),
     [
-        (Suspicion(0), Free),
-        (Suspicion(2), Free),
-        (Suspicion(0, unknown=1), Free),
+        (Suspicion(0), NotSuspected),
+        (Suspicion(2), NotSuspected),
+        (Suspicion(0, unknown=1), NotSuspected),
         (Suspicion(1, unknown=1), Paced),
         (Suspicion(0, unknown=2), Paced),
         (Suspicion(3, unknown=1), Paced),
@@ -162,7 +162,7 @@
         (Suspicion(3, is_alone=False, newest_end_unix_seconds=NOW), TrialDue),
         (Suspicion(3, trial=TrialRecord(1, NOW + 5.0)), HeldBack),
         (Suspicion(3, trial=TrialRecord(1, NOW - 5.0)), TrialDue),
-        (Suspicion(9, trial=TrialRecord(MOST_TRIALS, NOW - 5.0)), HeldBack),
+        (Suspicion(9, trial=TrialRecord(MAX_TRIALS, NOW - 5.0)), HeldBack),
         # The records of its ends have gone, that of its trials has not.
         (Suspicion(0, trial=TrialRecord(1, NOW + 5.0)), HeldBack),
     ],
@@ -175,7 +175,7 @@
 def test_a_request_that_ends_each_target_is_sent_three_times_at_most_once_it_is_held(seed):
     """Whoever else was present, whatever is answered meanwhile, however long it goes on."""
     rng = random.Random(seed)
-    evidence, own, now, trial, sends = Evidence(), OwnEnds(), NOW, None, 0
+    evidence, own, now, trial, sends = Evidence(), LocalEnds(), NOW, None, 0
     for number in range(200):
         now += rng.choice((0.05, 1.0, 30.0, 400.0))
         evidence.take("a", own.record(number, 7))
@@ -192,12 +192,12 @@
         own.ended(f"t{number}", ("f", *others), now)
         if rng.random() < 0.7:
             own.acquit(f"g{rng.randrange(40)}", set(), now)
-    assert sends <= MOST_TRIALS
+    assert sends <= MAX_TRIALS
 
 
 @given(st.lists(st.sampled_from(["end", "answer"]), max_size=40))
 def test_a_request_that_targets_answer_is_never_held_for_what_was_before(steps):
-    evidence, own, ends = Evidence(), OwnEnds(), 0
+    evidence, own, ends = Evidence(), LocalEnds(), 0
     for number, step in enumerate(steps):
         if step == "end":
             own.ended(f"t{number}", ("f", "g"), NOW)
@@ -206,7 +206,9 @@
             own.acquit("f", set(), NOW)
             ends = 0
         evidence.take("a", own.record(number, 7))
-        assert isinstance(judge(Suspicion(evidence.count("f")), NOW), Free) == (ends < ENDS_TO_HOLD)
+        assert isinstance(judge(Suspicion(evidence.count("f")), NOW), NotSuspected) == (
+            ends < ENDS_TO_HOLD
+        )
 
 
 def test_a_record_outlasts_its_way_through_the_service():
--- a/rackswitch/quarantine/verdicts.py
+++ b/rackswitch/quarantine/verdicts.py
@@ -10,12 +10,21 @@
 
 from rackswitch.quarantine.records import TrialRecord
 
-__all__ = ["Free", "HeldBack", "Paced", "Suspicion", "TrialDue", "Verdict", "judge", "next_trial"]
+__all__ = [
+    "HeldBack",
+    "NotSuspected",
+    "Paced",
+    "Suspicion",
+    "TrialDue",
+    "Verdict",
+    "judge",
+    "next_trial",
+]
 
 ENDS_TO_HOLD = 3
 """Ends at which a request was present before it is held back: at fewer, bad luck is likelier."""
 
-MOST_TRIALS = 3
+MAX_TRIALS = 3
 """Sends of a request after that, ever: users bear no more of one that ends each of its targets."""
 
 CROWD_PAUSE_SECONDS = 10.0
@@ -60,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Free:
+class NotSuspected:
     """It may be sent."""
 
 
@@ -83,7 +92,7 @@
     until_unix_seconds: float
 
 
-Verdict = Free | Paced | TrialDue | HeldBack
+Verdict = NotSuspected | Paced | TrialDue | HeldBack
 
 
 def judge(suspicion: Suspicion, now_unix_seconds: float) -> Verdict:
@@ -98,7 +107,7 @@
     """
     if suspicion.ends < ENDS_TO_HOLD and suspicion.trial is None:
         is_paced = suspicion.unknown and suspicion.ends + suspicion.unknown >= RUNS_AT_ONCE
-        return Paced() if is_paced else Free()
+        return Paced() if is_paced else NotSuspected()
     if suspicion.unknown:
         return Paced()
     due_seconds = _due_unix_seconds(suspicion, now_unix_seconds)
@@ -111,7 +120,7 @@
     alone_seconds = suspicion.newest_end_unix_seconds + ALONE_PAUSE_SECONDS
     if suspicion.trial is None:
         return now_unix_seconds
-    if suspicion.trial.trials >= MOST_TRIALS:
+    if suspicion.trial.trials >= MAX_TRIALS:
         # The record of its trials goes with those of its ends.
         return now_unix_seconds + ALONE_PAUSE_SECONDS
     due_seconds = suspicion.trial.next_at_unix_seconds
--- a/rackswitch/relay/paths.py
+++ b/rackswitch/relay/paths.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-__all__ = ["OWN_PATH", "PathChoice"]
+__all__ = ["OWN_PATH", "PathSelector"]
 
 OWN_PATH = ""
 """Stands for the daemon's own way among the names of peers."""
@@ -22,10 +22,10 @@
 """How long a peer that could not pass a call on is left alone: twice the time after which it
 tries its own path again."""
 
-MOST_PEERS = 2
+MAX_PEERS = 2
 """Peers that one call is given to. If neither reaches the service, it is probably away."""
 
-LEAST_PATIENCE_SECONDS = 0.3
+MIN_TIMEOUT_SECONDS = 0.3
 """How long a repeatable call is given on the own path at least, while peers are there. An
 answer takes 4 ms on a calm day; a silent cut shows only by waiting."""
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class PathChoice:
+class PathSelector:
     """One daemon's knowledge of its ways to the service.
 
     Parameters
@@ -91,9 +91,7 @@
 
     def patience_seconds(self, limit_seconds: float) -> float:
         """Return how long a repeatable call may take on the own path before a peer is asked."""
-        return min(
-            limit_seconds, max(LEAST_PATIENCE_SECONDS, self.slowest_seconds * PATIENCE_FACTOR)
-        )
+        return min(limit_seconds, max(MIN_TIMEOUT_SECONDS, self.slowest_seconds * PATIENCE_FACTOR))
 
     def answered(self, path: str, took_seconds: float) -> bool:
         """Note an answer; return whether the own path is good again by it."""
@@ -122,4 +120,4 @@
             for name, zone in live_zones
             if now_seconds >= self._avoided_until_seconds.get(name, float("-inf"))
         ]
-        return [name for _, name in sorted(fit)[:MOST_PEERS]]
+        return [name for _, name in sorted(fit)[:MAX_PEERS]]
--- a/rackswitch/relay/tests/test_paths.py
+++ b/rackswitch/relay/tests/test_paths.py
@@ -2,21 +2,21 @@
 from hypothesis import given
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from rackswitch.relay import OWN_PATH, PathChoice
-from rackswitch.relay.paths import AVOID_SECONDS, LEAST_PATIENCE_SECONDS, PROBE_SECONDS
+from rackswitch.relay import OWN_PATH, PathSelector
+from rackswitch.relay.paths import AVOID_SECONDS, MIN_TIMEOUT_SECONDS, PROBE_SECONDS
 
 PEERS = [("b", "y"), ("c", "x"), ("d", "y"), ("e", "x")]
 
 
-def broken(at_seconds: float = 10.0) -> PathChoice:
-    choice = PathChoice("x")
+def broken(at_seconds: float = 10.0) -> PathSelector:
+    choice = PathSelector("x")
     assert choice.failed(OWN_PATH, at_seconds)
     return choice
 
 
 def test_the_own_path_goes_first_and_peers_of_the_own_zone_before_others():
-    assert PathChoice("x").paths(PEERS, True, 10.0) == [OWN_PATH, "c", "e"]
-    assert PathChoice("y").paths(PEERS, False, 10.0) == [OWN_PATH, "b", "d"]
+    assert PathSelector("x").paths(PEERS, True, 10.0) == [OWN_PATH, "c", "e"]
+    assert PathSelector("y").paths(PEERS, False, 10.0) == [OWN_PATH, "b", "d"]
 
 
 def test_a_broken_own_path_is_left_out_while_a_peer_is_there():
@@ -47,15 +47,15 @@
 
 
 def test_patience_grows_with_what_the_service_takes():
-    choice = PathChoice("x")
+    choice = PathSelector("x")
     choice.answered(OWN_PATH, 0.004)
-    assert choice.patience_seconds(1.5) == LEAST_PATIENCE_SECONDS
+    assert choice.patience_seconds(1.5) == MIN_TIMEOUT_SECONDS
     choice.answered(OWN_PATH, 0.25)
     assert choice.patience_seconds(1.5) == 1.0
     assert choice.patience_seconds(0.85) == 0.85
     for _ in range(40):
         choice.answered(OWN_PATH, 0.004)
-    assert choice.patience_seconds(1.5) == LEAST_PATIENCE_SECONDS
+    assert choice.patience_seconds(1.5) == MIN_TIMEOUT_SECONDS
 
 
 class PathMachine(RuleBasedStateMachine):
@@ -63,7 +63,7 @@
 
     def __init__(self):
         super().__init__()
-        self.choice = PathChoice("x")
+        self.choice = PathSelector("x")
         self.now_seconds = 0.0
 
     @rule(seconds=st.floats(0.0, 2.0))
@@ -88,7 +88,7 @@
     @invariant()
     def a_broken_path_is_tried_again_in_time(self):
         later_seconds = self.now_seconds + PROBE_SECONDS
-        copy = PathChoice("x", self.choice.broken_since_seconds)
+        copy = PathSelector("x", self.choice.broken_since_seconds)
         copy._next_probe_seconds = self.choice._next_probe_seconds
         assert copy.paths(PEERS, True, later_seconds)[0] == OWN_PATH
 
@@ -98,7 +98,7 @@
 
 @given(st.lists(st.floats(0.0, 1.0), max_size=30))
 def test_patience_never_exceeds_the_calls_own_limit(answers):
-    choice = PathChoice("x")
+    choice = PathSelector("x")
     for took_seconds in answers:
         choice.answered(OWN_PATH, took_seconds)
-    assert LEAST_PATIENCE_SECONDS <= choice.patience_seconds(1.5) <= 1.5
+    assert MIN_TIMEOUT_SECONDS <= choice.patience_seconds(1.5) <= 1.5
--- a/rackswitch/requests/attempts.py
+++ b/rackswitch/requests/attempts.py
@@ -17,8 +17,8 @@
 """Earned by time alone up to one, so that a single failure is repeated also where there are few
 first attempts."""
 
-MOST_ATTEMPTS = 4
-COME_BACK_SECONDS = 1.0
+MAX_ATTEMPTS = 4
+RETRY_AFTER_SECONDS = 1.0
 ATTEMPT_GOAL_FACTOR = 1.5
 """How many times a request's goal one attempt may take while another can follow: an answer
 past the goal earns little, so a slow target is left soon after it."""
@@ -82,7 +82,7 @@
     ----------
     most_attempts : int
         Targets that may run the request.
-    most_refusals : int
+    max_refusals : int
         Attempts, besides those, that a target may end by saying that it did not begin.
     began_at_unix_seconds : float or None
         When the request first began at a target, as far as this is known; None if it has not.
@@ -90,8 +90,8 @@
 
     repeatable: bool
     ends: list[AttemptEnd] = field(default_factory=list)
-    most_attempts: int = MOST_ATTEMPTS
-    most_refusals: int = 0
+    most_attempts: int = MAX_ATTEMPTS
+    max_refusals: int = 0
     began_at_unix_seconds: float | None = None
 
     @property
@@ -101,7 +101,7 @@
 
     def may_begin(self) -> bool:
         """Return whether one more attempt is allowed by what came before."""
-        if len(self.ends) >= self.most_attempts + self.most_refusals:
+        if len(self.ends) >= self.most_attempts + self.max_refusals:
             return False
         runs = sum(end.may_have_run for end in self.ends)
         if runs >= self.most_attempts:
@@ -123,7 +123,7 @@
     def give_up(self, now_seconds: float) -> NotRun | MayHaveRun:
         """Return the final answer: "not run" only if no attempt may have begun."""
         detail = self.ends[-1].detail if self.ends else "no target could be tried"
-        retry_at_seconds = now_seconds + COME_BACK_SECONDS
+        retry_at_seconds = now_seconds + RETRY_AFTER_SECONDS
         if self.may_have_run:
             return MayHaveRun(detail, retry_at_seconds)
         return NotRun(NotRunReason.NO_TARGET, detail, retry_at_seconds)
--- a/rackswitch/requests/backoff.py
+++ b/rackswitch/requests/backoff.py
@@ -2,11 +2,11 @@
 
 __all__ = ["backoff_seconds"]
 
-MOST_DOUBLINGS = 32
+MAX_DOUBLINGS = 32
 """Far past any bound that is used, and far below what a float holds: 2.0 * 2**1024 raises."""
 
 
-def backoff_seconds(first_seconds: float, most_seconds: float, doublings: int) -> float:
+def backoff_seconds(first_seconds: float, max_seconds: float, doublings: int) -> float:
     """Return a pause that doubles with each failure up to a bound.
 
     Counted on without an end, failures every few milliseconds for seconds, or every half second
@@ -15,9 +15,9 @@
 
     Parameters
     ----------
-    first_seconds, most_seconds : float
+    first_seconds, max_seconds : float
         The shortest pause, and the bound.
     doublings : int
         Failures after the first; any number.
     """
-    return min(most_seconds, first_seconds * 2 ** min(doublings, MOST_DOUBLINGS))
+    return min(max_seconds, first_seconds * 2 ** min(doublings, MAX_DOUBLINGS))
--- a/rackswitch/requests/calls.py
+++ b/rackswitch/requests/calls.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from rackswitch.quarantine import request_fingerprint
-from rackswitch.tenants import ANYBODY, Caller
+from rackswitch.tenants import ANONYMOUS, Caller
 
 __all__ = ["Call", "TargetAnswer", "TargetFailed", "TargetStream"]
 
@@ -31,7 +31,7 @@
     path: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    caller: Caller = ANYBODY
+    caller: Caller = ANONYMOUS
 
     def fingerprint(self) -> str:
         """Return what this call has in common with other sends of the same request."""
--- a/rackswitch/requests/outages.py
+++ b/rackswitch/requests/outages.py
@@ -6,13 +6,13 @@
 
 from dataclasses import dataclass
 
-__all__ = ["OutageMemory", "return_delay_seconds"]
+__all__ = ["OutageTracker", "retry_delay_seconds"]
 
-LEAST_RETURN_SECONDS = 0.1
+MIN_RETRY_AFTER_SECONDS = 0.1
 """A caller's way here and back takes some milliseconds; nothing returns faster than it can be
 noticed."""
 
-MOST_RETURN_SECONDS = 2.0
+MAX_RETRY_AFTER_SECONDS = 2.0
 """Outages end without warning; nobody should be away for long after one has."""
 
 BEYOND_USUAL_SHARE = 0.15
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class OutageMemory:
+class OutageTracker:
     """The outages of one service that were seen, and the present one.
 
     Attributes
@@ -66,10 +66,10 @@
             left_seconds = usual_seconds - elapsed_seconds
         else:
             left_seconds = elapsed_seconds * BEYOND_USUAL_SHARE
-        return min(MOST_RETURN_SECONDS, max(LEAST_RETURN_SECONDS, left_seconds))
+        return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, left_seconds))
 
 
-def return_delay_seconds(base_seconds: float, caller_class: int, draw: float) -> float:
+def retry_delay_seconds(base_seconds: float, caller_class: int, draw: float) -> float:
     """Return when a refused caller should come back, counted from now.
 
     Parameters
--- a/rackswitch/requests/tests/test_attempts.py
+++ b/rackswitch/requests/tests/test_attempts.py
@@ -52,7 +52,7 @@
 
 
 def test_refusals_count_apart_from_runs():
-    log = AttemptLog(True, most_attempts=2, most_refusals=3)
+    log = AttemptLog(True, most_attempts=2, max_refusals=3)
     assert ended(log, 4, False).may_begin()
     assert not ended(log, 1, False).may_begin()
 
@@ -91,7 +91,7 @@
     [
         # Another target can follow, so a slow one is left soon after the goal.
         (AttemptLog(True, most_attempts=2), 10.3),
-        (ended(AttemptLog(True, most_attempts=2, most_refusals=4), 2, False), 10.3),
+        (ended(AttemptLog(True, most_attempts=2, max_refusals=4), 2, False), 10.3),
         # The last attempt, and one that may not be repeated, take all the time there is.
         (ended(AttemptLog(True, most_attempts=2), 1, True), 15.0),
         (AttemptLog(False, most_attempts=2), 15.0),
--- a/rackswitch/routing/load_picture.py
+++ b/rackswitch/routing/load_estimator.py
@@ -1,7 +1,7 @@
 """What one daemon believes of the load of each target.
 
-A word is a target's statement about its own load (`LoadWord`). A pace is how many times longer than
-usual work takes at a target: 1 is as usual, 2 half as fast. A surprise is by how much longer a
+A word is a target's statement about its own load (`ReportedLoad`). A pace is how many times longer
+than usual work takes at a target: 1 is as usual, 2 half as fast. A surprise is by how much longer a
 request took than words alone had promised, as a logarithm.
 
 What comes in, each with its time: words, sends and ends of this daemon's requests, how long these
@@ -14,12 +14,12 @@
 from enum import Enum
 
 from rackswitch.routing.directory import ListedTarget
-from rackswitch.routing.load_words import LoadWord
-from rackswitch.routing.places import Place
+from rackswitch.routing.reported_load import ReportedLoad
+from rackswitch.routing.target_estimates import TargetEstimate
 
-__all__ = ["LoadPicture", "SentRequest", "WorkKind"]
+__all__ = ["LoadEstimator", "SentRequest", "WorkKind"]
 
-LEAST_FADE_SECONDS = 1.0
+MIN_FADE_SECONDS = 1.0
 """Least time over which what a word tells of others' requests fades, also where requests are
 shorter: as others' requests end, others send new ones."""
 
@@ -41,10 +41,10 @@
 SURPRISE_LIFE_SECONDS = 3.0
 """Over which a surprise fades, so that a target that did worse than its word is tried again."""
 
-MOST_SAMPLE_WEIGHT = 0.3
+MAX_SAMPLE_WEIGHT = 0.3
 """Weight of one observation at most, however long none came before it."""
 
-MOST_LOG_SURPRISE = math.log(8.0)
+MAX_LOG_SURPRISE = math.log(8.0)
 """Bound on how far observations may overrule a word, in both directions."""
 
 FAILURE_LOG_SURPRISE = math.log(8.0)
@@ -84,7 +84,7 @@
         Where it was sent.
     kind : WorkKind
         What its work is counted in.
-    place : Place
+    place : TargetEstimate
         What was believed of the target without it.
     log_surprise : float
         Part of the place's pace that came from observation, not from words; its logarithm.
@@ -97,7 +97,7 @@
     start: str
     service: str
     kind: WorkKind
-    place: Place
+    place: TargetEstimate
     log_surprise: float
     expected_seconds: float
     sent_at_seconds: float
@@ -109,12 +109,12 @@
 
 
 @dataclass(slots=True)
-class _Belief:
+class _LoadEstimate:
     """What is known of one start of a target.
 
     Attributes
     ----------
-    word : LoadWord or None
+    word : ReportedLoad or None
         The last one.
     own : int
         Requests of this daemon that are there.
@@ -128,7 +128,7 @@
         Logarithm of how much longer work took than words said, at `surprised_at_seconds`.
     """
 
-    word: LoadWord | None = None
+    word: ReportedLoad | None = None
     own: int = 0
     pending: list[SentRequest] = field(default_factory=list)
     own_at_word: int = 0
@@ -156,7 +156,7 @@
         """
         if not self.pending:
             return -math.inf
-        return min(MOST_LOG_SURPRISE, self.pending[0].log_ratio_so_far(now_seconds))
+        return min(MAX_LOG_SURPRISE, self.pending[0].log_ratio_so_far(now_seconds))
 
     def correction_now(self, now_seconds: float) -> float:
         """Return the logarithm of how much longer than words say work is believed to take."""
@@ -166,8 +166,8 @@
         """Take in how a request's time compared with what words alone had promised."""
         before = self.surprise_now(now_seconds)
         since_seconds = max(0.0, now_seconds - self.surprised_at_seconds)
-        weight = min(MOST_SAMPLE_WEIGHT, 1 - math.exp(-since_seconds / SURPRISE_SPAN_SECONDS))
-        bounded = max(-MOST_LOG_SURPRISE, min(MOST_LOG_SURPRISE, log_ratio))
+        weight = min(MAX_SAMPLE_WEIGHT, 1 - math.exp(-since_seconds / SURPRISE_SPAN_SECONDS))
+        bounded = max(-MAX_LOG_SURPRISE, min(MAX_LOG_SURPRISE, log_ratio))
         self.log_surprise = before + weight * (bounded - before)
         self.surprised_at_seconds = now_seconds
 
@@ -212,13 +212,13 @@
 
 
 @dataclass(slots=True)
-class LoadPicture:
+class LoadEstimator:
     """Beliefs about the targets' load, by start of a target.
 
     Another start under the same identity is another target: nothing of the old one counts.
     """
 
-    _beliefs: dict[str, _Belief] = field(default_factory=dict)
+    _beliefs: dict[str, _LoadEstimate] = field(default_factory=dict)
     _services: dict[str, _Service] = field(default_factory=dict)
 
     def tells_pace(self, service: str) -> bool:
@@ -231,7 +231,7 @@
         known = self._services.get(service)
         return known.run_seconds[kind] if known is not None else FIRST_RUN_SECONDS[kind]
 
-    def heard(self, start: str, service: str, word: LoadWord) -> None:
+    def heard(self, start: str, service: str, word: ReportedLoad) -> None:
         """Take in a target's word; what this daemon has there is in it."""
         belief = self._belief(start)
         if belief.word is not None and word.heard_at_seconds < belief.word.heard_at_seconds:
@@ -249,7 +249,7 @@
         self._belief(start).refused_at_seconds = now_seconds
 
     def sent(
-        self, target: ListedTarget, kind: WorkKind, place: Place, now_seconds: float
+        self, target: ListedTarget, kind: WorkKind, place: TargetEstimate, now_seconds: float
     ) -> SentRequest:
         """Count a request of this daemon in."""
         belief = self._belief(target.start)
@@ -357,7 +357,7 @@
         now_seconds: float,
         arrival_seconds: float = 0.0,
         is_at_hand: bool = False,
-    ) -> Place:
+    ) -> TargetEstimate:
         """Return what a place at a target is worth now.
 
         Parameters
@@ -373,15 +373,15 @@
         is_at_hand : bool, optional
             Whether a connection rests there.
         """
-        belief = self._beliefs.get(target.start) or _Belief()
+        belief = self._beliefs.get(target.start) or _LoadEstimate()
         service = self._services.get(target.service) or _Service()
         unit_seconds = service.unit_seconds[kind]
         run_seconds = service.run_seconds[kind]
         pace = self._word_pace(belief, target.service, units * unit_seconds, now_seconds)
         pace *= math.exp(belief.correction_now(now_seconds))
         slots = _slots(belief, target)
-        requests = _requests(belief, slots, max(LEAST_FADE_SECONDS, run_seconds), now_seconds)
-        return Place(
+        requests = _requests(belief, slots, max(MIN_FADE_SECONDS, run_seconds), now_seconds)
+        return TargetEstimate(
             instance=target.instance,
             slots=slots,
             running=min(requests, slots),
@@ -398,13 +398,13 @@
         known = self._services.get(service) or _Service()
         return known.run_seconds[kind] / known.unit_seconds[kind]
 
-    def _belief(self, start: str) -> _Belief:
-        return self._beliefs.setdefault(start, _Belief())
+    def _belief(self, start: str) -> _LoadEstimate:
+        return self._beliefs.setdefault(start, _LoadEstimate())
 
     def _service(self, service: str) -> _Service:
         return self._services.setdefault(service, _Service())
 
-    def _learn_pace(self, belief: _Belief, word: LoadWord, pace: float) -> None:
+    def _learn_pace(self, belief: _LoadEstimate, word: ReportedLoad, pace: float) -> None:
         """Move the learnt pace towards a word's, by the time that the word stands for."""
         before = belief.learnt_pace
         since_seconds = word.heard_at_seconds - belief.pace_told_at_seconds
@@ -416,7 +416,7 @@
         belief.learnt_pace = before + weight * (pace - before)
         self._explain_surprise(belief, pace)
 
-    def _explain_surprise(self, belief: _Belief, pace: float) -> None:
+    def _explain_surprise(self, belief: _LoadEstimate, pace: float) -> None:
         """Take off a surprise what a word now says itself, so that it does not count twice.
 
         Own requests that took twice as long as told make a surprise of log 2. If the next word
@@ -431,7 +431,7 @@
             belief.log_surprise = math.copysign(left, belief.log_surprise)
 
     def _word_pace(
-        self, belief: _Belief, service: str, work_seconds: float, now_seconds: float
+        self, belief: _LoadEstimate, service: str, work_seconds: float, now_seconds: float
     ) -> float:
         """Return the pace over some work to come, by words alone.
 
@@ -468,13 +468,13 @@
     return (1 - math.exp(-spans)) / spans if spans > 1e-6 else 1.0
 
 
-def _slots(belief: _Belief, target: ListedTarget) -> int:
+def _slots(belief: _LoadEstimate, target: ListedTarget) -> int:
     if belief.word is not None:
         return belief.word.slots
     return target.slots or DEFAULT_SLOTS
 
 
-def _requests(belief: _Belief, slots: int, life_seconds: float, now_seconds: float) -> float:
+def _requests(belief: _LoadEstimate, slots: int, life_seconds: float, now_seconds: float) -> float:
     """Return how many requests of all daemons are believed to be at a target."""
     others = 0.0
     if belief.word is not None:
--- a/rackswitch/routing/placing.py
+++ b/rackswitch/routing/placing.py
@@ -11,22 +11,22 @@
 import random
 from collections.abc import Sequence
 
-from rackswitch.routing.places import Place
+from rackswitch.routing.target_estimates import TargetEstimate
 
-__all__ = ["choose_place"]
+__all__ = ["choose_target"]
 
-LEAST_SPREAD = 0.05
+MIN_SPREAD = 0.05
 """Width of the draw while words are fresh, as a share of the best finish: places whose finishes
 differ by much more are hardly drawn."""
 
-LEAST_SPREAD_SECONDS = 1e-4
+MIN_SPREAD_SECONDS = 1e-4
 """Keeps the draw defined where nothing is known of the work's time."""
 
 RUNS_SPREAD = 0.8
 """Most that old words add to the draw's width, in times of a usual request: by so many a queue may
 have changed once all that a word counted have ended."""
 
-MOST_TIMES_BEST = 2.0
+MAX_TIMES_BEST = 2.0
 """Places with a finish of more than so many times the best are never drawn, however old the words
 are and however wide the draw is."""
 
@@ -40,21 +40,21 @@
 SAMPLE_SHARE = 0.5
 """Part of the targets that a decision looks at."""
 
-LEAST_SAMPLE = 3
+MIN_SAMPLE = 3
 """Targets that a decision looks at, at least: half of a few would often be no choice."""
 
-LEAST_WEIGHT = 0.25
+MIN_WEIGHT = 0.25
 """Weight of a place without a free slot; each free slot of another counts 1."""
 
 
-def choose_place(
-    places: Sequence[Place], units: float, run_seconds: float, rng: random.Random
-) -> Place:
+def choose_target(
+    places: Sequence[TargetEstimate], units: float, run_seconds: float, rng: random.Random
+) -> TargetEstimate:
     """Return where a piece of work goes.
 
     Parameters
     ----------
-    places : sequence of Place
+    places : sequence of TargetEstimate
         Where it may go; not empty.
     units, run_seconds : float
         The work, and how long the requests before it usually take at pace 1.
@@ -71,23 +71,23 @@
     ]
     if near:
         return rng.choices(near, [_room(place) for place in near])[0]
-    spread_seconds = LEAST_SPREAD * best_seconds + _unknown_seconds(sample, run_seconds)
-    spread_seconds = max(LEAST_SPREAD_SECONDS, spread_seconds)
+    spread_seconds = MIN_SPREAD * best_seconds + _unknown_seconds(sample, run_seconds)
+    spread_seconds = max(MIN_SPREAD_SECONDS, spread_seconds)
     weights = [
         _room(place) * math.exp((best_seconds - finish_seconds) / spread_seconds)
-        if finish_seconds <= MOST_TIMES_BEST * best_seconds
+        if finish_seconds <= MAX_TIMES_BEST * best_seconds
         else 0.0
         for place, finish_seconds in zip(sample, finishes, strict=True)
     ]
     return rng.choices(sample, weights)[0]
 
 
-def _room(place: Place) -> float:
+def _room(place: TargetEstimate) -> float:
     """Return how much work a place may draw to itself."""
-    return max(LEAST_WEIGHT, place.free_slots) / place.pace
+    return max(MIN_WEIGHT, place.free_slots) / place.pace
 
 
-def _unknown_seconds(places: Sequence[Place], run_seconds: float) -> float:
+def _unknown_seconds(places: Sequence[TargetEstimate], run_seconds: float) -> float:
     """Return by how long a wait may differ from words: the longer, the more has changed since."""
     age_seconds = min(place.word_age_seconds for place in places)
     if math.isinf(age_seconds) or run_seconds <= 0.0:
@@ -96,6 +96,6 @@
     return RUNS_SPREAD * run_seconds * changed_share
 
 
-def _sample(places: Sequence[Place], rng: random.Random) -> Sequence[Place]:
-    size = max(LEAST_SAMPLE, math.ceil(SAMPLE_SHARE * len(places)))
+def _sample(places: Sequence[TargetEstimate], rng: random.Random) -> Sequence[TargetEstimate]:
+    size = max(MIN_SAMPLE, math.ceil(SAMPLE_SHARE * len(places)))
     return places if size >= len(places) else rng.sample(places, size)
--- a/rackswitch/routing/policies.py
+++ b/rackswitch/routing/policies.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from rackswitch.registry import Registry
-from rackswitch.routing.placing import choose_place
+from rackswitch.routing.placing import choose_target
 from rackswitch.routing.targets import Target
 
 __all__ = ["BATCH_WIDTH", "POLICIES", "Policy", "RoutedRequest", "estimated_wait_seconds"]
@@ -178,7 +178,7 @@
         places = [target.place for target in targets if target.place is not None]
         if not places:
             return self._two_choices.choose(request, targets)
-        return by_name[choose_place(places, 1.0, request.run_seconds, self._rng).instance]
+        return by_name[choose_target(places, 1.0, request.run_seconds, self._rng).instance]
 
 
 @POLICIES.register("estimated_wait")
--- a/rackswitch/routing/load_words.py
+++ b/rackswitch/routing/reported_load.py
@@ -5,11 +5,11 @@
 
 from dataclasses import dataclass
 
-__all__ = ["LoadWord"]
+__all__ = ["ReportedLoad"]
 
 
 @dataclass(frozen=True, slots=True)
-class LoadWord:
+class ReportedLoad:
     """One statement of a target about itself.
 
     Attributes
--- a/rackswitch/routing/places.py
+++ b/rackswitch/routing/target_estimates.py
@@ -1,15 +1,15 @@
 """What a place at a target is worth to a request, as one daemon believes it.
 
-A target's word is its last statement about its own load (`rackswitch.routing.load_words`).
+A target's word is its last statement about its own load (`rackswitch.routing.reported_load`).
 """
 
 from dataclasses import dataclass, replace
 
-__all__ = ["Place"]
+__all__ = ["TargetEstimate"]
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class TargetEstimate:
     """Room at one target, with all that the daemon has heard and seen taken together.
 
     Attributes
@@ -48,7 +48,7 @@
         """Requests that could begin there at once."""
         return max(0.0, self.slots - self.running - self.waiting)
 
-    def with_one_more(self) -> "Place":
+    def with_one_more(self) -> "TargetEstimate":
         """Return the place as it is once one more request has been sent there."""
         if self.free_slots >= 1:
             return replace(self, running=self.running + 1)
--- a/rackswitch/routing/targets.py
+++ b/rackswitch/routing/targets.py
@@ -4,17 +4,17 @@
 from dataclasses import dataclass, field
 
 from rackswitch.requests import StreamChunk, backoff_seconds
-from rackswitch.routing.places import Place
+from rackswitch.routing.target_estimates import TargetEstimate
 
 __all__ = ["LoadReport", "Target", "usable_targets"]
 
 SPEED_SMOOTHING = 0.2
 FAILURES_TO_OPEN = 3
 OPEN_SECONDS = 2.0
-OPEN_SECONDS_MOST = 30.0
+MAX_OPEN_SECONDS = 30.0
 PREFIXES_REMEMBERED = 4096
 WARM_UP_SECONDS = 1.0
-LEAST_CLOSED_SHARE = 0.5
+MIN_CLOSED_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
         Until when a connection that served a call in its usual time stays open.
     start : str
         Which start of the target all this is about.
-    place : Place or None
+    place : TargetEstimate or None
         What a place there was worth at the last choice; None if its service tells no pace.
     """
 
@@ -63,7 +63,7 @@
     at_hand_until_seconds: float = 0.0
     prefixes: OrderedDict[int, None] = field(default_factory=OrderedDict)
     start: str = ""
-    place: Place | None = None
+    place: TargetEstimate | None = None
 
     @property
     def version(self) -> int | None:
@@ -128,7 +128,7 @@
         """Note a failed attempt; enough of them in a row open the breaker for a while."""
         self.failures += 1
         if self.failures >= FAILURES_TO_OPEN:
-            life_seconds = backoff_seconds(OPEN_SECONDS, OPEN_SECONDS_MOST, self.opened_times)
+            life_seconds = backoff_seconds(OPEN_SECONDS, MAX_OPEN_SECONDS, self.opened_times)
             self.open_until_seconds = now_seconds + life_seconds
             self.opened_times += 1
             # One further failure, of the probe that follows, opens it again.
@@ -166,6 +166,6 @@
     the breakers never take more than half of the set away.
     """
     closed = [target for target in targets if now_seconds >= target.open_until_seconds]
-    if len(closed) < LEAST_CLOSED_SHARE * len(targets):
+    if len(closed) < MIN_CLOSED_SHARE * len(targets):
         return targets
     return closed
--- a/rackswitch/routing/tests/test_load_picture.py
+++ b/rackswitch/routing/tests/test_load_estimator.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rackswitch.routing import ListedTarget, LoadPicture, LoadWord, WorkKind
+from rackswitch.routing import ListedTarget, LoadEstimator, ReportedLoad, WorkKind
 
 CALL = WorkKind.CALL
 
@@ -13,8 +13,8 @@
     return ListedTarget(name, "s", "h", 1, "z", 6, started_at_unix_ms=started_at_unix_ms)
 
 
-def word(running=0, waiting=0, pace: float | None = 1.0, at=0.0, slots=6) -> LoadWord:
-    return LoadWord(running, waiting, slots, pace, at)
+def word(running=0, waiting=0, pace: float | None = 1.0, at=0.0, slots=6) -> ReportedLoad:
+    return ReportedLoad(running, waiting, slots, pace, at)
 
 
 def place(picture, target, at, kind=CALL, units=1.0):
@@ -29,7 +29,7 @@
 
 
 def test_only_a_service_whose_targets_tell_their_pace_counts_as_one():
-    picture = LoadPicture()
+    picture = LoadEstimator()
     assert not picture.tells_pace("s")
     picture.heard("a@0", "s", word(pace=None))
     assert not picture.tells_pace("s")
@@ -39,7 +39,7 @@
 
 
 def test_own_sends_since_a_word_are_added_and_own_ends_taken_off():
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     before = picture.sent(target, CALL, place(picture, target, 0.0), 0.0)
     picture.heard(target.start, "s", word(running=3))
     assert place(picture, target, 0.0).running == 3
@@ -51,7 +51,7 @@
 
 
 def test_a_stream_that_goes_on_unseen_counts_as_others():
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     sent = picture.sent(target, CALL, place(picture, target, 0.0), 0.0)
     picture.heard(target.start, "s", word(running=1))
     picture.done(sent, goes_on=True)
@@ -61,7 +61,7 @@
 
 def test_an_idle_target_ages_into_probably_free_but_for_own_requests():
     """A cut stops its words as well: both look alike, and neither keeps the last word alive."""
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     picture.heard(target.start, "s", word(running=6, waiting=9, pace=2.5))
     picture.sent(target, CALL, place(picture, target, 0.0), 0.0)
     waits = [place(picture, target, at).wait_seconds(0.05) for at in (0.0, 0.2, 0.5, 2.0)]
@@ -74,7 +74,7 @@
 
 
 def test_a_target_without_a_word_is_free_and_as_good_as_the_best():
-    picture = LoadPicture()
+    picture = LoadEstimator()
     picture.heard("a@0", "s", word(pace=0.6))
     picture.heard("b@0", "s", word(pace=1.2))
     unheard = place(picture, engine("c"), 0.0)
@@ -84,7 +84,7 @@
 
 
 def test_a_steady_pace_is_kept_while_words_pause():
-    picture, slow, fast = LoadPicture(), engine("slow"), engine("fast")
+    picture, slow, fast = LoadEstimator(), engine("slow"), engine("fast")
     for step in range(50):
         picture.heard(slow.start, "s", word(pace=1.2, at=step * 0.1))
         picture.heard(fast.start, "s", word(pace=0.6, at=step * 0.1))
@@ -92,7 +92,7 @@
 
 
 def test_noise_of_some_tenths_of_a_second_counts_at_once_and_not_for_long():
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     for step in range(51):
         picture.heard(target.start, "s", word(pace=1.0, at=step * 0.1))
     picture.heard(target.start, "s", word(pace=2.5, at=5.1))
@@ -104,14 +104,14 @@
 
 
 def test_an_older_word_does_not_replace_a_newer_one():
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     picture.heard(target.start, "s", word(running=5, at=1.0))
     picture.heard(target.start, "s", word(running=0, at=0.5))
     assert place(picture, target, 1.0).running == 5
 
 
 def test_a_refusal_is_newer_than_the_word_that_says_free():
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     picture.heard(target.start, "s", word(running=0))
     picture.refused(target.start, 0.0)
     assert place(picture, target, 0.0).wait_seconds(0.05) > 0.0
@@ -122,7 +122,7 @@
 
 
 def test_nothing_of_an_old_word_counts_for_another_start_of_an_engine():
-    picture, before, again = LoadPicture(), engine("a", 1), engine("a", 2)
+    picture, before, again = LoadEstimator(), engine("a", 1), engine("a", 2)
     picture.heard(before.start, "s", word(running=6, waiting=9, pace=3.0))
     picture.refused(before.start, 0.0)
     for _ in range(5):
@@ -140,7 +140,7 @@
 
 
 def test_a_target_that_says_good_and_is_slow_is_believed_slow_after_a_few_calls():
-    picture, liar, honest = LoadPicture(), engine("liar"), engine("honest")
+    picture, liar, honest = LoadEstimator(), engine("liar"), engine("honest")
     for step in range(20):
         at = step * 0.2
         for target, took in ((liar, 0.3), (honest, 0.05)):
@@ -150,7 +150,7 @@
 
 
 def test_a_target_that_says_busy_and_is_free_is_believed_less_busy():
-    picture, liar = LoadPicture(), engine("liar")
+    picture, liar = LoadEstimator(), engine("liar")
     picture.heard(liar.start, "s", word(running=6, waiting=9))
     first = place(picture, liar, 0.0).finish_seconds(1.0, 0.05)
     for step in range(1, 20):
@@ -161,7 +161,7 @@
 
 
 def test_a_target_that_fails_fast_does_not_look_fast():
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     picture.heard(target.start, "s", word())
     for step in range(10):
         picture.failed(target.start, step * 0.2)
@@ -170,7 +170,7 @@
 
 
 def test_a_call_that_is_overdue_shows_a_target_that_stands_still():
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     picture.heard(target.start, "s", word())
     sent = picture.sent(target, CALL, place(picture, target, 0.0), 0.0)
     assert place(picture, target, 0.04).pace == 1.0
@@ -183,7 +183,7 @@
 
 
 def test_pieces_show_a_pace_that_words_do_not_tell():
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     picture.heard(target.start, "s", word(pace=1.0))
     for step in range(1, 20):
         picture.piece(target.start, "s", 0.12, step * 0.12)
@@ -192,7 +192,7 @@
 
 
 def test_a_slow_pace_that_is_seen_and_then_told_counts_once():
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     for step in range(20):
         picture.heard(target.start, "s", word(pace=1.0, at=step * 0.1))
         serve(picture, target, step * 0.1, 0.125)
@@ -202,14 +202,14 @@
 
 
 def test_an_engine_that_queues_with_free_slots_is_as_good_as_full():
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     picture.heard(target.start, "s", word(running=3, waiting=2))
     assert place(picture, target, 0.0).free_slots == 0
     assert place(picture, target, 0.0).waiting == 2
 
 
 def test_a_call_sent_while_another_is_overdue_is_measured_against_words():
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     picture.heard(target.start, "s", word())
     stuck = picture.sent(target, CALL, place(picture, target, 0.0), 0.0)
     second = picture.sent(target, CALL, place(picture, target, 0.25), 0.25)
@@ -221,7 +221,7 @@
 
 
 def test_words_without_a_pace_do_not_keep_a_learnt_pace_alive():
-    picture, slow = LoadPicture(), engine("slow")
+    picture, slow = LoadEstimator(), engine("slow")
     picture.heard("fast@0", "s", word(pace=0.5))
     picture.heard(slow.start, "s", word(pace=2.0))
     for second in range(1, 61):
@@ -230,7 +230,7 @@
 
 
 def test_words_without_a_pace_do_not_shorten_what_a_word_with_one_stands_for():
-    picture, target = LoadPicture(), engine("a")
+    picture, target = LoadEstimator(), engine("a")
     picture.heard(target.start, "s", word(pace=2.0))
     for step in range(1, 100):
         picture.heard(target.start, "s", word(pace=None, at=step * 0.1))
@@ -239,7 +239,7 @@
 
 
 def test_only_starts_that_are_kept_count_in_the_best_pace():
-    picture = LoadPicture()
+    picture = LoadEstimator()
     picture.heard("a@0", "s", word(pace=1.5))
     picture.heard("gone@0", "s", word(pace=0.5))
     picture.forget("gone@0")
--- a/rackswitch/routing/tests/test_placing.py
+++ b/rackswitch/routing/tests/test_placing.py
@@ -6,13 +6,13 @@
 from rackswitch.routing import (
     POLICIES,
     ListedTarget,
-    LoadPicture,
-    LoadWord,
-    Place,
+    LoadEstimator,
+    ReportedLoad,
     RoutedRequest,
     Target,
+    TargetEstimate,
     WorkKind,
-    choose_place,
+    choose_target,
     usable_targets,
 )
 
@@ -21,13 +21,15 @@
 
 def place(
     name, running=0.0, waiting=0.0, pace=1.0, is_at_hand=False, word_age_seconds=0.0
-) -> Place:
-    return Place(name, 6, running, waiting, pace, 0.05, word_age_seconds, 0.001, is_at_hand)
+) -> TargetEstimate:
+    return TargetEstimate(
+        name, 6, running, waiting, pace, 0.05, word_age_seconds, 0.001, is_at_hand
+    )
 
 
 def draw(places, times=400) -> Counter:
     rng = random.Random(7)
-    return Counter(choose_place(places, 1.0, RUN_SECONDS, rng).instance for _ in range(times))
+    return Counter(choose_target(places, 1.0, RUN_SECONDS, rng).instance for _ in range(times))
 
 
 def test_work_goes_where_it_finishes_first_by_words_just_said():
@@ -94,7 +96,7 @@
         self.paces = [self.rng.uniform(0.55, 1.2) for _ in self.targets]
         self.work = [[] for _ in self.targets]
         self.history = []
-        self.pictures = [LoadPicture() for _ in range(self.DECIDERS)]
+        self.pictures = [LoadEstimator() for _ in range(self.DECIDERS)]
         self.heard_at = [[-1.0] * self.TARGETS for _ in self.pictures]
         self.longest_queue = 0
 
@@ -118,7 +120,7 @@
         age_seconds = self.rng.uniform(0.2, 1.0)
         said = self.history[max(0, len(self.history) - 1 - round(age_seconds / self.STEP_SECONDS))]
         for number, target in enumerate(self.targets):
-            word = LoadWord(
+            word = ReportedLoad(
                 min(self.SLOTS, said[number]),
                 max(0, said[number] - self.SLOTS),
                 self.SLOTS,
@@ -136,7 +138,7 @@
 
 
 def drawn(places, rng):
-    return choose_place(places, 1.0, RUN_SECONDS, rng)
+    return choose_target(places, 1.0, RUN_SECONDS, rng)
 
 
 def test_many_deciders_with_the_same_words_are_no_herd():
@@ -148,5 +150,5 @@
 
 
 def test_work_whose_time_is_not_known_is_placed_all_the_same():
-    unknown = Place("a", 6, 0.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-    assert choose_place([unknown], 1.0, 0.0, random.Random(1)) is unknown
+    unknown = TargetEstimate("a", 6, 0.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+    assert choose_target([unknown], 1.0, 0.0, random.Random(1)) is unknown
--- a/rackswitch/routing/tests/test_routing.py
+++ b/rackswitch/routing/tests/test_routing.py
@@ -17,7 +17,7 @@
     admit,
     usable_targets,
 )
-from rackswitch.routing.targets import OPEN_SECONDS_MOST
+from rackswitch.routing.targets import MAX_OPEN_SECONDS
 
 
 def make_targets(loads):
@@ -161,4 +161,4 @@
     target = Target("t", "http://t", "z")
     for number in range(3000):
         target.went_silent(float(number))
-    assert target.open_until_seconds == 2999.0 + OPEN_SECONDS_MOST
+    assert target.open_until_seconds == 2999.0 + MAX_OPEN_SECONDS
--- a/rackswitch/samples/messages.py
+++ b/rackswitch/samples/messages.py
@@ -14,7 +14,7 @@
     "StepPlan",
 ]
 
-MOST_SAMPLES_PER_GROUP = 256
+MAX_SAMPLES_PER_GROUP = 256
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
@@ -23,7 +23,7 @@
     """Samples of one prompt."""
 
     prompt: str
-    samples: Annotated[int, msgspec.Meta(ge=1, le=MOST_SAMPLES_PER_GROUP)]
+    samples: Annotated[int, msgspec.Meta(ge=1, le=MAX_SAMPLES_PER_GROUP)]
     max_tokens: Annotated[int, msgspec.Meta(ge=1)] = 256
     seed: int = 0
 
--- a/rackswitch/spread/choice.py
+++ b/rackswitch/spread/choice.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-__all__ = ["FollowChoice", "fresh_seconds"]
+__all__ = ["SourceSelector", "fresh_seconds"]
 
 AVOID_SECONDS = 3.0
 """How long a daemon that could not be followed is left alone: a restart takes less, and the
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class FollowChoice:
+class SourceSelector:
     """One daemon's choice among its sources.
 
     Parameters
--- a/rackswitch/spread/tests/test_choice.py
+++ b/rackswitch/spread/tests/test_choice.py
@@ -1,4 +1,4 @@
-from rackswitch.spread import FollowChoice, fresh_seconds
+from rackswitch.spread import SourceSelector, fresh_seconds
 from rackswitch.spread.choice import (
     AVOID_SECONDS,
     NOT_READY_SECONDS,
@@ -9,8 +9,8 @@
 SOURCES = ("a", "b")
 
 
-def following(name: str = "a") -> FollowChoice:
-    choice = FollowChoice(0.0)
+def following(name: str = "a") -> SourceSelector:
+    choice = SourceSelector(0.0)
     assert choice.succeeded(name)
     return choice
 
@@ -54,7 +54,7 @@
 
 
 def test_sources_that_are_starting_are_waited_for_but_not_without_end():
-    choice = FollowChoice(5.0)
+    choice = SourceSelector(5.0)
     choice.not_ready("a", 5.0)
     choice.not_ready("b", 5.0)
     assert choice.next_source(SOURCES, 5.0) is None
--- a/rackswitch/spread/tests/test_tree.py
+++ b/rackswitch/spread/tests/test_tree.py
@@ -2,7 +2,7 @@
 import pytest
 from hypothesis import given
 
-from rackswitch.spread import FAN_OUT, SpreadTree, TreeMember
+from rackswitch.spread import FAN_OUT, DistributionTree, TreeMember
 
 ZONES = 6
 
@@ -17,7 +17,7 @@
     return () if daemon in first else tuple(first)
 
 
-def most_followers(members, sources_of) -> int:
+def max_followers(members, sources_of) -> int:
     first = [sources_of(member.daemon)[:1] for member in members]
     return max(first.count((member.daemon,)) for member in members)
 
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize("count", [3, 30, 165, 330])
 def test_nobody_serves_many_and_each_zone_is_entered_once(count):
     members = fleet(count)
-    tree = SpreadTree(members)
+    tree = DistributionTree(members)
     zones = {member.daemon: member.zone for member in members}
     crossing = [
         name
@@ -33,15 +33,15 @@
         if (first := tree.sources(name)[:1]) and zones[first[0]] != zones[name]
     ]
     assert len(crossing) <= ZONES - 1
-    assert most_followers(members, tree.sources) <= FAN_OUT + ZONES - 1
+    assert max_followers(members, tree.sources) <= FAN_OUT + ZONES - 1
     assert max(tree.level(name) for name in zones) <= 3
     if count > 100:
-        naive = most_followers(members, lambda name: naive_sources(members, name))
+        naive = max_followers(members, lambda name: naive_sources(members, name))
         assert naive == count - 2
 
 
 def test_the_root_and_its_standby_have_the_most_room_and_lie_in_different_zones():
-    tree = SpreadTree(fleet(40))
+    tree = DistributionTree(fleet(40))
     roomy = {f"d{n}" for n in range(ZONES)}
     assert {tree.root, tree.standby} <= roomy
     assert tree.root != tree.standby
@@ -49,7 +49,9 @@
 
 
 def test_names_that_sort_first_are_not_preferred():
-    roots = {SpreadTree(TreeMember(f"{s}{n}", "z") for n in range(5)).root[1:] for s in "abcdefgh"}
+    roots = {
+        DistributionTree(TreeMember(f"{s}{n}", "z") for n in range(5)).root[1:] for s in "abcdefgh"
+    }
     assert len(roots) > 2
 
 
@@ -64,7 +66,7 @@
 
 @given(members_drawn)
 def test_all_ways_lead_to_the_root_and_a_second_one_is_known(members):
-    tree = SpreadTree(members)
+    tree = DistributionTree(members)
     for member in members:
         seen, name = set(), member.daemon
         while sources := tree.sources(name):
--- a/rackswitch/spread/tree.py
+++ b/rackswitch/spread/tree.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-__all__ = ["FAN_OUT", "SpreadTree", "TreeMember"]
+__all__ = ["FAN_OUT", "DistributionTree", "TreeMember"]
 
 FAN_OUT = 12
 """Daemons of its own zone that follow one daemon. A question and its answer cost some 1.5 ms of
@@ -37,7 +37,7 @@
     room: float = 0.0
 
 
-class SpreadTree:
+class DistributionTree:
     """Who follows whom.
 
     Parameters
--- a/rackswitch/standins/callers.py
+++ b/rackswitch/standins/callers.py
@@ -15,12 +15,12 @@
 
 CALL_TIMEOUT_SECONDS = 30.0
 MICROSECONDS = 1_000_000
-HISTOGRAM_MOST_MICROSECONDS = 120 * MICROSECONDS
+HISTOGRAM_MAX_MICROSECONDS = 120 * MICROSECONDS
 SSE_DATA = b"data: "
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(1, HISTOGRAM_MOST_MICROSECONDS, 3)
+    return HdrHistogram(1, HISTOGRAM_MAX_MICROSECONDS, 3)
 
 
 @dataclass(slots=True)
--- a/rackswitch/standins/faults.py
+++ b/rackswitch/standins/faults.py
@@ -14,7 +14,7 @@
 __all__ = ["FaultGate", "FaultOrder", "FaultyApplication"]
 
 FAULT_PATH = "/faults"
-MOST_ORDER_BYTES = 10_000
+MAX_ORDER_BYTES = 10_000
 
 
 class FaultOrder(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
@@ -82,7 +82,7 @@
         self._gate = gate
 
         async def set_faults(request: Request) -> Response:
-            order = await read_json(request, FaultOrder, MOST_ORDER_BYTES)
+            order = await read_json(request, FaultOrder, MAX_ORDER_BYTES)
             if isinstance(order, BodyFault):
                 return problem_response(order.problem)
             gate.set(order)
--- a/rackswitch/standins/faulty_kv.py
+++ b/rackswitch/standins/faulty_kv.py
@@ -22,7 +22,7 @@
 __all__ = ["FaultyKv", "KvFaults"]
 
 TIMEOUT_SECONDS = 1.0
-LATE_MOST_SECONDS = 6.0
+MAX_LATE_SECONDS = 6.0
 
 
 @dataclass(slots=True)
@@ -160,7 +160,7 @@
 
     def _apply_later(self, parts: list[TxnPart]) -> None:
         async def apply() -> None:
-            await asyncio.sleep(self._rng.random() * LATE_MOST_SECONDS)
+            await asyncio.sleep(self._rng.random() * MAX_LATE_SECONDS)
             self._expire()
             self._store.txn(parts)
 
--- a/rackswitch/standins/kv.py
+++ b/rackswitch/standins/kv.py
@@ -18,7 +18,7 @@
 
 __all__ = ["KvStandIn"]
 
-MOST_VALUE_BYTES = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 LEASE_SWEEP_SECONDS = 0.1
 RATE_WINDOW_SECONDS = 1.0
 
@@ -234,7 +234,7 @@
 
 
 def _is_too_large(part: TxnPart) -> bool:
-    return any(len(operation.value or b"") > MOST_VALUE_BYTES for operation in part.operations)
+    return any(len(operation.value or b"") > MAX_VALUE_BYTES for operation in part.operations)
 
 
 def _wire_done(done: TxnPartDone) -> dict[str, Any]:
--- a/rackswitch/standins/platform_api.py
+++ b/rackswitch/standins/platform_api.py
@@ -11,7 +11,7 @@
 
 __all__ = ["ApiCall", "ApiFaults", "PlatformApiStandIn"]
 
-MOST_BODY_BYTES = 1_000_000
+MAX_BODY_BYTES = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
         if scope["type"] != "http":
             return
         exchange = Exchange(scope, receive, send)
-        body = await exchange.read_body(MOST_BODY_BYTES, asyncio.get_running_loop().time() + 5.0)
+        body = await exchange.read_body(MAX_BODY_BYTES, asyncio.get_running_loop().time() + 5.0)
         status = self.faults.status or 200
         self.calls.append(
             ApiCall(
--- a/rackswitch/standins/platform_fleet.py
+++ b/rackswitch/standins/platform_fleet.py
@@ -34,7 +34,7 @@
 MODEL = "m0"
 VERSION_PREFIX = "op/version/"
 RESULTS_PATH = "/rackswitch/lots/"
-READY_PATIENCE_SECONDS = 10.0
+READY_TIMEOUT_SECONDS = 10.0
 
 
 def free_port(host: str) -> int:
@@ -190,7 +190,7 @@
             await target.start()
         for name in self._names:
             await self.start_gateway(name)
-        async with asyncio.timeout(READY_PATIENCE_SECONDS):
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             while not all(self._is_ready(gateway) for gateway in self.gateways.values()):
                 await asyncio.sleep(0.02)
 
@@ -275,7 +275,7 @@
     async def operate(self, state: dict[str, Any]) -> None:
         """Write a desired state, and wait until every gateway has it in force."""
         self.store.put("op/config", state)
-        async with asyncio.timeout(READY_PATIENCE_SECONDS):
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             while any(g.context.table_revision < state["version"] for g in self.gateways.values()):
                 await asyncio.sleep(0.01)
 
--- a/rackswitch/standins/platform_store.py
+++ b/rackswitch/standins/platform_store.py
@@ -17,7 +17,7 @@
 __all__ = ["PlatformStoreStandIn", "StoreFaults"]
 
 SWEEP_SECONDS = 0.05
-MOST_BODY_BYTES = 40_000_000
+MAX_BODY_BYTES = 40_000_000
 PAGE_ITEMS = 500
 
 
@@ -127,7 +127,7 @@
         if self.faults.down == "busy" or scope["client"][0] in self.faults.turned_away:
             await exchange.respond(503)
             return
-        body = await exchange.read_body(MOST_BODY_BYTES, asyncio.get_running_loop().time() + 5.0)
+        body = await exchange.read_body(MAX_BODY_BYTES, asyncio.get_running_loop().time() + 5.0)
         content = body if isinstance(body, bytes) else b""
         status, answer = await self._answer(exchange, content)
         if self._loses_answer(exchange.path, content):
--- a/rackswitch/standins/platform_target.py
+++ b/rackswitch/standins/platform_target.py
@@ -20,7 +20,7 @@
 
 EVENT_SECONDS = 0.004
 LOAD_SECONDS = 0.1
-MOST_BODY_BYTES = 1_000_000
+MAX_BODY_BYTES = 1_000_000
 
 
 @dataclass(slots=True)
@@ -201,7 +201,7 @@
         if scope["type"] != "http":
             return
         exchange = Exchange(scope, receive, send)
-        body = await exchange.read_body(MOST_BODY_BYTES, asyncio.get_running_loop().time() + 5.0)
+        body = await exchange.read_body(MAX_BODY_BYTES, asyncio.get_running_loop().time() + 5.0)
         expected = exchange.header("X-Rackswitch-Expect-Instance")
         if expected not in (None, self.instance):
             await exchange.respond(421, (("x-rackswitch-instance-id", self.instance),))
--- a/rackswitch/standins/trainer.py
+++ b/rackswitch/standins/trainer.py
@@ -69,7 +69,7 @@
     batches: int = 0
     idle_seconds: float = 0.0
     staleness_sum: int = 0
-    staleness_most: int = 0
+    staleness_max: int = 0
     versions: set[int] = field(default_factory=set)
     lengths: list[int] = field(default_factory=list)
 
@@ -198,7 +198,7 @@
         seen.add(sample.index)
         staleness = self.version - sample.label.oldest_version
         record.staleness_sum += max(0, staleness)
-        record.staleness_most = max(record.staleness_most, staleness)
+        record.staleness_max = max(record.staleness_max, staleness)
         record.too_stale += staleness > self._bound
         record.versions.update(version for version, _ in sample.label.spans)
         record.lengths.append(sample.tokens)
--- a/rackswitch/telemetry/journal.py
+++ b/rackswitch/telemetry/journal.py
@@ -12,10 +12,10 @@
 
 __all__ = ["DecisionLog", "LineHead"]
 
-MOST_WAITING_LINES = 4000
+MAX_WAITING_LINES = 4000
 """Lines kept while nobody reads; some 1 MB. Later ones are dropped and counted."""
 
-MOST_WAITING_ROUTINE_LINES = 2000
+MAX_WAITING_ROUTINE_LINES = 2000
 """Lines beyond which routine ones are folded: half is kept for failures and changes."""
 
 ROUTINE_LINES_PER_SECOND = 200.0
@@ -159,7 +159,7 @@
             await asyncio.sleep(PUMP_SECONDS)
 
     def _queue(self, event: Event) -> None:
-        if not self._is_read or len(self._lines) >= MOST_WAITING_LINES:
+        if not self._is_read or len(self._lines) >= MAX_WAITING_LINES:
             self._drop(1)
             return
         head = LineHead(
@@ -183,7 +183,7 @@
         earned = (now_seconds - self._earned_at_seconds) * ROUTINE_LINES_PER_SECOND
         self._earned_at_seconds = now_seconds
         self._routine_credit = min(ROUTINE_BURST_LINES, self._routine_credit + earned)
-        if self._routine_credit < 1.0 or len(self._lines) >= MOST_WAITING_ROUTINE_LINES:
+        if self._routine_credit < 1.0 or len(self._lines) >= MAX_WAITING_ROUTINE_LINES:
             return False
         self._routine_credit -= 1.0
         return True
--- a/rackswitch/telemetry/meters.py
+++ b/rackswitch/telemetry/meters.py
@@ -35,7 +35,7 @@
 
 __all__ = ["EventMeters", "short_outcome"]
 
-MOST_LABEL_VALUES = 200
+MAX_LABEL_VALUES = 200
 """Values of one label that are told apart; later ones count as `other`. More than the routes,
 services and models of the largest expected table on one daemon."""
 
@@ -212,7 +212,7 @@
     def _bounded(self, name: str, value: str) -> str:
         known = self._known_values.setdefault(name, set())
         if value not in known:
-            if len(known) >= MOST_LABEL_VALUES:
+            if len(known) >= MAX_LABEL_VALUES:
                 return OTHER
             known.add(value)
         return value
--- a/rackswitch/telemetry/tests/test_journal.py
+++ b/rackswitch/telemetry/tests/test_journal.py
@@ -16,7 +16,7 @@
 )
 from rackswitch.telemetry.journal import (
     FOLD_SECONDS,
-    MOST_WAITING_LINES,
+    MAX_WAITING_LINES,
     ROUTINE_BURST_LINES,
     ROUTINE_LINES_PER_SECOND,
 )
@@ -95,20 +95,20 @@
     reader, writer = os.pipe()
     counted: list[Event] = []
     log = DecisionLog("d", writer, counted.append)
-    for number in range(3 * MOST_WAITING_LINES):
+    for number in range(3 * MAX_WAITING_LINES):
         log.write(TargetGone(target=f"i{number}", still_used=False))
         if number % 1000 == 0:
             log.pump()
     assert log.dropped_total > 0
     # Metrics see every event, written or not.
-    assert len(counted) == 3 * MOST_WAITING_LINES
+    assert len(counted) == 3 * MAX_WAITING_LINES
     lines = read_all(log, reader)
     log.write(LOST)
     lines += read_all(log, reader)
     assert [line["target"] for line in lines[:100]] == [f"i{number}" for number in range(100)]
     dropped = sum(line.get("lines_dropped_before", 0) for line in lines)
     assert dropped == log.dropped_total
-    assert len(lines) + dropped == 3 * MOST_WAITING_LINES + 1
+    assert len(lines) + dropped == 3 * MAX_WAITING_LINES + 1
 
 
 def test_routine_lines_beyond_a_rate_are_folded_and_failures_are_not():
--- a/rackswitch/telemetry/tests/test_meters.py
+++ b/rackswitch/telemetry/tests/test_meters.py
@@ -10,7 +10,7 @@
     RoomSeen,
     TableInForce,
 )
-from rackswitch.telemetry.meters import MOST_LABEL_VALUES, OTHER, short_outcome
+from rackswitch.telemetry.meters import MAX_LABEL_VALUES, OTHER, short_outcome
 from rackswitch.telemetry.tests.test_journal import served
 
 
@@ -81,12 +81,12 @@
 def test_labels_are_bounded():
     refusals = [
         RequestRefused(request="r", path="/", status=number, detail="", table_revision=1)
-        for number in range(2 * MOST_LABEL_VALUES)
+        for number in range(2 * MAX_LABEL_VALUES)
     ]
     text = exposed(*refusals)
     lines = [line for line in text.splitlines() if line.startswith("rackswitch_refusals_total{")]
-    assert len(lines) == MOST_LABEL_VALUES + 1
-    assert f'rackswitch_refusals_total{{daemon="d",status="{OTHER}"}} {MOST_LABEL_VALUES}' in text
+    assert len(lines) == MAX_LABEL_VALUES + 1
+    assert f'rackswitch_refusals_total{{daemon="d",status="{OTHER}"}} {MAX_LABEL_VALUES}' in text
 
 
 def test_an_outcome_is_cut_to_its_kind():
--- a/rackswitch/tenants/__init__.py
+++ b/rackswitch/tenants/__init__.py
@@ -1,11 +1,11 @@
 """Tenants: whose key a request carries, and what the table allows its holder."""
 
-from rackswitch.tenants.callers import ANYBODY, Caller, chosen_identity
+from rackswitch.tenants.callers import ANONYMOUS, Caller, chosen_identity
 from rackswitch.tenants.index import FormerKey, TenantIndex, index_tenants
 from rackswitch.tenants.keys import KeyFault, bearer_key, key_digest
 
 __all__ = [
-    "ANYBODY",
+    "ANONYMOUS",
     "Caller",
     "FormerKey",
     "KeyFault",
--- a/rackswitch/tenants/callers.py
+++ b/rackswitch/tenants/callers.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["ANYBODY", "Caller", "chosen_identity"]
+__all__ = ["ANONYMOUS", "Caller", "chosen_identity"]
 
 JOB_SEPARATOR = "\n"
 """Between a tenant and its own identity of a job. Neither a header nor a path can hold a line
@@ -46,5 +46,5 @@
     return job_id.rpartition(JOB_SEPARATOR)[2]
 
 
-ANYBODY = Caller()
+ANONYMOUS = Caller()
 """The sender where the table has no tenants."""
--- a/rackswitch/tenants/index.py
+++ b/rackswitch/tenants/index.py
@@ -4,12 +4,12 @@
 from dataclasses import dataclass, field
 
 from rackswitch.table import TableDocument, TenantRow
-from rackswitch.tenants.callers import ANYBODY, Caller
+from rackswitch.tenants.callers import ANONYMOUS, Caller
 from rackswitch.tenants.keys import KeyFault, bearer_key, key_digest
 
 __all__ = ["FormerKey", "TenantIndex", "index_tenants"]
 
-MOST_FORMER_KEYS = 10_000
+MAX_FORMER_KEYS = 10_000
 """Keys taken away that are remembered, to tell why a caller is refused: some 3 MB at most, four
 keys an edit at 2,500 edits a day."""
 
@@ -50,7 +50,7 @@
     def identify(self, authorization: Iterable[str]) -> Caller | KeyFault:
         """Return who holds the key in a request's ``Authorization`` headers, or why nobody does."""
         if not self.in_force:
-            return ANYBODY
+            return ANONYMOUS
         key = bearer_key(tuple(authorization))
         if isinstance(key, KeyFault):
             return key
@@ -93,6 +93,6 @@
     for digest, row in before.by_digest.items():
         if digest not in by_digest:
             former[digest] = FormerKey(row.name, document.revision)
-    for digest in list(former)[: max(0, len(former) - MOST_FORMER_KEYS)]:
+    for digest in list(former)[: max(0, len(former) - MAX_FORMER_KEYS)]:
         del former[digest]
     return TenantIndex(by_digest, bool(rows), former)
--- a/rackswitch/tenants/keys.py
+++ b/rackswitch/tenants/keys.py
@@ -8,7 +8,7 @@
 
 SCHEME = "bearer"
 
-MOST_KEY_CHARACTERS = 512
+MAX_KEY_CHARACTERS = 512
 """Longer ones are refused unread; usual keys have 20 to 200 characters."""
 
 
@@ -59,8 +59,8 @@
     key = key.strip()
     if not key:
         return KeyFault("the Authorization header holds no key", is_form=True)
-    if len(key) > MOST_KEY_CHARACTERS:
-        return KeyFault(f"the key has over {MOST_KEY_CHARACTERS} characters", is_form=True)
+    if len(key) > MAX_KEY_CHARACTERS:
+        return KeyFault(f"the key has over {MAX_KEY_CHARACTERS} characters", is_form=True)
     if not key.isascii() or not key.isprintable() or " " in key:
         return KeyFault("the key holds characters that no key has", is_form=True)
     return key
--- a/rackswitch/usage/reports.py
+++ b/rackswitch/usage/reports.py
@@ -10,7 +10,7 @@
 
 __all__ = ["UsageReport", "UsageReports"]
 
-MOST_OPEN = 24
+MAX_OPEN = 24
 """Fixed reports that are kept for sending: two minutes of an outage at 5 s a window. Older ones
 are long past their time."""
 
@@ -66,7 +66,7 @@
 
     def with_fixed(self, report: UsageReport) -> "UsageReports":
         """Return what is known once a report's content is fixed."""
-        kept = [*self.open, report][-MOST_OPEN:]
+        kept = [*self.open, report][-MAX_OPEN:]
         return UsageReports(report.window, kept)
 
     def taken(self, window: int) -> None:
--- a/rackswitch/web/exchange.py
+++ b/rackswitch/web/exchange.py
@@ -14,7 +14,7 @@
 class BodyTooLarge:
     """The body is larger than allowed."""
 
-    most_bytes: int
+    max_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
         return sum(len(name) + len(value) + 4 for name, value in self._scope["headers"])
 
     async def read_body(
-        self, most_bytes: int, deadline_seconds: float
+        self, max_bytes: int, deadline_seconds: float
     ) -> bytes | BodyTooLarge | BodyTooSlow | CallerGone:
         """Read the body up to a size, until a deadline (event loop time)."""
         chunks: list[bytes] = []
@@ -113,9 +113,9 @@
                         return CallerGone()
                     chunk = message.get("body", b"")
                     size += len(chunk)
-                    if size > most_bytes:
+                    if size > max_bytes:
                         self.close_connection = True
-                        return BodyTooLarge(most_bytes)
+                        return BodyTooLarge(max_bytes)
                     chunks.append(chunk)
                     if not message.get("more_body", False):
                         return b"".join(chunks)
--- a/rackswitch/web/handlers.py
+++ b/rackswitch/web/handlers.py
@@ -21,7 +21,7 @@
     "watch_disconnect",
 ]
 
-BODY_PATIENCE_SECONDS = 20.0
+BODY_TIMEOUT_SECONDS = 20.0
 
 T = TypeVar("T")
 
@@ -102,16 +102,16 @@
     problem: Problem
 
 
-async def read_body(request: Request, most_bytes: int) -> bytes | BodyFault:
+async def read_body(request: Request, max_bytes: int) -> bytes | BodyFault:
     """Read a body up to a size."""
     chunks: list[bytes] = []
     size = 0
     try:
-        async with asyncio.timeout(BODY_PATIENCE_SECONDS):
+        async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
             async for chunk in request.stream():  # type: ignore[attr-defined]
                 size += len(chunk)
-                if size > most_bytes:
-                    detail = f"The body is over {most_bytes} bytes."
+                if size > max_bytes:
+                    detail = f"The body is over {max_bytes} bytes."
                     return BodyFault(Problem(413, "body-too-large", detail))
                 chunks.append(chunk)
     except TimeoutError:
@@ -119,9 +119,9 @@
     return b"".join(chunks)
 
 
-async def read_json(request: Request, kind: type[T], most_bytes: int) -> T | BodyFault:
+async def read_json(request: Request, kind: type[T], max_bytes: int) -> T | BodyFault:
     """Read a JSON body as a message; a fault names the field."""
-    body = await read_body(request, most_bytes)
+    body = await read_body(request, max_bytes)
     if isinstance(body, BodyFault):
         return body
     try:
--- a/rackswitch/web/tests/test_connection_limits.py
+++ b/rackswitch/web/tests/test_connection_limits.py
@@ -7,7 +7,7 @@
 from rackswitch.web.connection_limits import ConnectionLimits
 from rackswitch.web.exchange import Exchange
 
-PATIENCE_SECONDS = 5.0
+TIMEOUT_SECONDS = 5.0
 REQUEST = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
@@ -29,7 +29,7 @@
         if later is not None:
             limits.header_timeout_seconds = later.header_timeout_seconds
             limits.idle_timeout_seconds = later.idle_timeout_seconds
-    async with asyncio.timeout(PATIENCE_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         received += await reader.read()
     writer.close()
     await server.stop()
--- a/rackswitch/web/tests/test_planned_stop.py
+++ b/rackswitch/web/tests/test_planned_stop.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rackswitch.web import WebServer
-from rackswitch.web.tests.test_connection_limits import PATIENCE_SECONDS, REQUEST, answer_ok
+from rackswitch.web.tests.test_connection_limits import REQUEST, TIMEOUT_SECONDS, answer_ok
 
 ON_ITS_WAY_SECONDS = 0.15
 
@@ -22,7 +22,7 @@
         stopping = asyncio.create_task(server.stop())
         await asyncio.sleep(ON_ITS_WAY_SECONDS)
         writer.write(REQUEST)
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             answer = await reader.read()
             await stopping
         assert answer.startswith(b"HTTP/1.1 200 ")
--- a/rackswitch/weights/engine_loads.py
+++ b/rackswitch/weights/engine_loads.py
@@ -12,7 +12,7 @@
 FIRST_LOAD_SECONDS = 1.0
 """What a load is taken to last before one was seen to end; the platform's sheets tell 0.9 s."""
 
-MOST_LOAD_SECONDS = 4.0
+MAX_LOAD_SECONDS = 4.0
 """A load that was told so long ago has failed, or its end was not listed."""
 
 LONGER_SHARE = 0.2
@@ -67,7 +67,7 @@
         return now_seconds < load.began_seconds + self.usual_seconds
 
     def _learn(self, lasted_seconds: float) -> None:
-        if lasted_seconds > MOST_LOAD_SECONDS:
+        if lasted_seconds > MAX_LOAD_SECONDS:
             return
         difference_seconds = lasted_seconds - self.usual_seconds
         self.usual_seconds += difference_seconds * (LONGER_SHARE if difference_seconds > 0 else 1.0)
--- a/rackswitch/weights/rollout.py
+++ b/rackswitch/weights/rollout.py
@@ -22,7 +22,7 @@
     "plan_load_orders",
 ]
 
-ORDER_PATIENCE_SECONDS = 15.0
+ORDER_TIMEOUT_SECONDS = 15.0
 RETRY_AFTER_FAILURE_SECONDS = 0.5
 
 
@@ -83,7 +83,7 @@
     choices: Iterable[RouteChoice],
     state: RolloutState,
     now_seconds: float,
-    most_loading: int | None = None,
+    max_loading: int | None = None,
 ) -> list[LoadOrder]:
     """Decide which engines of a partition to order now.
 
@@ -101,7 +101,7 @@
         Orders under way.
     now_seconds : float
         Monotonic clock.
-    most_loading : int, optional
+    max_loading : int, optional
         Most engines that may be loading at once, in place of the share.
 
     Returns
@@ -115,7 +115,7 @@
         for engine in fleet
         if engine.loading or _under_way(state, engine.name, now_seconds)
     }
-    allowance = most_loading or max(1, int(len(fleet) * unavailable_share))
+    allowance = max_loading or max(1, int(len(fleet) * unavailable_share))
     room = allowance - len(busy)
     waiting = [
         engine
@@ -134,7 +134,7 @@
         if not _may_take_out(engine, serving, rules, desired):
             continue
         serving.pop(engine.name, None)
-        deadline_seconds = now_seconds + ORDER_PATIENCE_SECONDS
+        deadline_seconds = now_seconds + ORDER_TIMEOUT_SECONDS
         orders.append(LoadOrder(engine.name, desired, deadline_seconds))
     return orders
 
--- a/rackswitch/weights/service_plan.py
+++ b/rackswitch/weights/service_plan.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from rackswitch.weights.rollout import ORDER_PATIENCE_SECONDS, LoadOrder, RolloutState
+from rackswitch.weights.rollout import ORDER_TIMEOUT_SECONDS, LoadOrder, RolloutState
 
 __all__ = [
     "CarrierView",
@@ -24,7 +24,7 @@
 """Share of a service's engines that load at once. The platform's sheets name the number from
 which loads slow each other down: two of five or six engines, nine of twenty-two."""
 
-LEAST_LOADING = 2
+MIN_LOADING = 2
 """Loads at once however few the engines are."""
 
 NEWEST_SHARE = 0.5
@@ -42,7 +42,7 @@
 one service differ by."""
 
 
-MOST_LOADS_A_PLAN = 32
+MAX_LOADS_A_PLAN = 32
 """Loads that one plan orders; the next follows a tenth of a second later. So a plan for 600
 engines and 8 models takes 25 ms of the loop that serves callers; with no bound and the fastest
 engine looked up for each it took 8.6 s (`benchmarks/bench_service_plan.py`)."""
@@ -50,7 +50,7 @@
 
 def loads_at_once(engines: int) -> int:
     """Return how many of a service's engines may load at the same time."""
-    return max(LEAST_LOADING, int(engines * LOADING_SHARE))
+    return max(MIN_LOADING, int(engines * LOADING_SHARE))
 
 
 def carriers_wanted(engines: int, models: int) -> int:
@@ -174,7 +174,7 @@
     lacks = {need.model: _lack(need, fleet, carriers) for need in wanted}
     loads: list[ServiceLoad] = []
     room = loads_at_once(len(fleet.engines)) - len(fleet.busy)
-    for _ in range(min(room, MOST_LOADS_A_PLAN)):
+    for _ in range(min(room, MAX_LOADS_A_PLAN)):
         load = _next_load(wanted, lacks, fleet, state, now_seconds)
         if load is None:
             break
@@ -218,7 +218,7 @@
     for _, need in lacking:
         engine = _engine_for(need, fleet, state, now_seconds)
         if engine is not None:
-            deadline_seconds = now_seconds + ORDER_PATIENCE_SECONDS
+            deadline_seconds = now_seconds + ORDER_TIMEOUT_SECONDS
             return ServiceLoad(need.model, LoadOrder(engine, need.newest, deadline_seconds))
     return None
 
--- a/rackswitch/weights/tests/test_engine_loads.py
+++ b/rackswitch/weights/tests/test_engine_loads.py
@@ -1,5 +1,5 @@
 from rackswitch.weights import EngineLoads
-from rackswitch.weights.engine_loads import FIRST_LOAD_SECONDS, MOST_LOAD_SECONDS
+from rackswitch.weights.engine_loads import FIRST_LOAD_SECONDS, MAX_LOAD_SECONDS
 
 
 def test_an_engine_that_loads_a_model_gets_no_items_of_it_until_it_has_it():
@@ -35,7 +35,7 @@
 def test_the_time_of_a_load_is_learnt_the_shortest_first():
     assert after_loads(0.5, 0.7) < 0.6
     assert 2.0 < after_loads(*[2.5] * 12) <= 2.5
-    assert after_loads(MOST_LOAD_SECONDS + 1.0) == FIRST_LOAD_SECONDS
+    assert after_loads(MAX_LOAD_SECONDS + 1.0) == FIRST_LOAD_SECONDS
 
 
 def test_an_engine_that_is_gone_is_forgotten():
