--- a/rackswitch/jobs/checkpoints.py
+++ b/rackswitch/jobs/checkpoints.py
@@ -1,8 +1,8 @@
-"""Unfinished texts that a job's next owner goes on with, in place of making them again.
+"""Unfinished texts that a job's next owner continues instead of generating them again.
 
-A text may be gone on with only where its former run has surely ended: two engines must
-not work on one item, and a former owner that was cut off may still have it run. So a
-checkpoint names the process that wrote it, and whether that process had stopped the runs.
+A text may be continued only once its former run has surely ended: two engines must not work on one
+item, and a former owner that lost contact may still run it. So a checkpoint names the process that
+wrote it, and states whether that process had stopped the runs.
 """
 
 import msgspec
@@ -21,21 +21,21 @@
 ]
 
 MAX_CHECKPOINT_CHARACTERS = 300_000
-"""Texts kept of one job. A value holds 1 MiB, and bytes between zones are paid for; the
-longest texts, which decide when a step is whole, go first."""
+"""Maximum total length of one job's stored texts. A value is limited to 1 MiB, and traffic
+between zones is paid for. The longest texts, which decide when a step is complete, go first."""
 
 
 class ItemCheckpoint(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What is there of one item.
+    """The stored progress of one item.
 
     Attributes
     ----------
     pieces, versions : tuple
-        The text so far, and the weights that made it, in order of appearance.
-    is_whole : bool
-        Whether only the reward call is missing.
+        The text so far, and the versions that generated it, in order of first use.
+    is_complete_text : bool
+        Whether the text is complete and only the reward call is missing.
     result : JobResult or None
-        The item's end, if it has no position yet.
+        The item's result, if it has no position yet.
     """
 
     item_id: str
@@ -43,19 +43,19 @@
     versions: tuple[int, ...] = ()
     failures: int = 0
     reward_failures: int = 0
-    is_whole: bool = False
+    is_complete_text: bool = False
     result: JobResult | None = None
 
 
 class JobCheckpoint(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """The unfinished items of a job, as one owner left them.
+    """The unfinished items of a job, as one owner stored them.
 
     Attributes
     ----------
     daemon, process_started_unix_seconds : str, float
         The process that wrote it.
     runs_ended : bool
-        Whether that process had stopped the items' runs before.
+        Whether that process had already stopped the items' runs.
     """
 
     daemon: str
@@ -69,24 +69,24 @@
     min_pieces: int,
     max_characters: int = MAX_CHECKPOINT_CHARACTERS,
 ) -> tuple[ItemCheckpoint, ...]:
-    """Return what is worth keeping of a job's unfinished items, longest texts first.
+    """Return checkpoints of a job's unfinished items, longest texts first.
 
     Parameters
     ----------
     ledger : JobLedger
-        The job.
+        The job's ledger.
     min_pieces : int
-        Shorter texts are left out: they are made again as fast as they are read back.
+        Shorter texts are omitted: generating them again is as fast as reading them.
     max_characters : int, optional
-        What the texts may have together.
+        Maximum total length of the texts.
     """
     unfinished = [item for item in ledger.items.values() if item.phase is not ItemPhase.LISTED]
     unfinished.sort(key=lambda item: -item.last_number)
     chosen: list[ItemCheckpoint] = []
     characters = 0
     for progress in unfinished:
-        worth = progress.last_number >= min_pieces or progress.result is not None
-        if not worth and not progress.failures and not progress.reward_failures:
+        has_value = progress.last_number >= min_pieces or progress.result is not None
+        if not has_value and not progress.failures and not progress.reward_failures:
             continue
         checkpoint = _checkpoint(progress)
         characters += sum(len(piece) for piece in checkpoint.pieces)
@@ -103,21 +103,21 @@
         versions=tuple(progress.versions),
         failures=progress.failures,
         reward_failures=progress.reward_failures,
-        is_whole=progress.phase is ItemPhase.SCORING,
+        is_complete_text=progress.phase is ItemPhase.SCORING,
         result=progress.result,
     )
 
 
 def may_resume_from(checkpoint: JobCheckpoint, process_start: float | None) -> bool:
-    """Return whether the runs behind a checkpoint have surely ended.
+    """Return whether the runs of a checkpoint have surely ended.
 
     Parameters
     ----------
     checkpoint : JobCheckpoint
-        As the former owner left it.
+        The former owner's checkpoint.
     process_start : float or None
-        When the former owner's present process began, by that daemon's own word; None if it
-        has told nothing.
+        When the former owner's present process started, as reported by that daemon; None if it has
+        reported nothing.
     """
     if checkpoint.runs_ended:
         return True
@@ -125,20 +125,20 @@
 
 
 def merge_checkpoints(earlier: JobCheckpoint, later: JobCheckpoint) -> JobCheckpoint:
-    """Return the later of two checkpoints of one process, with the earlier one's results.
+    """Return the later of two checkpoints of one process, with the earlier one's results added.
 
-    A result that is missing in the later one was being appended in between, which may have failed:
-    its item would be run again.
+    A result missing in the later one was being appended in between. The append may have failed, and
+    without the result its item would run again.
     """
-    told = {item.item_id for item in later.items}
+    later_ids = {item.item_id for item in later.items}
     results = [
-        item for item in earlier.items if item.result is not None and item.item_id not in told
+        item for item in earlier.items if item.result is not None and item.item_id not in later_ids
     ]
     return msgspec.structs.replace(later, items=(*later.items, *results))
 
 
 def restore_items(ledger: JobLedger, items: tuple[ItemCheckpoint, ...]) -> int:
-    """Take unfinished texts over into a new owner's ledger; return how many."""
+    """Restore unfinished texts into a new owner's ledger; return how many."""
     restored = 0
     for checkpoint in items:
         progress = ledger.items.get(checkpoint.item_id)
@@ -151,6 +151,6 @@
         progress.reward_failures = checkpoint.reward_failures
         if checkpoint.result is not None:
             ledger.take_result(progress, checkpoint.result)
-        elif checkpoint.is_whole:
+        elif checkpoint.is_complete_text:
             ledger.whole(progress)
     return restored
--- a/rackswitch/jobs/engine_memory.py
+++ b/rackswitch/jobs/engine_memory.py
@@ -1,7 +1,7 @@
-"""How much room engines have for more runs: slots and memory together.
+"""The capacity of engines for more runs: slots and memory together.
 
-An engine whose memory runs out preempts a run in the middle of its text. What each run holds
-grows until its end, so a run fits only if all that are there fit with what they will hold.
+An engine that runs out of memory preempts a run in the middle of its text. A run's memory grows
+until its end, so a run fits only if the final sizes of all runs there fit.
 """
 
 import math
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from rackswitch.jobs.local_runs import LocalRun
-from rackswitch.jobs.occupancy import LOAD_LIFE_SECONDS
+from rackswitch.jobs.occupancy import LOAD_REPORT_LIFETIME_SECONDS
 from rackswitch.jobs.progress import ItemProgress
 from rackswitch.jobs.schedule import LengthForecast
 
@@ -22,22 +22,22 @@
     "tokens_held",
 ]
 
-QUEUED_RUNS = 1
-"""Runs that an owner may have queued at an engine beyond its slots. With one, the engine goes on
-at once when another owner's run ends, which this owner cannot see; each more waits there for a
-slot while one may become free elsewhere."""
+MAX_QUEUED_RUNS = 1
+"""Runs that an owner may queue at an engine beyond its free slots. One lets the engine continue
+at once when another owner's run ends; more would wait there while a slot may become free
+elsewhere."""
 
 
 @dataclass(frozen=True, slots=True)
 class FreeCapacity:
-    """What more an engine takes.
+    """The free capacity of an engine.
 
     Attributes
     ----------
     slots : int
         Runs that may be sent to it.
     tokens : float
-        Memory for them, with all that they will hold; infinite if it is not known.
+        Memory for them, in tokens of their final sizes; infinite if unknown.
     """
 
     slots: int
@@ -45,8 +45,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Used:
-    """What others' runs held of an engine, and until when that counts (monotonic)."""
+class _OthersUsage:
+    """Memory used by other daemons' runs, and until when this report is valid (monotonic)."""
 
     others_tokens: float
     until_seconds: float
@@ -54,16 +54,16 @@
 
 @dataclass(slots=True)
 class EngineMemory:
-    """What engines have told of their memory, by start.
+    """Memory that engines have reported, by engine start.
 
     Attributes
     ----------
     total_tokens : dict of str to int
-        All that an engine has.
+        An engine's total memory, in tokens.
     """
 
     total_tokens: dict[str, int] = field(default_factory=dict)
-    _used: dict[str, _Used] = field(default_factory=dict)
+    _others_usage: dict[str, _OthersUsage] = field(default_factory=dict)
 
     def heard(
         self,
@@ -73,17 +73,17 @@
         own_tokens: float,
         now_seconds: float,
     ) -> None:
-        """Take in an engine's word, its statement about its own load.
+        """Record the memory in an engine's load report.
 
         Parameters
         ----------
         start : str
             Which start of the engine.
         used_tokens, total_tokens : int
-            What is used and cannot give way, and all that it has; 0 for the latter if it does
-            not say.
+            Memory that is used and cannot be evicted, and total memory; 0 for the latter if the
+            engine does not report it.
         own_tokens : float
-            What this daemon's runs hold of the former.
+            Part of `used_tokens` held by this daemon's runs.
         now_seconds : float
             Monotonic clock.
         """
@@ -91,29 +91,31 @@
             return
         self.total_tokens[start] = total_tokens
         others_tokens = max(0.0, used_tokens - own_tokens)
-        self._used[start] = _Used(others_tokens, now_seconds + LOAD_LIFE_SECONDS)
+        self._others_usage[start] = _OthersUsage(
+            others_tokens, now_seconds + LOAD_REPORT_LIFETIME_SECONDS
+        )
 
     def keep_only(self, starts: Collection[str]) -> None:
-        """Drop all that is known of engines that are gone."""
+        """Discard the memory of all other engine starts."""
         for start in [start for start in self.total_tokens if start not in starts]:
-            del self.total_tokens[start], self._used[start]
+            del self.total_tokens[start], self._others_usage[start]
 
     def free_tokens(self, start: str, own_tokens_at_end: float, now_seconds: float) -> float:
-        """Return what is left for more runs once this daemon's own have grown to their ends.
+        """Return the memory for more runs, with this daemon's own runs counted at their final size.
 
         Parameters
         ----------
         start : str
             Which start of the engine.
         own_tokens_at_end : float
-            What this daemon's runs there will hold.
+            Final size of this daemon's runs there.
         now_seconds : float
             Monotonic clock.
         """
         total_tokens = self.total_tokens.get(start)
         if total_tokens is None:
             return math.inf
-        used = self._used[start]
+        used = self._others_usage[start]
         others_tokens = used.others_tokens if now_seconds < used.until_seconds else 0.0
         return total_tokens - own_tokens_at_end - others_tokens
 
@@ -126,63 +128,65 @@
     free_tokens: float,
     is_shared: bool = True,
 ) -> FreeCapacity:
-    """Return what an engine takes of one owner: the two bounds together.
+    """Return the free capacity of an engine for one owner, limited by slots and by memory.
 
     Parameters
     ----------
     slots : int
         Runs that it works on at once.
     own_runs, own_queued : int
-        Runs of this owner there, and those among them that have not begun: a run in its queue
-        says that an engine is full, whatever its last word was.
+        This owner's runs there, and how many of them have not begun. A queued run shows that the
+        engine is full, whatever its last report said.
     others_runs : int
-        Runs of others, by the engine's last word.
+        Other owners' runs by the engine's last report.
     free_tokens : float
-        Memory that is left for more runs.
+        Memory for more runs, in tokens.
     is_shared : bool, optional
-        Whether others' runs are counted; else each owner takes all slots for its own.
+        Whether others' runs are counted; otherwise each owner uses all slots.
     """
-    own_room = slots - own_runs
+    own_free_slots = slots - own_runs
     if not is_shared:
-        return FreeCapacity(own_room, free_tokens)
+        return FreeCapacity(own_free_slots, free_tokens)
     if own_queued:
-        return FreeCapacity(min(own_room, QUEUED_RUNS - own_queued), free_tokens)
-    return FreeCapacity(min(own_room, max(QUEUED_RUNS, own_room - others_runs)), free_tokens)
+        return FreeCapacity(min(own_free_slots, MAX_QUEUED_RUNS - own_queued), free_tokens)
+    return FreeCapacity(
+        min(own_free_slots, max(MAX_QUEUED_RUNS, own_free_slots - others_runs)), free_tokens
+    )
 
 
 def item_tokens(progress: ItemProgress, forecast: LengthForecast) -> float:
-    """Return what an item's run will probably hold at its end, with its prompt."""
+    """Return the expected final memory use of an item's run, with its prompt, in tokens."""
     return progress.item.prompt_tokens + _text_tokens(progress, forecast)
 
 
 def tokens_at_end(runs: Iterable[LocalRun], forecast: LengthForecast) -> float:
-    """Return what runs at one engine will hold together at their ends."""
-    return _tokens(runs, lambda progress: _text_tokens(progress, forecast))
+    """Return the expected final memory use of runs at one engine, in tokens."""
+    return _sum_tokens(runs, lambda progress: _text_tokens(progress, forecast))
 
 
 def tokens_held(runs: Iterable[LocalRun], forecast: LengthForecast) -> float:
-    """Return what runs at one engine hold together by now."""
-    return _tokens(runs, lambda progress: progress.last_number / forecast.pieces_per_token)
+    """Return the present memory use of runs at one engine, in tokens."""
+    return _sum_tokens(runs, lambda progress: progress.last_number / forecast.pieces_per_token)
 
 
-def _tokens(runs: Iterable[LocalRun], text_tokens: Callable[[ItemProgress], float]) -> float:
-    """Add up texts, and prompts once for each group: its items share their prompt."""
-    prompts: dict[tuple[str, str], int] = {}
-    total = 0.0
+def _sum_tokens(runs: Iterable[LocalRun], text_tokens_of: Callable[[ItemProgress], float]) -> float:
+    """Sum up the texts, and the prompts once per group, since a group shares its prompt."""
+    prompt_tokens: dict[tuple[str, str], int] = {}
+    total_tokens = 0.0
     for run in runs:
         item = run.progress.item
-        # An item without a group shares its prompt with none.
-        group = (run.ledger.job.job_id, item.group or item.item_id)
-        prompts[group] = max(prompts.get(group, 0), item.prompt_tokens)
-        total += text_tokens(run.progress)
-    return total + sum(prompts.values())
+        # An item without a group shares its prompt with no other item.
+        group_key = (run.ledger.job.job_id, item.group or item.item_id)
+        prompt_tokens[group_key] = max(prompt_tokens.get(group_key, 0), item.prompt_tokens)
+        total_tokens += text_tokens_of(run.progress)
+    return total_tokens + sum(prompt_tokens.values())
 
 
 def _text_tokens(progress: ItemProgress, forecast: LengthForecast) -> float:
-    """Return how long an item's text probably becomes, within what it may."""
+    """Return the expected final length of an item's text, within its limit."""
     item = progress.item
-    most = float(item.tokens - item.prompt_tokens)
+    max_tokens = float(item.tokens - item.prompt_tokens)
     if item.expected_tokens <= 0:
-        return most
+        return max_tokens
     pieces = progress.last_number + forecast.remaining_pieces(progress)
-    return min(most, pieces / forecast.pieces_per_token)
+    return min(max_tokens, pieces / forecast.pieces_per_token)
--- a/rackswitch/jobs/hand_over.py
+++ b/rackswitch/jobs/hand_over.py
@@ -1,7 +1,7 @@
-"""Who goes on with the jobs of an owner that stops.
+"""Which daemon takes over the jobs of an owner that stops.
 
-While daemons are stopped in turn a job may have to move several times. Engines are full then, so
-that no move may lose text or much time.
+While daemons are stopped in turn a job may move several times. Engines are full then, so a move
+must lose neither text nor much time.
 """
 
 from collections.abc import Iterable
@@ -14,8 +14,8 @@
 __all__ = ["SuccessorCandidate", "is_renewed", "order_jobs", "order_successors"]
 
 FLEET_START_SECONDS = 1.0
-"""Most by which the processes of a fleet that is started at once begin apart. A process that is
-younger knows no engines yet."""
+"""Maximum interval between process starts in a fleet that is started at once. A process that is
+younger than this knows no engines yet."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     Attributes
     ----------
     owner : OwnerCandidate
-        What it owns, and its room.
+        Its open items and its capacity.
     in_zone : bool
         Whether it is in the stopping owner's availability zone.
     """
@@ -37,24 +37,24 @@
 def is_renewed(
     started_unix_seconds: float | None, oldest_unix_seconds: float, now_unix_seconds: float
 ) -> bool:
-    """Return whether a daemon has been restarted already, and so is not stopped next.
+    """Return whether a daemon was already restarted, and so is not the next to be stopped.
 
-    One that has only just begun knows no engines yet, and does not count.
+    A process that started a moment ago knows no engines yet and does not count.
 
     Parameters
     ----------
     started_unix_seconds : float or None
-        When its latest known process began.
+        Start of its latest known process.
     oldest_unix_seconds : float
-        When the process began that is compared with: the oldest one, or the one that stops.
+        Start of the process to compare with: the oldest one, or the one that stops.
     now_unix_seconds : float
-        The time of day.
+        Unix time.
     """
     if started_unix_seconds is None:
         return False
-    since_seconds = started_unix_seconds - oldest_unix_seconds
+    newer_by_seconds = started_unix_seconds - oldest_unix_seconds
     age_seconds = now_unix_seconds - started_unix_seconds
-    return since_seconds > FLEET_START_SECONDS and age_seconds > FLEET_START_SECONDS
+    return newer_by_seconds > FLEET_START_SECONDS and age_seconds > FLEET_START_SECONDS
 
 
 def order_successors(
@@ -62,38 +62,38 @@
 ) -> list[str]:
     """Return the daemons to offer a job to, best first.
 
-    Those restarted already come first, since the others may be stopped next; then those of the
-    owner's zone, those with room, and those that have connections for a job's items.
+    Restarted daemons come first, since the others may be stopped next; then daemons of the owner's
+    zone, those with capacity, and those with open connections for a job's items.
 
     Parameters
     ----------
     job_id : str
-        The job; those that are alike are ordered differently for each job.
+        The job; it determines the order of candidates that are otherwise equal.
     items : int
-        How many items it has.
+        Number of the job's items.
     candidates : iterable of SuccessorCandidate
-        Daemons believed live that have not said that they are stopping.
+        Daemons considered live that have not announced that they are stopping.
     """
     by_name = {candidate.owner.daemon: candidate for candidate in candidates}
     ranked = rank_candidates(job_id, list(by_name))
-    return sorted(ranked, key=lambda name: _misfit(by_name[name], items))
+    return sorted(ranked, key=lambda name: _successor_key(by_name[name], items))
 
 
-def _misfit(candidate: SuccessorCandidate, items: int) -> tuple[bool, ...]:
+def _successor_key(candidate: SuccessorCandidate, items: int) -> tuple[bool, ...]:
     return (
         not candidate.owner.is_renewed,
         not candidate.in_zone,
-        not candidate.owner.has_room(items),
-        not candidate.owner.is_warm,
+        not candidate.owner.has_capacity(items),
+        not candidate.owner.has_connections,
     )
 
 
 def order_jobs(ledgers: Iterable[JobLedger]) -> list[JobLedger]:
-    """Return jobs in the order in which steps wait for them.
+    """Return jobs in the order in which trainers wait for them.
 
-    First those with results that decide a step, then by how few items are missing.
+    Jobs whose pending results complete a step come first, then those with the fewest missing items.
     """
     return sorted(
         ledgers,
-        key=lambda ledger: (not ledger.decides_step, ledger.total - len(ledger.listed)),
+        key=lambda ledger: (not ledger.completes_step, ledger.total - len(ledger.listed)),
     )
--- a/rackswitch/jobs/leaving.py
+++ b/rackswitch/jobs/leaving.py
@@ -1,7 +1,7 @@
-"""Engines that leave: until when each can be counted on, and which runs go on elsewhere before.
+"""Engines that are leaving: when they may end, and which runs continue elsewhere before.
 
-A run that its engine's end breaks loses the time until that is noticed and until another engine
-has room. One that leaves before loses only the reading of its prompt and of its text so far.
+A run that is interrupted by its engine's end loses the time until that is noticed and until another
+engine has capacity. A run that moves before loses only the reading of its prompt and its text.
 """
 
 from collections.abc import Iterable
@@ -11,28 +11,28 @@
 
 __all__ = ["LeavingEngines", "LeavingRun", "runs_to_move"]
 
-LAST_PIECE_MARGIN_SECONDS = 0.2
-"""A run stays only if it is whole at least this long before its engine's end: the forecast of its
-end may be off by some pieces, and the engine's clock by as much."""
+ENGINE_END_MARGIN_SECONDS = 0.2
+"""A run stays only if it is expected to complete at least this long before its engine's end.
+Covers errors of the forecast and of the engine's clock."""
 
 MIN_REMAINING_SECONDS = 0.2
-"""A run that lacks less than this stays whenever its engine ends: elsewhere, to read its prompt and
-text anew and get a place in a batch would take as long."""
+"""A run with less time left than this always stays: another engine would need as long to read
+its prompt and text and to start it."""
 
 
 @dataclass(slots=True)
 class LeavingEngines:
-    """Starts of engines that leave, and until when each can be counted on (monotonic)."""
+    """Starts of engines that are leaving, and how long each is expected to serve (monotonic)."""
 
     until_seconds: dict[str, float] = field(default_factory=dict)
 
     def noticed(
         self, start: str, now_seconds: float, left_seconds: float | None, min_seconds: float
     ) -> bool:
-        """Take in that an engine leaves; return whether that is news.
+        """Record that an engine is leaving; return whether this is new.
 
-        A later word counts only if it tells of an earlier end: the time that a word names was
-        left when it was written, and it is older by the time that it is read again.
+        A repeated notice can only shorten the time: the engine states the time left when it writes
+        the notice, and the notice is older by the time it is read again.
 
         Parameters
         ----------
@@ -41,48 +41,48 @@
         now_seconds : float
             Monotonic clock.
         left_seconds : float or None
-            What it says that is left; None if it does not say.
+            Time left by the engine's notice; None if it does not say.
         min_seconds : float
-            For how long any engine serves after such a notice, at least; 0 if that is not known,
-            and its end may then come at any moment.
+            Minimum time that any engine serves after a notice; 0 if unknown, as its end may then
+            come at any moment.
         """
-        bound_seconds = now_seconds + (min_seconds if left_seconds is None else left_seconds)
-        known_seconds = self.until_seconds.get(start)
-        if known_seconds is None:
-            self.until_seconds[start] = bound_seconds
+        end_seconds = now_seconds + (min_seconds if left_seconds is None else left_seconds)
+        known_end_seconds = self.until_seconds.get(start)
+        if known_end_seconds is None:
+            self.until_seconds[start] = end_seconds
             return True
         if left_seconds is not None:
-            self.until_seconds[start] = min(known_seconds, bound_seconds)
+            self.until_seconds[start] = min(known_end_seconds, end_seconds)
         return False
 
     def keep_only(self, starts: Iterable[str]) -> None:
-        """Forget engines that are gone, or have taken their notice back."""
-        kept = set(starts)
+        """Forget engines that are gone or have withdrawn their notice."""
+        kept_starts = set(starts)
         self.until_seconds = {
-            start: until for start, until in self.until_seconds.items() if start in kept
+            start: until for start, until in self.until_seconds.items() if start in kept_starts
         }
 
 
 @dataclass(frozen=True, slots=True)
 class LeavingRun:
-    """A run at an engine that leaves.
+    """A run at an engine that is leaving.
 
     Attributes
     ----------
     key : (str, str)
-        Its job and its item.
+        Its job id and item id.
     start, service, model : str
-        Where it is, and what can go on with it.
+        The engine's start, and the service and model that can continue the run.
     oldest_version : int
-        Of the weights that may go on with it.
+        Oldest version of the weights that may continue the run.
     remaining_pieces : float
-        What its text probably still lacks.
+        Number of pieces that its text probably still lacks.
     seconds_per_piece : float
         Its own pace.
     start_by_seconds : float
-        When it would have had to start at the latest to be whole in time (monotonic).
+        Latest start at which it would be complete when due (monotonic).
     tokens : float
-        What it will hold of an engine's memory.
+        Engine memory that it will use at its end, in tokens.
     is_surplus : bool
         Whether its trainer will not wait for it.
     """
@@ -100,57 +100,60 @@
 
     @property
     def remaining_seconds(self) -> float:
-        """How long it still takes where it is."""
+        """Expected time to complete the run at its present engine."""
         return self.remaining_pieces * self.seconds_per_piece
 
 
 def runs_to_move(
     runs: Iterable[LeavingRun],
     until_seconds: dict[str, float],
-    rooms: list[EngineCapacity],
+    engines: list[EngineCapacity],
     now_seconds: float,
 ) -> list[tuple[LeavingRun, str]]:
-    """Return the runs that go on elsewhere now, the most urgent first, and where there is room.
+    """Return the runs to continue elsewhere now, the most urgent first, each with its new engine.
 
-    They leave only as fast as other engines have free slots: one that would wait there is better
-    off where it is, which still brings pieces.
+    Runs move only to free slots: while it waits for one, a run still produces pieces where it is.
 
     Parameters
     ----------
     runs : iterable of LeavingRun
-        Runs at engines that leave.
+        Runs at engines that are leaving.
     until_seconds : dict of str to float
-        By start, until when an engine can be counted on (monotonic).
-    rooms : list of EngineCapacity
-        Room at the engines that stay; what is planned is taken off.
+        By start, how long an engine is expected to serve (monotonic).
+    engines : list of EngineCapacity
+        Capacity of the engines that stay; reduced by the planned moves.
     now_seconds : float
         Monotonic clock.
     """
-    lost = [run for run in runs if not _ends_in_time(run, until_seconds[run.start], now_seconds)]
-    lost.sort(key=lambda run: (run.is_surplus, run.start_by_seconds))
+    endangered = [
+        run for run in runs if not _completes_in_time(run, until_seconds[run.start], now_seconds)
+    ]
+    endangered.sort(key=lambda run: (run.is_surplus, run.start_by_seconds))
     moves: list[tuple[LeavingRun, str]] = []
-    for run in lost:
-        room = _room_for(run, rooms)
-        if room is None:
+    for run in endangered:
+        engine = _fastest_engine(run, engines)
+        if engine is None:
             continue
-        room.begin(run.tokens)
-        moves.append((run, room.instance))
+        engine.begin(run.tokens)
+        moves.append((run, engine.instance))
     return moves
 
 
-def _ends_in_time(run: LeavingRun, until_seconds: float, now_seconds: float) -> bool:
+def _completes_in_time(run: LeavingRun, until_seconds: float, now_seconds: float) -> bool:
     if run.remaining_seconds < MIN_REMAINING_SECONDS:
         return True
-    return now_seconds + run.remaining_seconds <= until_seconds - LAST_PIECE_MARGIN_SECONDS
+    return now_seconds + run.remaining_seconds <= until_seconds - ENGINE_END_MARGIN_SECONDS
 
 
-def _room_for(run: LeavingRun, rooms: list[EngineCapacity]) -> EngineCapacity | None:
-    fit = [
-        room
-        for room in rooms
-        if room.service == run.service
-        and room.versions.get(run.model, 0) >= run.oldest_version
-        and room.takes(run.tokens)
-        and (room.slots == 0 or room.runs < room.slots)
+def _fastest_engine(run: LeavingRun, engines: list[EngineCapacity]) -> EngineCapacity | None:
+    candidates = [
+        engine
+        for engine in engines
+        if engine.service == run.service
+        and engine.versions.get(run.model, 0) >= run.oldest_version
+        and engine.has_capacity_for(run.tokens)
+        and (engine.slots == 0 or engine.runs < engine.slots)
     ]
-    return min(fit, key=lambda room: room.expected_seconds(run.remaining_pieces), default=None)
+    return min(
+        candidates, key=lambda engine: engine.expected_seconds(run.remaining_pieces), default=None
+    )
--- a/rackswitch/jobs/ledger.py
+++ b/rackswitch/jobs/ledger.py
@@ -1,9 +1,8 @@
-"""One batch job on the daemon that owns it.
+"""The state of one batch job on the daemon that owns it.
 
-The ledger decides which items may start, when a result may be listed and at
-which position. A position is given only once the segment that holds it is
-known to be kept in the key-value service; segments are appended one at a time
-by the owner alone, so a position never moves.
+The ledger decides which items may start, when a result may be listed and at which position. A
+result gets a position only after the segment that holds it is stored in the key-value service. Only
+the owner appends segments, one at a time, so a position never changes.
 """
 
 from collections import Counter
@@ -17,27 +16,27 @@
 
 MAX_RESULTS_PER_SEGMENT = 256
 MAX_SEGMENT_CHARACTERS = 500_000
-"""Keeps a segment, as base64, below the 1 MiB that a value may have."""
+"""Keeps a segment, encoded as base64, below the 1 MiB limit of a value."""
 
-RETRY_PAUSE_SECONDS = 0.05
-"""Pause before an item whose run broke starts again; engines that refuse are found
-out within a few network round trips, so this only spaces a busy loop."""
+RETRY_DELAY_SECONDS = 0.05
+"""Delay before an item is started again after an interrupted or failed run; prevents a busy
+loop."""
 
 
 @dataclass(slots=True)
 class JobLedger:
-    """The state of a job's items, and its results in their order.
+    """The state of a job's items, and its results in order.
 
     Parameters
     ----------
     job : Job
         The job.
     listed : list of JobResult
-        Results that are kept, by position.
+        Stored results, by position.
     max_failures : int
-        Failures of an item's runs after which it is given up.
+        Number of failed runs after which an item is given up.
     single_version : bool
-        Whether all of a text must be made by one version.
+        Whether one version of the weights must generate all of a text.
     """
 
     job: Job
@@ -46,14 +45,14 @@
     single_version: bool = False
     ended: bool = False
     items: dict[str, ItemProgress] = field(default_factory=dict)
-    _pending: list[JobResult] = field(default_factory=list)
-    _unfinished: Counter[str] = field(default_factory=Counter)
-    _unlisted: Counter[str] = field(default_factory=Counter)
+    _pending_results: list[JobResult] = field(default_factory=list)
+    _unfinished_items: Counter[str] = field(default_factory=Counter)
+    _unlisted_items: Counter[str] = field(default_factory=Counter)
 
     def __post_init__(self) -> None:
         self.items = {item.item_id: ItemProgress(item) for item in self.job.items}
-        self._unfinished = Counter(item.group for item in self.job.items)
-        self._unlisted = Counter(self._unfinished)
+        self._unfinished_items = Counter(item.group for item in self.job.items)
+        self._unlisted_items = Counter(self._unfinished_items)
         for result in self.listed:
             self._mark_listed(result)
 
@@ -64,8 +63,8 @@
 
     @property
     def groups(self) -> list[str]:
-        """Its groups, in the order of their first items."""
-        return list(self._unfinished)
+        """The job's groups, in the order of their first items."""
+        return list(self._unfinished_items)
 
     @property
     def is_complete(self) -> bool:
@@ -83,31 +82,31 @@
         ]
 
     def started(self, progress: ItemProgress) -> None:
-        """Note that a run of an item begins."""
+        """Record the start of an item's run."""
         check_invariant(progress.phase is ItemPhase.WAITING, "an item runs once at a time")
         progress.phase = ItemPhase.RUNNING
         progress.run_number += 1
 
     def postponed(self, progress: ItemProgress, until_seconds: float) -> None:
-        """Note that an item was not sent and must not be before a moment."""
+        """Record that an item was not sent and must not be sent before a given time."""
         if progress.result is not None:
             return
         progress.phase = ItemPhase.WAITING
         progress.not_before_seconds = until_seconds
 
     def broke(self, progress: ItemProgress, target: str, now_seconds: float) -> None:
-        """Note that a run ended before the text was whole, through no fault of the item.
+        """Record that a run was interrupted, through no fault of the item.
 
-        Its result may have been listed meanwhile, from another owner: it runs no more then.
+        Does nothing if the item's result was listed meanwhile, by another owner.
         """
         if progress.result is not None:
             return
         progress.phase = ItemPhase.WAITING
-        progress.avoid = target
-        progress.not_before_seconds = now_seconds + RETRY_PAUSE_SECONDS
+        progress.avoided_instance = target
+        progress.not_before_seconds = now_seconds + RETRY_DELAY_SECONDS
 
     def failed(self, progress: ItemProgress, now_seconds: float) -> None:
-        """Note that an engine ended a run with a failure; enough of them end the item."""
+        """Record that an engine ended a run with a failure; too many failures end the item."""
         if progress.result is not None:
             return
         progress.failures += 1
@@ -115,32 +114,33 @@
             self.give_up(progress)
             return
         progress.phase = ItemPhase.WAITING
-        progress.not_before_seconds = now_seconds + RETRY_PAUSE_SECONDS
+        progress.not_before_seconds = now_seconds + RETRY_DELAY_SECONDS
 
     def whole(self, progress: ItemProgress) -> None:
-        """Note that the text is whole; it is listed at once or after its reward call."""
+        """Record that a text is complete; its reward call, if any, comes next."""
         if progress.result is not None:
             return
         if progress.item.reward is None:
-            self._finish(progress, "")
+            self._complete_item(progress, "")
         else:
             progress.phase = ItemPhase.SCORING
 
     def scored(self, progress: ItemProgress, score: str) -> None:
-        """Note the answer of the reward call."""
-        self._finish(progress, score)
+        """Record the answer of the reward call."""
+        self._complete_item(progress, score)
 
     def reward_failed(self, progress: ItemProgress, failures: int, max_failures: int) -> bool:
-        """Note answers by which the reward service failed; return whether to try again.
+        """Record failed answers of the reward service; return whether to try again.
 
         Parameters
         ----------
         progress : ItemProgress
             The item.
         failures : int
-            Answers since the last call of this method.
+            Failed answers since the last call of this method.
         max_failures : int
-            How many of them, over all calls, the reward call's own route allows.
+            Number of failed answers, over all calls, after which the item is given up. It comes
+            from the reward call's own route.
         """
         progress.reward_failures += failures
         if progress.reward_failures < max_failures:
@@ -155,10 +155,10 @@
         self.take_result(progress, JobResult(item_id=progress.item.item_id, completed=False))
 
     def next_segment(self) -> tuple[int, list[JobResult]]:
-        """Return the results to append now, and the position of the first of them."""
+        """Return the position of the next segment and the results to append in it."""
         segment: list[JobResult] = []
         characters = 0
-        for result in self._pending[:MAX_RESULTS_PER_SEGMENT]:
+        for result in self._pending_results[:MAX_RESULTS_PER_SEGMENT]:
             characters += len(result.text)
             if segment and characters > MAX_SEGMENT_CHARACTERS:
                 break
@@ -166,35 +166,37 @@
         return len(self.listed), segment
 
     def appended(self, position: int, segment: list[JobResult]) -> None:
-        """Note that a segment is kept, whether it is the one last proposed or an earlier one."""
+        """Record a stored segment, which may be an earlier one than the last proposed."""
         check_invariant(position == len(self.listed), "segments are appended in order")
-        known = {result.item_id for result in self.listed}
+        listed_ids = {result.item_id for result in self.listed}
         for result in segment:
-            check_invariant(result.item_id not in known, "an item is listed once")
-            known.add(result.item_id)
+            check_invariant(result.item_id not in listed_ids, "an item is listed once")
+            listed_ids.add(result.item_id)
             self.listed.append(result)
             self._mark_listed(result)
-        self._pending = [result for result in self._pending if result.item_id not in known]
+        self._pending_results = [
+            result for result in self._pending_results if result.item_id not in listed_ids
+        ]
 
     @property
-    def decides_step(self) -> bool:
-        """Whether results wait to be listed with which the job has all that is wanted of it."""
-        groups = len(self._unfinished)
-        wanted = min(self.job.wanted_groups, groups) or groups
-        finished = sum(count <= 0 for count in self._unfinished.values())
-        listed = sum(count <= 0 for count in self._unlisted.values())
-        return finished >= wanted > listed
+    def completes_step(self) -> bool:
+        """Whether pending results complete the groups that the submitter waits for."""
+        group_count = len(self._unfinished_items)
+        wanted_count = min(self.job.wanted_groups, group_count) or group_count
+        finished_count = sum(count <= 0 for count in self._unfinished_items.values())
+        listed_count = sum(count <= 0 for count in self._unlisted_items.values())
+        return finished_count >= wanted_count > listed_count
 
     @property
     def has_pending(self) -> bool:
         """Whether results wait to be appended."""
-        return bool(self._pending)
+        return bool(self._pending_results)
 
     def end(self) -> None:
-        """Note that the submitter has ended the job: nothing of it starts any more."""
+        """Record that the submitter ended the job; no more items start."""
         self.ended = True
 
-    def _finish(self, progress: ItemProgress, score: str) -> None:
+    def _complete_item(self, progress: ItemProgress, score: str) -> None:
         if progress.result is not None:
             return
         result = JobResult(
@@ -207,21 +209,21 @@
         self.take_result(progress, result)
 
     def take_result(self, progress: ItemProgress, result: JobResult) -> None:
-        """Note the end of an item, which waits for a position from now on."""
+        """Record an item's result, which then waits for a position."""
         if progress.result is None:
-            self._unfinished[progress.item.group] -= 1
+            self._unfinished_items[progress.item.group] -= 1
         progress.result = result
         progress.phase = ItemPhase.FINISHED
         progress.begin_anew()
-        self._pending.append(result)
+        self._pending_results.append(result)
 
     def _mark_listed(self, result: JobResult) -> None:
         progress = self.items.get(result.item_id)
         check_invariant(progress is not None, "a result belongs to an item of its job")
         if progress is not None:
             if progress.result is None:
-                self._unfinished[progress.item.group] -= 1
-            self._unlisted[progress.item.group] -= 1
+                self._unfinished_items[progress.item.group] -= 1
+            self._unlisted_items[progress.item.group] -= 1
             progress.result = result
             progress.phase = ItemPhase.LISTED
             progress.begin_anew()
--- a/rackswitch/jobs/listing.py
+++ b/rackswitch/jobs/listing.py
@@ -1,18 +1,18 @@
-"""When ready results of a job are listed."""
+"""When the pending results of a job are listed."""
 
 from rackswitch.jobs.ledger import JobLedger
 
 __all__ = ["listing_pause_seconds"]
 
-READ_SECONDS = 0.5
-"""Least time between two segments of results that decide nothing: trainers read about twice a
-second, and each segment is a call to the key-value service."""
+MIN_SEGMENT_INTERVAL_SECONDS = 0.5
+"""Minimum interval between segments that do not complete a step. Each segment is a call to the
+key-value service, and trainers poll about twice a second."""
 
 
 def listing_pause_seconds(ledger: JobLedger) -> float:
-    """Return how long after its last segment a job's ready results are listed.
+    """Return the minimum interval between a job's last segment and its next one.
 
-    What a trainer's step waits for is listed at once: the result that makes the last wanted group
-    whole, or the last of all where none is wanted.
+    Results that complete a trainer's step are listed at once: those that complete the last wanted
+    group, or the last result if no number of groups is wanted.
     """
-    return 0.0 if ledger.decides_step else READ_SECONDS
+    return 0.0 if ledger.completes_step else MIN_SEGMENT_INTERVAL_SECONDS
--- a/rackswitch/jobs/messages.py
+++ b/rackswitch/jobs/messages.py
@@ -1,16 +1,16 @@
-"""A batch job and its results, as they are kept and passed between daemons."""
+"""Batch jobs and their results, as stored and as sent between daemons."""
 
 import msgspec
 
 __all__ = ["MAX_ITEMS", "Job", "JobItem", "JobResult", "RewardCall", "check_job"]
 
 MAX_ITEMS = 20_000
-"""Items of one job: some twenty times the largest step that users expect (1,024 samples).
-What is looked at for each item at every tick stays within a few milliseconds."""
+"""Maximum number of items of one job. It bounds the time of a scheduling tick, which visits
+every item."""
 
 
 class RewardCall(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """The call that scores an item's text; it may be repeated."""
+    """The call that scores an item's text. It may be repeated."""
 
     request_id: str
     host: str
@@ -24,13 +24,13 @@
     Attributes
     ----------
     headers : tuple of (str, str)
-        Passed on to the engine.
+        Sent to the engine unchanged.
     expected_tokens : float
-        The submitter's guess at the tokens that will come out; 0 if it gave none.
+        The submitter's estimate of the number of output tokens; 0 if it gave none.
     group : str
-        Items of one group share their prompt, and count only together.
+        Items of one group share their prompt, and only complete groups count.
     prompt_tokens : int
-        Tokens of its prompt, which are part of `tokens`; 0 if its submitter did not say.
+        Tokens of the prompt, which are included in `tokens`; 0 if the submitter did not say.
     """
 
     item_id: str
@@ -50,18 +50,17 @@
     Attributes
     ----------
     host : str
-        With an item's path it gives the item's route.
+        Determines an item's route, together with the item's path.
     model : str
-        The model that makes the items' texts; empty if the job names none.
+        The model that generates the items' texts; empty if the job names none.
     oldest_version : int
-        The oldest version of the weights that may make any part of a text.
+        Oldest version of the weights that may generate any part of a text.
     wanted_groups : int
-        How many whole groups the submitter waits for.
+        Number of complete groups that the submitter waits for.
     submitted_at_unix_seconds : float
-        When the job was first received; deadlines of the job count from here, on any
-        daemon.
+        When the job was first received. Its deadlines count from this time on every daemon.
     tenant : str
-        Who submitted it; empty if nobody was asked for a key.
+        The submitter's tenant; empty if no key was required.
     """
 
     job_id: str
@@ -77,14 +76,14 @@
 
 
 class JobResult(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """The end of one item; `completed` is false for an item that was given up.
+    """The result of one item; `completed` is false for an item that was given up.
 
     Attributes
     ----------
     versions : tuple of int
-        Every version that made a part of the text, in order of appearance.
+        Versions of the weights that generated the text, in order of first use.
     score : str
-        The reward call's answer; empty if the item has no reward call.
+        The answer of the reward call; empty if the item has no reward call.
     """
 
     item_id: str
@@ -95,16 +94,16 @@
 
 
 def check_job(job: Job) -> str | None:
-    """Return why a job cannot be taken, naming the field, or None."""
+    """Return why a job is invalid, naming the field, or None if it is valid."""
     if not job.items:
         return "`items` is empty"
-    seen: set[str] = set()
-    for number, item in enumerate(job.items):
+    seen_ids: set[str] = set()
+    for index, item in enumerate(job.items):
         if not item.item_id:
-            return f"`items[{number}].id` is empty"
-        if item.item_id in seen:
-            return f"`items[{number}].id` {item.item_id!r} stands twice"
-        seen.add(item.item_id)
+            return f"`items[{index}].id` is empty"
+        if item.item_id in seen_ids:
+            return f"`items[{index}].id` {item.item_id!r} occurs more than once"
+        seen_ids.add(item.item_id)
         if not item.path.startswith("/"):
-            return f"`items[{number}].path` must begin with a slash"
+            return f"`items[{index}].path` must begin with a slash"
     return None
--- a/rackswitch/jobs/occupancy.py
+++ b/rackswitch/jobs/occupancy.py
@@ -1,26 +1,26 @@
-"""How full engines are that several daemons fill at the same time.
+"""How many runs engines have that several daemons fill at the same time.
 
-Each owner of a job counts its own runs, and hears from each answer and report how many an
-engine has in all. What is left of that after its own is what the others have there.
+Each owner of a job counts its own runs, and receives with each answer and report the total number
+at an engine. The difference is the number of other daemons' runs.
 """
 
 from dataclasses import dataclass, field
 
 __all__ = ["EngineLoad", "EngineOccupancy"]
 
-LOAD_LIFE_SECONDS = 1.0
-"""How long an engine's word about its load counts: about a usual run's time, after which
-others' runs have mostly ended."""
+LOAD_REPORT_LIFETIME_SECONDS = 1.0
+"""Lifetime of an engine's load report: about the time of a typical run, after which most of the
+reported runs have ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """What an engine says of itself.
+    """The load that an engine reports.
 
     Attributes
     ----------
     running, waiting : int
-        Requests it works on, and requests in its queue.
+        Requests in progress, and requests in its queue.
     """
 
     running: int
@@ -28,40 +28,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Heard:
+class _OtherRuns:
     others: int
     until_seconds: float
 
 
 @dataclass(slots=True)
 class EngineOccupancy:
-    """Runs at each engine: this daemon's own, and what it hears of the others'."""
+    """Number of runs at each engine: this daemon's own, and those of others by load reports."""
 
     own: dict[str, int] = field(default_factory=dict)
-    _heard: dict[str, _Heard] = field(default_factory=dict)
+    _other_runs: dict[str, _OtherRuns] = field(default_factory=dict)
 
     def began(self, instance: str) -> None:
-        """Count a run of this daemon in."""
+        """Add a run of this daemon."""
         self.own[instance] = self.own.get(instance, 0) + 1
 
     def ended(self, instance: str) -> None:
-        """Count a run of this daemon out."""
+        """Remove a run of this daemon."""
         self.own[instance] -= 1
 
     def heard(self, instance: str, load: EngineLoad, now_seconds: float) -> None:
-        """Take in an engine's word; what this daemon runs there is in it."""
+        """Record an engine's load report, which includes this daemon's runs there."""
         others = load.running + load.waiting - self.own.get(instance, 0)
-        self._heard[instance] = _Heard(max(0, others), now_seconds + LOAD_LIFE_SECONDS)
+        self._other_runs[instance] = _OtherRuns(
+            max(0, others), now_seconds + LOAD_REPORT_LIFETIME_SECONDS
+        )
 
     def others_last(self, instance: str) -> int | None:
-        """Return how many runs other daemons had at an engine by its last word, however old.
+        """Return the number of other daemons' runs by an engine's last report, however old.
 
-        None if it never gave one.
+        None if the engine has not reported its load.
         """
-        heard = self._heard.get(instance)
-        return heard.others if heard is not None else None
+        other_runs = self._other_runs.get(instance)
+        return other_runs.others if other_runs is not None else None
 
     def others(self, instance: str, now_seconds: float) -> int:
-        """Return how many runs other daemons have at an engine, as far as is known."""
-        heard = self._heard.get(instance)
-        return heard.others if heard is not None and now_seconds < heard.until_seconds else 0
+        """Return the number of other daemons' runs at an engine; 0 without a current report."""
+        other_runs = self._other_runs.get(instance)
+        return (
+            other_runs.others
+            if other_runs is not None and now_seconds < other_runs.until_seconds
+            else 0
+        )
--- a/rackswitch/jobs/placement.py
+++ b/rackswitch/jobs/placement.py
@@ -1,9 +1,9 @@
 """Which daemon should own a new job.
 
-The owner of several jobs knows all of their runs, so that these do not meet at a full engine, and
-goes on using the connections of one job's items for the next one's. So the jobs that come to one
-availability zone gather at few daemons, as far as these have room; and one that comes when no other
-is open goes to the daemon that owned the last.
+An owner of several jobs knows all of their runs, so that these do not meet at a full engine, and it
+reuses connections across jobs. Jobs accepted in one availability zone therefore gather at few
+daemons, as far as these have capacity. A job that arrives while no other is open goes to the last
+owner.
 """
 
 from collections.abc import Iterable
@@ -11,102 +11,105 @@
 
 __all__ = ["OwnerCandidate", "OwnerSelector"]
 
-ITEMS_A_SHARE = 1200.0
-"""Open items that a daemon takes for each whole processor it has, so that one with half a
-processor still holds the open steps of two trainers."""
+ITEMS_PER_PROCESSOR = 1200.0
+"""Maximum number of open items per processor of a daemon's VM."""
 
-MIN_ITEMS = 600.0
-"""What is taken by a daemon that does not tell its room: as one with half a processor."""
+DEFAULT_MAX_ITEMS = 600.0
+"""Maximum number of open items of a daemon that reports no processor share: that of half a
+processor."""
 
-WARM_SECONDS = 9.0
-"""How long after a job came its owner still has the connections of its items: as long as the users'
-engines let them rest. Else a trainer whose short steps end before it asks for the next would have a
-new owner for most steps, each with connections of its own."""
+CONNECTION_KEEP_ALIVE_SECONDS = 9.0
+"""Keep-alive time of connections to engines, counted from a job's submission. Within it the last
+owner is reused, as a new one would need new connections."""
 
-AVOID_SECONDS = 3.0
-"""How long no jobs are sent to a daemon that did not take one."""
+REFUSAL_COOLDOWN_SECONDS = 3.0
+"""How long no jobs are sent to a daemon that did not accept one."""
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerCandidate:
-    """A daemon of the accepting one's zone.
+    """A daemon of the accepting daemon's zone.
 
     Attributes
     ----------
-    room : float
-        Share of a processor that its VM has; 0 if it is not known.
+    processor_share : float
+        Share of a processor that its VM has; 0 if unknown.
     open_items : int
         Items of the jobs that it owns and that have not ended.
     idle_seconds : float
-        How long ago the last of its jobs was submitted, open or not.
+        Time since the submission of its latest job, open or not.
     is_renewed : bool
-        Whether daemons are being stopped in turn, and this one has been restarted already.
+        Whether daemons are being stopped in turn and this one was already restarted.
     """
 
     daemon: str
-    room: float
+    processor_share: float
     open_items: int
     idle_seconds: float = float("inf")
     is_renewed: bool = False
 
     @property
-    def is_warm(self) -> bool:
-        """Whether it has connections for a job's items."""
-        return self.open_items > 0 or self.idle_seconds < WARM_SECONDS
-
-    def has_room(self, items: int) -> bool:
-        """Return whether so many more items would not be too many."""
-        max_items = self.room * ITEMS_A_SHARE if self.room else MIN_ITEMS
+    def has_connections(self) -> bool:
+        """Whether it has open connections for a job's items."""
+        return self.open_items > 0 or self.idle_seconds < CONNECTION_KEEP_ALIVE_SECONDS
+
+    def has_capacity(self, items: int) -> bool:
+        """Return whether it has capacity for this many more items."""
+        max_items = (
+            self.processor_share * ITEMS_PER_PROCESSOR
+            if self.processor_share
+            else DEFAULT_MAX_ITEMS
+        )
         return self.open_items + items <= max_items
 
 
 @dataclass(slots=True)
 class OwnerSelector:
-    """One daemon's choices, and what it has learnt by them.
+    """Selects owners of new jobs, and skips daemons that recently did not accept one.
 
     Parameters
     ----------
     daemon : str
-        This daemon, which has accepted the job.
+        This daemon, which accepted the job.
     """
 
     daemon: str
-    _avoided_until_seconds: dict[str, float] = field(default_factory=dict)
+    _cooldown_until_seconds: dict[str, float] = field(default_factory=dict)
 
     def owner(self, candidates: Iterable[OwnerCandidate], items: int, now_seconds: float) -> str:
-        """Return who should own a job: the fullest owner that has room for it, else the last one.
+        """Return the owner of a new job: the fullest owner with capacity for it, else the last one.
 
-        While daemons are stopped in turn it is one that has been restarted already, if there is
-        one with room: any other may have to hand the job over next.
+        While daemons are stopped in turn, restarted daemons with capacity come first: any other may
+        have to hand the job over next.
 
         Parameters
         ----------
         candidates : iterable of OwnerCandidate
-            The daemons of this one's zone believed live, this one included.
+            Daemons of this zone that are considered live, including this one.
         items : int
-            How many items the job has.
+            Number of the job's items.
         now_seconds : float
             Monotonic clock.
         """
         usable = [
             candidate
             for candidate in candidates
-            if candidate.has_room(items)
-            and now_seconds >= self._avoided_until_seconds.get(candidate.daemon, float("-inf"))
+            if candidate.has_capacity(items)
+            and now_seconds >= self._cooldown_until_seconds.get(candidate.daemon, float("-inf"))
         ]
         renewed = [candidate for candidate in usable if candidate.is_renewed]
         if renewed:
-            return max(renewed, key=_place).daemon
-        fit = [candidate for candidate in usable if candidate.is_warm]
-        if not fit:
+            return max(renewed, key=_owner_key).daemon
+        connected = [candidate for candidate in usable if candidate.has_connections]
+        if not connected:
             return self.daemon
-        return max(fit, key=_place).daemon
+        return max(connected, key=_owner_key).daemon
 
     def failed(self, daemon: str, now_seconds: float) -> None:
-        """Note that a daemon did not take a job."""
-        self._avoided_until_seconds[daemon] = now_seconds + AVOID_SECONDS
+        """Record that a daemon did not accept a job."""
+        self._cooldown_until_seconds[daemon] = now_seconds + REFUSAL_COOLDOWN_SECONDS
 
 
-def _place(candidate: OwnerCandidate) -> tuple[int, float, str]:
-    """Return the order of candidates, the same at every daemon."""
+def _owner_key(candidate: OwnerCandidate) -> tuple[int, float, str]:
+    """Return a candidate's sort key, the same at every daemon."""
     return candidate.open_items, -candidate.idle_seconds, candidate.daemon
--- a/rackswitch/jobs/progress.py
+++ b/rackswitch/jobs/progress.py
@@ -1,4 +1,4 @@
-"""An item in the making: the pieces of its text over one or more runs."""
+"""The progress of one item: the pieces of its text over one or more runs."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class ItemPhase(Enum):
-    """Where an item stands."""
+    """Phase of an item's processing."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TextPiece:
-    """One whole event of an engine's stream.
+    """One complete event of an engine's stream.
 
     Attributes
     ----------
     number : int
-        The event's number in the item's text, counting from 1 over all runs.
+        Number of the event in the item's text, counted from 1 over all runs.
     version : int
-        The weights that made it.
+        Version of the weights that generated it.
     """
 
     number: int
@@ -37,29 +37,30 @@
 
 @dataclass(frozen=True, slots=True)
 class PieceFault:
-    """Why a piece cannot belong to this text."""
+    """Why a piece does not continue a text."""
 
     detail: str
 
 
 @dataclass(slots=True)
 class ItemProgress:
-    """What is known of one item on the daemon that owns its job.
+    """The state of one item on the daemon that owns its job.
 
     Attributes
     ----------
     pieces : list of str
-        The text so far, whole events only.
+        The text so far, in complete events.
     failures : int
-        Runs that the engine itself ended with a failure.
+        Runs that the engine ended with a failure.
     reward_failures : int
-        Reward calls that the service itself ended with a failure.
+        Reward calls that the reward service ended with a failure.
     run_number : int
-        Counts runs, so that what a cancelled run still brings is told apart.
+        Number of runs started. It distinguishes the current run's output from that of a cancelled
+        one.
     moves : int
-        Runs that were ended to go on at a faster engine.
-    avoid : str
-        Target of the last run that broke, if another one is to be tried.
+        Runs that were ended to continue at a faster engine.
+    avoided_instance : str
+        Target of the last interrupted run; the next run prefers another one.
     """
 
     item: JobItem
@@ -70,7 +71,7 @@
     reward_failures: int = 0
     run_number: int = 0
     moves: int = 0
-    avoid: str = ""
+    avoided_instance: str = ""
     not_before_seconds: float = 0.0
     result: JobResult | None = None
 
@@ -80,10 +81,10 @@
         return len(self.pieces)
 
     def accept(self, piece: TextPiece, oldest_version: int) -> PieceFault | None:
-        """Append a piece, or say why it does not continue this text."""
-        expected = self.last_number + 1
-        if piece.number != expected:
-            return PieceFault(f"piece {piece.number} in place of {expected}")
+        """Append a piece, or return why it does not continue this text."""
+        expected_number = self.last_number + 1
+        if piece.number != expected_number:
+            return PieceFault(f"piece {piece.number} received; expected {expected_number}")
         if piece.version < oldest_version:
             return PieceFault(f"version {piece.version} is older than {oldest_version}")
         self.pieces.append(piece.text)
@@ -92,10 +93,10 @@
         return None
 
     def begin_anew(self) -> None:
-        """Drop the text made so far."""
+        """Discard the text generated so far."""
         self.pieces.clear()
         self.versions.clear()
 
     def text(self) -> str:
-        """Return the text so far: the data of all events, one a line."""
+        """Return the text so far: the data of all events, one per line."""
         return "\n".join(self.pieces)
--- a/rackswitch/jobs/retention.py
+++ b/rackswitch/jobs/retention.py
@@ -1,13 +1,13 @@
-"""How long a batch job is kept after it was submitted."""
+"""How long a batch job is stored after its submission."""
 
 __all__ = ["is_forgettable"]
 
-CLOCK_SLACK_SECONDS = 10.0
-"""Added to each time, since the submission was dated by another VM's clock."""
+MAX_CLOCK_SKEW_SECONDS = 10.0
+"""Added to each retention time, since another VM's clock dated the submission."""
 
-ABANDONED_SECONDS = 86_400.0
-"""A job that nobody has ended is kept for a day: its submitter may come back for it after
-a night's outage, and not later."""
+OPEN_JOB_RETENTION_SECONDS = 86_400.0
+"""Minimum retention of a job that its submitter has not ended; long enough to read it after a
+night's outage."""
 
 
 def is_forgettable(
@@ -16,21 +16,21 @@
     keep_results_seconds: float,
     now_unix_seconds: float,
 ) -> bool:
-    """Return whether nobody may expect to read a job any more.
+    """Return whether a job's retention time is over.
 
     Parameters
     ----------
     submitted_at_unix_seconds : float
         When the job was submitted.
     ended : bool
-        Whether its submitter has ended it; an open job is kept much longer.
+        Whether its submitter has ended it; an open job is kept longer.
     keep_results_seconds : float
         How long after its submission a job can be read.
     now_unix_seconds : float
-        This VM's time of day.
+        This VM's Unix time.
     """
-    age_seconds = now_unix_seconds - submitted_at_unix_seconds - CLOCK_SLACK_SECONDS
-    keep_seconds = keep_results_seconds
+    age_seconds = now_unix_seconds - submitted_at_unix_seconds - MAX_CLOCK_SKEW_SECONDS
+    retention_seconds = keep_results_seconds
     if not ended:
-        keep_seconds = max(keep_seconds, ABANDONED_SECONDS)
-    return age_seconds > keep_seconds
+        retention_seconds = max(retention_seconds, OPEN_JOB_RETENTION_SECONDS)
+    return age_seconds > retention_seconds
--- a/rackswitch/jobs/schedule.py
+++ b/rackswitch/jobs/schedule.py
@@ -23,52 +23,53 @@
 ]
 
 FIRST_PIECES_PER_TOKEN = 0.02
-"""Before any text has become whole: some fifty tokens a piece."""
+"""Initial ratio, before any text is complete: fifty tokens per piece."""
 
 RATIO_SMOOTHING = 0.05
-"""So that some twenty texts weigh in, as single guesses are off by a factor of two or more."""
+"""Weight of a new text in the moving average. Small, since single estimates are often wrong by a
+factor of two or more."""
 
 TAIL_SHARE = 0.5
-"""Part of its length so far that a text is taken to still lack once it is longer than
-expected: lengths have a heavy tail."""
+"""Share of its present length that a text is expected to grow by once it exceeds its estimate;
+lengths have a heavy tail."""
 
 RUN_COST_SHARE = 0.01
-"""By how much each run at an engine slows the others there. An engine's step takes 0.52 % more
-with each request of a batch, by its data sheet, and about as much again for the text that a
-usual request has read and made."""
+"""Relative slowdown that each run at an engine causes for the others there."""
 
-USUAL_RUN_SECONDS = 0.9
-"""How long a run takes on average; a full engine is through with one each slot's share of it."""
+TYPICAL_RUN_SECONDS = 0.9
+"""Typical time of a run. Divided by an engine's slots, it gives the interval at which a full
+engine frees one."""
 
-USUAL_SECONDS_PER_PIECE = 0.04
-"""Pace of an engine that is neither slow nor overfull; only weighs lengths against deadlines."""
+TYPICAL_SECONDS_PER_PIECE = 0.04
+"""Pace of an engine that is neither slow nor overloaded; used to weigh lengths against
+deadlines."""
 
 
 @dataclass(slots=True)
 class EngineCapacity:
-    """Room at one engine, as the owner of the jobs sees it.
+    """Capacity of one engine, as estimated by the owner of the jobs.
 
     Attributes
     ----------
     free_slots : int
-        Runs that may begin there now.
+        Runs that may start there now.
     slots : int
         Runs that it works on at once.
     runs : int
-        Runs that are there already, of all daemons, as far as the owner knows.
+        Runs already there, of all daemons, as far as the owner knows.
     seconds_per_piece : float
-        Smoothed time between the events of one stream there.
+        Smoothed interval between the events of one stream there.
     versions : dict of str to int
-        The weights it has, by model; items that need newer ones do not go there.
+        Versions of its weights, by model; items that need newer ones do not start there.
     place : TargetEstimate or None
-        What one more run may expect there by what the engine tells. Where it is given, the pace
-        is taken from it and not from `runs` and `seconds_per_piece`; None if its service tells
-        no pace.
+        Estimate for one more run, based on the engine's reported load. If given, the pace is taken
+        from it and not from `runs` and `seconds_per_piece`; None if the engine's service reports no
+        pace.
     run_seconds : float
-        How long a whole run usually takes at pace 1; used for the wait behind other runs.
+        Typical time of a complete run at pace 1; used for the wait behind other runs.
     free_tokens : float
-        Memory, in tokens, for runs yet to begin there, each counted as it will be at its end;
-        infinite if it is not known.
+        Memory, in tokens, for runs yet to start there, each counted with its final size; infinite
+        if unknown.
     """
 
     instance: str
@@ -79,19 +80,19 @@
     slots: int = 0
     runs: int = 0
     place: TargetEstimate | None = None
-    run_seconds: float = USUAL_RUN_SECONDS
+    run_seconds: float = TYPICAL_RUN_SECONDS
     free_tokens: float = math.inf
 
-    def takes(self, tokens: float) -> bool:
-        """Return whether one more run fits that will hold so many tokens.
+    def has_capacity_for(self, tokens: float) -> bool:
+        """Return whether one more run of this final size in tokens fits.
 
-        An engine without any run takes one whatever it has told of its memory, so that no item
-        waits beside an idle engine; it refuses itself what is larger than it.
+        An engine without runs always accepts one, so that no item waits beside an idle engine. The
+        engine itself rejects a run that exceeds its memory.
         """
         return self.free_slots > 0 and (self.runs == 0 or tokens <= self.free_tokens)
 
     def begin(self, tokens: float = 0.0) -> None:
-        """Count one more run in, with what it will hold."""
+        """Reserve a slot and memory for one more run."""
         self.free_slots -= 1
         self.runs += 1
         if self.place is not None:
@@ -105,20 +106,20 @@
         return self.seconds_per_piece * (1 + RUN_COST_SHARE * self.runs)
 
     def expected_seconds(self, pieces: float) -> float:
-        """Return how long one more run would take there, with its wait for a slot."""
+        """Return how long one more run would take there, including its wait for a slot."""
         queued = max(0, self.runs + 1 - self.slots) if self.slots else 0
-        wait_seconds = queued * USUAL_RUN_SECONDS / max(1, self.slots)
+        wait_seconds = queued * TYPICAL_RUN_SECONDS / max(1, self.slots)
         return wait_seconds + pieces * self.expected_seconds_per_piece()
 
 
 @dataclass(frozen=True, slots=True)
 class ItemStart:
-    """An item to be started at an engine.
+    """An item to start at an engine.
 
     Attributes
     ----------
     ledger : JobLedger
-        Its job.
+        Ledger of its job.
     progress : ItemProgress
         The item, with its text so far.
     instance : str
@@ -134,32 +135,32 @@
     """The order in which items start."""
 
     def key(self, ledger: JobLedger, progress: ItemProgress) -> Any:
-        """Return an item's place; the least goes first."""
+        """Return an item's sort key; the smallest starts first."""
 
 
 @dataclass(slots=True)
 class LengthForecast:
-    """How long texts become, against what their submitters expect.
+    """Forecast of the length of texts from their submitters' estimates.
 
-    Submitters count tokens and an engine's stream comes in pieces of several, so the ratio
-    is learnt from texts that became whole; it is a mean of logarithms, as single guesses
-    are often far off in both directions.
+    Submitters count tokens, and a piece of an engine's stream holds several, so the ratio is learnt
+    from complete texts. It is a mean of logarithms, since single estimates are often far off in
+    both directions.
 
     Attributes
     ----------
     log_pieces_per_token : float
-        The logarithm of pieces a text had for each token that was expected of it.
+        Logarithm of the number of pieces per expected token.
     """
 
     log_pieces_per_token: float = math.log(FIRST_PIECES_PER_TOKEN)
 
     @property
     def pieces_per_token(self) -> float:
-        """Pieces that a text has for each of its tokens."""
+        """Number of pieces per token of a text."""
         return math.exp(self.log_pieces_per_token)
 
     def note(self, expected_tokens: float, pieces: int) -> None:
-        """Take in a whole text."""
+        """Update the ratio with a complete text."""
         if expected_tokens <= 0 or pieces <= 0:
             return
         ratio = math.log(pieces / expected_tokens)
@@ -167,20 +168,20 @@
 
     def remaining_pieces(self, progress: ItemProgress) -> float:
         """Return how many pieces an item's text probably still lacks."""
-        expected = progress.item.expected_tokens * math.exp(self.log_pieces_per_token)
-        done = len(progress.pieces)
-        # A text that is past what was expected of it is one of the long tail.
-        return max(expected - done, TAIL_SHARE * done)
+        expected_pieces = progress.item.expected_tokens * math.exp(self.log_pieces_per_token)
+        done_pieces = len(progress.pieces)
+        # A text that exceeds its estimate belongs to the long tail.
+        return max(expected_pieces - done_pieces, TAIL_SHARE * done_pieces)
 
 
 def expected_work_seconds(job: Job) -> float:
-    """Return how long a job's texts probably take, added up, before any of them is begun.
+    """Return the expected total run time of a job's texts before any of them starts.
 
-    An item without a guess of its submitter's counts as a usual run.
+    An item without an expected length counts as a typical run.
     """
-    seconds_per_token = FIRST_PIECES_PER_TOKEN * USUAL_SECONDS_PER_PIECE
+    seconds_per_token = FIRST_PIECES_PER_TOKEN * TYPICAL_SECONDS_PER_PIECE
     return sum(
-        item.expected_tokens * seconds_per_token if item.expected_tokens else USUAL_RUN_SECONDS
+        item.expected_tokens * seconds_per_token if item.expected_tokens else TYPICAL_RUN_SECONDS
         for item in job.items
     )
 
@@ -199,153 +200,159 @@
 ) -> list[ItemStart]:
     """Decide which waiting items start at which engines.
 
-    An item whose run broke goes on before others begin. Then goes the one that must start
-    earliest to be whole when its job is due, over all jobs: what a step waits for in the end
-    is its longest texts, and a long text of a later job cannot wait for the short ones of an
-    earlier job. Each goes to the engine that has room and will probably be through with it
-    first: a long text to a fast engine, also if it has to wait there, a short one to one that
-    is not full.
+    Items whose run was interrupted come first. Then come the items that must start earliest to be
+    complete when their job is due, over all jobs: a step waits for its longest texts, and a long
+    text of a later job cannot wait for short ones of an earlier job. Each item goes to the engine
+    with capacity that will probably complete it first: a long text to a fast engine, even if it
+    waits there, a short one to an engine that is not full.
 
     Parameters
     ----------
     ledgers : iterable of JobLedger
         The jobs owned here.
     engines : list of EngineCapacity
-        Room at the engines; what is planned is taken off.
+        Capacity of the engines; reduced by the planned starts.
     service_of, due_seconds : dict
         By job, the service that runs its items and when it is due (monotonic).
     now_seconds : float
         Monotonic clock.
     forecast : LengthForecast, optional
-        How long texts become; a fresh one by default.
+        Forecast of the length of texts; an initial one by default.
     longest_first : bool, optional
-        Whether an item's length counts in when it must start.
+        Whether an item's length counts for when it must start.
     rng : random.Random, optional
-        Draws among engines that tell their pace; differs from daemon to daemon.
+        Chooses among engines that report their pace; differs from daemon to daemon.
     order : ItemOrder, optional
-        Takes the place of the order told above.
+        Replaces the order described above.
     tokens_of : callable, optional
-        What an item's run will hold of an engine's memory; by default that is not counted.
+        Final memory use of an item's run, in tokens; not counted by default.
 
     Returns
     -------
     list of ItemStart
-        At most as many as there is room for.
+        No more than there is capacity for.
     """
-    lengths = forecast or LengthForecast()
-    draws = rng or random.Random(0)
-    with_room = {room.service for room in engines if room.free_slots > 0}
+    length_forecast = forecast or LengthForecast()
+    random_source = rng or random.Random(0)
+    available_services = {candidate.service for candidate in engines if candidate.free_slots > 0}
     waiting = [
         (
             order.key(ledger, progress)
             if order is not None
-            else _rank(
-                progress, due_seconds[ledger.job.job_id], lengths if longest_first else None
+            else _default_order_key(
+                progress, due_seconds[ledger.job.job_id], length_forecast if longest_first else None
             ),
             ledger,
             progress,
         )
         for ledger in ledgers
-        if service_of.get(ledger.job.job_id) in with_room
+        if service_of.get(ledger.job.job_id) in available_services
         for progress in ledger.waiting(now_seconds)
     ]
     waiting.sort(key=lambda entry: entry[0])
     starts: list[ItemStart] = []
-    full: set[tuple[str, str, int]] = set()
-    kept_for_large: set[tuple[str, str, int]] = set()
+    unavailable: set[tuple[str, str, int]] = set()
+    reserved: set[tuple[str, str, int]] = set()
     for _, ledger, progress in waiting:
         service = service_of[ledger.job.job_id]
-        wanted = (service, ledger.job.model, ledger.job.oldest_version)
-        if wanted in full:
+        requirement = (service, ledger.job.model, ledger.job.oldest_version)
+        if requirement in unavailable:
             continue
-        pieces = lengths.remaining_pieces(progress)
+        pieces = length_forecast.remaining_pieces(progress)
         tokens = tokens_of(progress) if tokens_of is not None else 0.0
-        fit = _rooms_for(engines, service, ledger)
-        engine = _best_engine([room for room in fit if room.takes(tokens)], progress, pieces, draws)
+        candidates = _engines_for(engines, service, ledger)
+        engine = _best_engine(
+            [candidate for candidate in candidates if candidate.has_capacity_for(tokens)],
+            progress,
+            pieces,
+            random_source,
+        )
         if engine is not None:
             engine.begin(tokens)
             starts.append(ItemStart(ledger, progress, engine.instance))
-        elif not fit:
-            full.add(wanted)
-        elif wanted not in kept_for_large:
-            kept_for_large.add(wanted)
-            _keep_for_large(fit)
+        elif not candidates:
+            unavailable.add(requirement)
+        elif requirement not in reserved:
+            reserved.add(requirement)
+            _reserve_largest_engine(candidates)
     return starts
 
 
-def _rank(
+def _default_order_key(
     progress: ItemProgress, due_seconds: float, forecast: LengthForecast | None
 ) -> tuple[bool, float]:
-    """Return an item's place: whether it is new, and when it must start at the latest."""
+    """Return an item's sort key: whether it is new, and its latest start."""
     pieces = forecast.remaining_pieces(progress) if forecast is not None else 0.0
-    work_seconds = pieces * USUAL_SECONDS_PER_PIECE
+    work_seconds = pieces * TYPICAL_SECONDS_PER_PIECE
     return (progress.run_number == 0, due_seconds - work_seconds)
 
 
-def _rooms_for(
-    rooms: list[EngineCapacity], service: str, ledger: JobLedger
+def _engines_for(
+    engines: list[EngineCapacity], service: str, ledger: JobLedger
 ) -> list[EngineCapacity]:
-    """Return the engines that have a slot and may run a job's items."""
+    """Return the engines that have a free slot and may run a job's items."""
     return [
-        room
-        for room in rooms
-        if room.service == service
-        and room.free_slots > 0
-        and room.versions.get(ledger.job.model, 0) >= ledger.job.oldest_version
+        engine
+        for engine in engines
+        if engine.service == service
+        and engine.free_slots > 0
+        and engine.versions.get(ledger.job.model, 0) >= ledger.job.oldest_version
     ]
 
 
 def _best_engine(
-    fit: list[EngineCapacity], progress: ItemProgress, pieces: float, rng: random.Random
+    engines: list[EngineCapacity], progress: ItemProgress, pieces: float, rng: random.Random
 ) -> EngineCapacity | None:
-    if not fit:
+    if not engines:
         return None
-    if all(room.place is not None for room in fit):
-        return _drawn_engine(fit, progress.avoid, pieces, rng)
+    if all(engine.place is not None for engine in engines):
+        return _sample_engine(engines, progress.avoided_instance, pieces, rng)
     return min(
-        fit,
-        key=lambda room: (
-            room.instance == progress.avoid,
-            room.expected_seconds(pieces),
-            -room.free_slots,
+        engines,
+        key=lambda engine: (
+            engine.instance == progress.avoided_instance,
+            engine.expected_seconds(pieces),
+            -engine.free_slots,
         ),
     )
 
 
-def _drawn_engine(
-    rooms: list[EngineCapacity], avoid: str | None, pieces: float, rng: random.Random
+def _sample_engine(
+    engines: list[EngineCapacity], avoided_instance: str | None, pieces: float, rng: random.Random
 ) -> EngineCapacity:
-    """Return one of some engines that tell their pace."""
-    preferred = {room.instance: room for room in rooms if room.instance != avoid}
-    by_name = preferred or {room.instance: room for room in rooms}
-    places = [room.place for room in by_name.values() if room.place is not None]
-    run_seconds = max(room.run_seconds for room in by_name.values())
-    return by_name[choose_target(places, pieces, run_seconds, rng).instance]
+    """Choose one of several engines that report their pace."""
+    preferred = {
+        engine.instance: engine for engine in engines if engine.instance != avoided_instance
+    }
+    by_instance = preferred or {engine.instance: engine for engine in engines}
+    estimates = [engine.place for engine in by_instance.values() if engine.place is not None]
+    run_seconds = max(engine.run_seconds for engine in by_instance.values())
+    return by_instance[choose_target(estimates, pieces, run_seconds, rng).instance]
 
 
-def _keep_for_large(fit: list[EngineCapacity]) -> None:
-    """Let memory become free at one engine for an item that fits none.
+def _reserve_largest_engine(engines: list[EngineCapacity]) -> None:
+    """Reserve the engine with the most free memory for an item that fits nowhere yet.
 
-    Else smaller ones would take each bit that becomes free, and it would wait for as long as
-    there are any.
+    Otherwise smaller items would take the memory as it becomes free, and the large one would never
+    start.
     """
-    max(fit, key=lambda room: room.free_tokens).free_slots = 0
+    max(engines, key=lambda engine: engine.free_tokens).free_slots = 0
 
 
-def spare_capacities(rooms: list[EngineCapacity]) -> dict[str, SpareCapacity]:
-    """Return, by service, the fastest engine that has room left."""
+def spare_capacities(engines: list[EngineCapacity]) -> dict[str, SpareCapacity]:
+    """Return, by service, the fastest engine with free slots."""
     spare: dict[str, SpareCapacity] = {}
-    for room in rooms:
-        free_slots = room.free_slots
-        if room.place is not None:
-            # A move gains nothing where it would wait.
-            free_slots = min(free_slots, int(room.place.free_slots))
+    for engine in engines:
+        free_slots = engine.free_slots
+        if engine.place is not None:
+            # A moved run must not wait for a slot.
+            free_slots = min(free_slots, int(engine.place.free_slots))
         if free_slots <= 0:
             continue
-        known = spare.get(room.service)
-        pace_seconds = room.expected_seconds_per_piece()
-        if known is None or pace_seconds < known.seconds_per_piece:
-            spare[room.service] = SpareCapacity(
-                room.instance, pace_seconds, free_slots, room.versions
+        fastest = spare.get(engine.service)
+        seconds_per_piece = engine.expected_seconds_per_piece()
+        if fastest is None or seconds_per_piece < fastest.seconds_per_piece:
+            spare[engine.service] = SpareCapacity(
+                engine.instance, seconds_per_piece, free_slots, engine.versions
             )
     return spare
--- a/rackswitch/jobs/step_order.py
+++ b/rackswitch/jobs/step_order.py
@@ -1,7 +1,7 @@
-"""In which order the items of several steps start at engines that they share.
+"""The order in which items of several steps start at shared engines.
 
-An item's slack is its job's due time less the work that its text still lacks. A trainer waits
-for some of its groups only; what it does not wait for yields to what other trainers do.
+An item's slack is the time until its job is due less the expected time to complete its text. A
+trainer waits only for some of its groups; the others yield to the items of other trainers.
 """
 
 from collections import defaultdict
@@ -10,58 +10,60 @@
 
 from rackswitch.jobs.ledger import JobLedger
 from rackswitch.jobs.progress import ItemPhase, ItemProgress
-from rackswitch.jobs.schedule import USUAL_SECONDS_PER_PIECE, EngineCapacity, LengthForecast
+from rackswitch.jobs.schedule import TYPICAL_SECONDS_PER_PIECE, EngineCapacity, LengthForecast
 
 __all__ = ["SlackOrder", "available_paces", "surplus_groups"]
 
-SLACK_GRAIN_SECONDS = 0.25
-"""Slacks that differ by less are taken for equal, and the more urgent class goes first:
-forecasts of single texts are no better than that."""
+SLACK_RESOLUTION_SECONDS = 0.25
+"""Slacks that differ by less count as equal, and the more urgent class goes first; forecasts of
+single texts are no more precise."""
 
-CARRIED_SHARE = 0.5
-"""Part of the wanted groups that may be left over from an earlier step. These stand first in a
-job, and its trainer waits for them whichever others are whole."""
+CARRIED_OVER_SHARE = 0.5
+"""Share of the wanted groups that may be carried over from an earlier step. These are the first
+in a job, and the trainer waits for them whichever others are complete."""
 
 
 def surplus_groups(ledger: JobLedger, forecast: LengthForecast) -> set[str]:
     """Return the groups of a job that its trainer will probably not wait for.
 
-    Those that need the least are wanted: a group is whole with its longest text, and the sum
-    of its texts decides between groups whose longest are alike.
+    The groups with the least remaining work are wanted. A group is complete with its longest text;
+    the total of its texts breaks ties.
 
     Parameters
     ----------
     ledger : JobLedger
-        The job.
+        The job's ledger.
     forecast : LengthForecast
-        How long texts become.
+        Forecast of the length of texts.
     """
     groups = ledger.groups
-    wanted = ledger.job.wanted_groups
-    if not 0 < wanted < len(groups):
+    wanted_count = ledger.job.wanted_groups
+    if not 0 < wanted_count < len(groups):
         return set()
-    longest: dict[str, float] = defaultdict(float)
-    total: dict[str, float] = defaultdict(float)
+    max_remaining: dict[str, float] = defaultdict(float)
+    total_remaining: dict[str, float] = defaultdict(float)
     for progress in ledger.items.values():
         if progress.result is not None:
             continue
         group = progress.item.group
-        is_whole = progress.phase is ItemPhase.SCORING
-        lacking = 0.0 if is_whole else forecast.remaining_pieces(progress)
-        longest[group] = max(longest[group], lacking)
-        total[group] += lacking
-    carried = int(CARRIED_SHARE * wanted)
-    others = sorted(groups[carried:], key=lambda group: (longest[group], total[group]))
-    return set(others[wanted - carried :])
-
-
-def available_paces(rooms: Iterable[EngineCapacity]) -> dict[str, float]:
-    """Return, by service, the pace of its best engine for one more run, in seconds a piece."""
+        is_complete = progress.phase is ItemPhase.SCORING
+        remaining_pieces = 0.0 if is_complete else forecast.remaining_pieces(progress)
+        max_remaining[group] = max(max_remaining[group], remaining_pieces)
+        total_remaining[group] += remaining_pieces
+    carried_over = int(CARRIED_OVER_SHARE * wanted_count)
+    ranked_groups = sorted(
+        groups[carried_over:], key=lambda group: (max_remaining[group], total_remaining[group])
+    )
+    return set(ranked_groups[wanted_count - carried_over :])
+
+
+def available_paces(engines: Iterable[EngineCapacity]) -> dict[str, float]:
+    """Return, by service, the pace of the best engine for one more run, in seconds per piece."""
     paces: dict[str, float] = {}
-    for room in rooms:
-        pace_seconds = room.expected_seconds_per_piece()
-        known_seconds = paces.get(room.service, pace_seconds)
-        paces[room.service] = min(known_seconds, pace_seconds)
+    for engine in engines:
+        seconds_per_piece = engine.expected_seconds_per_piece()
+        best_seconds = paces.get(engine.service, seconds_per_piece)
+        paces[engine.service] = min(best_seconds, seconds_per_piece)
     return paces
 
 
@@ -76,11 +78,11 @@
     class_of : dict of str to int
         By job, its rank, 0 first.
     paces_seconds : dict of str to float
-        By service, the pace to be had, in seconds a piece.
+        By service, the available pace, in seconds per piece.
     forecast : LengthForecast
-        How long texts become.
+        Forecast of the length of texts.
     surplus : dict of str to set of str, optional
-        By job, its surplus groups where they are known; those found are put in.
+        Surplus groups by job; missing entries are computed and added.
     """
 
     service_of: dict[str, str]
@@ -91,15 +93,15 @@
     surplus: dict[str, set[str]] = field(default_factory=dict)
 
     def start_by_seconds(self, ledger: JobLedger, progress: ItemProgress) -> float:
-        """Return when an item must start at the latest to be whole in time (monotonic)."""
+        """Return an item's latest start to be complete when due (monotonic)."""
         job_id = ledger.job.job_id
         service = self.service_of.get(job_id, "")
-        pace_seconds = self.paces_seconds.get(service, USUAL_SECONDS_PER_PIECE)
-        work_seconds = self.forecast.remaining_pieces(progress) * pace_seconds
+        seconds_per_piece = self.paces_seconds.get(service, TYPICAL_SECONDS_PER_PIECE)
+        work_seconds = self.forecast.remaining_pieces(progress) * seconds_per_piece
         return self.due_seconds[job_id] - work_seconds
 
     def is_surplus(self, ledger: JobLedger, progress: ItemProgress) -> bool:
-        """Return whether an item's group is one that its trainer will not wait for."""
+        """Return whether an item's trainer will not wait for its group."""
         job_id = ledger.job.job_id
         surplus = self.surplus.get(job_id)
         if surplus is None:
@@ -108,15 +110,15 @@
         return progress.item.group in surplus
 
     def key(self, ledger: JobLedger, progress: ItemProgress) -> tuple[bool, bool, int, int, float]:
-        """Return an item's place; the least goes first.
+        """Return an item's sort key; the smallest goes first.
 
-        A text that was begun goes on before others begin: its group is nearer to being whole.
+        A text that was started continues before new ones start, as its group is closer to complete.
         """
         start_by_seconds = self.start_by_seconds(ledger, progress)
         return (
             self.is_surplus(ledger, progress),
             progress.run_number == 0,
-            int(start_by_seconds // SLACK_GRAIN_SECONDS),
+            int(start_by_seconds // SLACK_RESOLUTION_SECONDS),
             self.class_of.get(ledger.job.job_id, 0),
             start_by_seconds,
         )
--- a/rackswitch/jobs/stragglers.py
+++ b/rackswitch/jobs/stragglers.py
@@ -1,8 +1,8 @@
-"""When a run is better gone on with at another engine.
+"""When a slow run should continue at another engine.
 
-A step waits for its longest texts. One of them at an engine that has turned slow takes
-several times as long as it would elsewhere, and moving it costs little: the new engine
-reads the prompt and goes on behind the last piece.
+A step waits for its longest texts, and one at an engine that has become slow may take several times
+as long as elsewhere. A move costs little: the new engine reads the prompt and the text so far and
+continues after the last piece.
 """
 
 from collections import deque
@@ -11,66 +11,68 @@
 
 __all__ = ["PieceIntervals", "SpareCapacity", "should_move"]
 
-GAPS_SEEN = 9
-"""Gaps between pieces that are looked at; their median forgives the pause of a load."""
+INTERVAL_WINDOW = 9
+"""Number of latest intervals whose median gives a run's pace; a single delay, such as a weight
+load, does not change it."""
 
-MIN_GAPS = 5
-"""Before so many gaps nothing is said of a run's pace: a fifth of a second at a usual one."""
+MIN_INTERVALS = 5
+"""Minimum number of intervals from which a run's pace is estimated."""
 
-MOVE_RATIO = 1.15
-"""How many times slower than elsewhere a run must be at least. Engines of one service differ by
-up to 1.3 on a calm day; less than half of that may be chance."""
+MIN_MOVE_SLOWDOWN = 1.15
+"""Minimum slowdown, relative to the other engine, at which a run moves; smaller differences may
+be chance."""
 
 MOVE_COST_SECONDS = 0.2
-"""What a move takes: a new connection, the prompt and the text so far read once more, and a
-place in a batch. A run stays unless it gains more than that."""
+"""Cost of a move: a new connection, reading the prompt and the text, and a place in a batch. A
+run moves only if it gains more than this."""
 
 MAX_MOVES = 3
-"""Moves of one item, so that a wrong belief about paces does not send it round."""
+"""Maximum number of moves of one item, so that wrong pace estimates do not move it back and
+forth."""
 
 
 @dataclass(slots=True)
 class PieceIntervals:
-    """When the pieces of one run came, and the last gaps between them."""
+    """Arrival times of one run's pieces, and the latest intervals between them."""
 
-    gaps_seconds: deque[float] = field(default_factory=lambda: deque(maxlen=GAPS_SEEN))
+    intervals_seconds: deque[float] = field(default_factory=lambda: deque(maxlen=INTERVAL_WINDOW))
     first_at_seconds: float | None = None
     last_at_seconds: float | None = None
 
     def piece_came(self, now_seconds: float) -> float | None:
-        """Take in a piece; return the gap before it, None for the first."""
-        before_seconds = self.last_at_seconds
+        """Record a piece; return the interval before it, None for the first."""
+        previous_at_seconds = self.last_at_seconds
         self.last_at_seconds = now_seconds
-        if before_seconds is None:
+        if previous_at_seconds is None:
             self.first_at_seconds = now_seconds
             return None
-        gap_seconds = now_seconds - before_seconds
-        self.gaps_seconds.append(gap_seconds)
-        return gap_seconds
+        interval_seconds = now_seconds - previous_at_seconds
+        self.intervals_seconds.append(interval_seconds)
+        return interval_seconds
 
     def brought_seconds(self) -> float:
-        """Return for how long the run has brought pieces."""
+        """Return the time between the run's first and latest piece."""
         if self.first_at_seconds is None or self.last_at_seconds is None:
             return 0.0
         return self.last_at_seconds - self.first_at_seconds
 
     def seconds_per_piece(self) -> float | None:
-        """Return the run's usual gap; None if too few were seen."""
-        if len(self.gaps_seconds) < MIN_GAPS:
+        """Return the median interval; None if there are too few."""
+        if len(self.intervals_seconds) < MIN_INTERVALS:
             return None
-        return median(self.gaps_seconds)
+        return median(self.intervals_seconds)
 
 
 @dataclass(slots=True)
 class SpareCapacity:
-    """Room at the fastest engine of a service that nothing waits for.
+    """Spare capacity at the fastest engine of a service, for which no item waits.
 
     Attributes
     ----------
     free_slots : int
-        Moves that it still takes; counted down with each.
+        Moves that it still accepts; decremented with each move.
     versions : dict of str to int
-        The weights it has, by model.
+        Versions of its weights, by model.
     """
 
     instance: str
@@ -86,26 +88,26 @@
     remaining_pieces: float,
     moves: int,
 ) -> bool:
-    """Return whether a run should be gone on with at the spare engine.
+    """Return whether a run should continue at the spare engine.
 
     Parameters
     ----------
     run_seconds_per_piece : float or None
         The run's own pace.
     spare : SpareCapacity or None
-        Where it could go.
+        The engine to move to.
     instance : str
-        Where it is.
+        The run's present engine.
     remaining_pieces : float
-        What its text probably still lacks.
+        Number of pieces that its text probably still lacks.
     moves : int
-        How often the item has been moved.
+        How often the item has moved.
     """
     if run_seconds_per_piece is None or spare is None or spare.free_slots <= 0:
         return False
     if spare.instance == instance or moves >= MAX_MOVES:
         return False
-    if run_seconds_per_piece <= MOVE_RATIO * spare.seconds_per_piece:
+    if run_seconds_per_piece <= MIN_MOVE_SLOWDOWN * spare.seconds_per_piece:
         return False
     gain_seconds = remaining_pieces * (run_seconds_per_piece - spare.seconds_per_piece)
     return gain_seconds > MOVE_COST_SECONDS
--- a/rackswitch/jobs/tests/test_checkpoints.py
+++ b/rackswitch/jobs/tests/test_checkpoints.py
@@ -15,7 +15,7 @@
 
 
 def run(ledger: JobLedger, item_id: str, count: int, text: str = "a") -> None:
-    """Let an item's run bring so many pieces, and go on."""
+    """Let an item's run produce this many pieces and continue."""
     progress = ledger.items[item_id]
     if progress.phase is ItemPhase.WAITING:
         ledger.started(progress)
@@ -24,12 +24,12 @@
 
 
 def successor_of(ledger: JobLedger, min_pieces: int = 1) -> JobLedger:
-    after = JobLedger(ledger.job, list(ledger.listed))
-    restore_items(after, checkpoint_items(ledger, min_pieces))
-    return after
+    successor = JobLedger(ledger.job, list(ledger.listed))
+    restore_items(successor, checkpoint_items(ledger, min_pieces))
+    return successor
 
 
-def test_a_successor_goes_on_behind_the_last_piece():
+def test_successor_continues_after_the_last_piece():
     ledger = JobLedger(make_job())
     run(ledger, "i1", 3)
     progress = successor_of(ledger).items["i1"]
@@ -40,60 +40,60 @@
     assert progress.text() == "a\na\na\nb"
 
 
-def test_a_whole_text_that_waits_for_its_reward_call_is_not_made_again():
+def test_complete_text_without_a_score_is_not_generated_again():
     ledger = JobLedger(make_job(reward=True))
     run(ledger, "i1", 3)
     ledger.whole(ledger.items["i1"])
-    after = successor_of(ledger)
-    assert after.items["i1"].phase is ItemPhase.SCORING
-    after.scored(after.items["i1"], "s")
-    assert after.next_segment()[1][0].text == "a\na\na"
+    successor = successor_of(ledger)
+    assert successor.items["i1"].phase is ItemPhase.SCORING
+    successor.scored(successor.items["i1"], "s")
+    assert successor.next_segment()[1][0].text == "a\na\na"
 
 
-def test_an_end_without_a_position_is_kept_and_listed_once():
+def test_result_without_a_position_is_restored_and_listed_once():
     ledger = JobLedger(make_job())
     finish(ledger, "i0")
     ledger.give_up(ledger.items["i1"])
-    after = successor_of(ledger)
-    position, segment = after.next_segment()
+    successor = successor_of(ledger)
+    position, segment = successor.next_segment()
     assert position == 0
     assert {result.item_id: result.completed for result in segment} == {"i0": True, "i1": False}
 
 
-def test_what_is_listed_already_is_not_taken_back():
+def test_listed_item_is_not_restored():
     ledger = JobLedger(make_job())
     run(ledger, "i1", 3)
-    kept = checkpoint_items(ledger, 1)
+    checkpoints = checkpoint_items(ledger, 1)
     listed = [JobResult(item_id="i1", completed=True, text="a\na\na\na", versions=(1,))]
-    after = JobLedger(ledger.job, listed)
-    assert restore_items(after, kept) == 0
-    assert after.items["i1"].phase is ItemPhase.LISTED
+    successor = JobLedger(ledger.job, listed)
+    assert restore_items(successor, checkpoints) == 0
+    assert successor.items["i1"].phase is ItemPhase.LISTED
 
 
-def test_counted_failures_go_along_although_there_is_no_text():
+def test_failure_counts_are_restored_without_a_text():
     ledger = JobLedger(make_job())
     progress = ledger.items["i2"]
     ledger.started(progress)
     ledger.failed(progress, 0.0)
     ledger.reward_failed(progress, 2, 4)
-    after = successor_of(ledger, 24).items["i2"]
-    assert after.failures == 1
-    assert after.reward_failures == 2
+    restored = successor_of(ledger, 24).items["i2"]
+    assert restored.failures == 1
+    assert restored.reward_failures == 2
 
 
-def test_texts_that_fill_the_bound_to_the_last_character_are_kept():
+def test_texts_of_exactly_the_maximum_length_are_stored():
     ledger = JobLedger(make_job())
     run(ledger, "i0", 2, "x" * (MAX_CHECKPOINT_CHARACTERS // 2))
     assert [item.item_id for item in checkpoint_items(ledger, 1)] == ["i0"]
 
 
-def test_short_texts_are_left_out_and_the_longest_go_first():
+def test_short_texts_are_omitted_and_the_longest_go_first():
     ledger = JobLedger(make_job())
     run(ledger, "i0", 2)
     run(ledger, "i1", 30, "x" * (MAX_CHECKPOINT_CHARACTERS // 50))
     run(ledger, "i2", 31, "x" * (MAX_CHECKPOINT_CHARACTERS // 50))
-    kept = checkpoint_items(ledger, 24)
-    assert [item.item_id for item in kept] == ["i2"]
+    checkpoints = checkpoint_items(ledger, 24)
+    assert [item.item_id for item in checkpoints] == ["i2"]
     assert [item.item_id for item in checkpoint_items(JobLedger(make_job()), 0)] == [
         "i0", "i1", "i2", "i3",
     ]  # fmt: skip
@@ -104,13 +104,13 @@
     [
         (True, {}, True),
         (False, {}, False),
-        # The process that wrote it may still run the items, cut off from the service.
+        # The process that wrote it may still run the items without contact to the store.
         (False, {"a": 5.0}, False),
         (False, {"a": 6.0}, True),
         (False, {"b": 6.0}, False),
     ],
 )
-def test_texts_are_gone_on_with_only_where_their_runs_have_surely_ended(runs_ended, starts, may):
+def test_texts_are_resumed_only_if_their_runs_have_surely_ended(runs_ended, starts, may):
     checkpoint = JobCheckpoint(
         daemon="a", process_started_unix_seconds=5.0, runs_ended=runs_ended, items=()
     )
--- a/rackswitch/jobs/tests/test_hand_over.py
+++ b/rackswitch/jobs/tests/test_hand_over.py
@@ -20,7 +20,7 @@
     return SuccessorCandidate(owner, in_zone)
 
 
-def test_those_restarted_already_come_first_then_the_zone_then_room_then_warmth():
+def test_successors_are_ordered_by_restart_zone_capacity_and_connections():
     ordered = [
         candidate("e", renewed=True),
         candidate("d", renewed=True, in_zone=False),
@@ -35,26 +35,26 @@
         assert order_successors("j", 10, shuffled) == names
 
 
-def test_jobs_of_one_owner_go_to_different_daemons_where_these_are_alike():
+def test_jobs_of_one_owner_are_spread_over_equal_successors():
     alike = [candidate(name) for name in "abcdef"]
     first = {order_successors(f"j{number}", 10, alike)[0] for number in range(40)}
     assert first == set("abcdef")
 
 
-def test_nobody_is_a_successor_of_a_lone_daemon():
+def test_lone_daemon_has_no_successor():
     assert order_successors("j", 10, []) == []
 
 
-def test_a_process_counts_as_renewed_once_it_is_later_than_a_start_of_the_fleet_and_settled():
+def test_process_is_renewed_if_started_after_the_fleet_and_not_just_now():
     assert not is_renewed(None, 100.0, 200.0)
-    # All processes of a fleet that is started at once begin within a second.
+    # Processes of a fleet that is started at once start within a second.
     assert not is_renewed(100.4, 100.0, 200.0)
     assert is_renewed(150.0, 100.0, 200.0)
-    # It has begun a moment ago, and knows no engines.
+    # A process that has just started knows no engines.
     assert not is_renewed(199.5, 100.0, 200.0)
 
 
-def test_jobs_whose_results_decide_a_step_come_first_then_those_that_miss_least():
+def test_jobs_that_complete_a_step_come_first_then_those_with_fewest_missing_items():
     deciding = JobLedger(make_job(2, job_id="deciding"))
     finish(deciding, "i0")
     finish(deciding, "i1")
@@ -64,7 +64,7 @@
         assert [one.job.job_id for one in order_jobs(order)] == ["deciding", "short", "long"]
 
 
-def test_a_result_that_was_being_listed_meanwhile_comes_along():
+def test_merge_keeps_a_result_that_was_being_appended():
     ledger = JobLedger(make_job(3))
     finish(ledger, "i0")
     ledger.items["i1"].pieces, ledger.items["i1"].versions = ["x"], [1]
--- a/rackswitch/jobs/tests/test_ledger.py
+++ b/rackswitch/jobs/tests/test_ledger.py
@@ -2,12 +2,12 @@
 import pytest
 
 from rackswitch.jobs import ItemPhase, JobLedger, JobResult, TextPiece, check_job
-from rackswitch.jobs.ledger import RETRY_PAUSE_SECONDS
+from rackswitch.jobs.ledger import RETRY_DELAY_SECONDS
 from rackswitch.jobs.tests.support import finish, make_item, make_job
 from rackswitch.outcomes import BrokenInvariant
 
 
-def test_a_result_has_a_position_only_once_it_is_kept():
+def test_result_gets_a_position_only_after_it_is_stored():
     ledger = JobLedger(make_job())
     finish(ledger, "i2")
     assert ledger.listed == []
@@ -18,19 +18,19 @@
     assert not ledger.has_pending
 
 
-def test_an_earlier_proposal_that_was_kept_takes_the_place_of_the_last_one():
+def test_stored_earlier_segment_replaces_the_last_proposed_one():
     ledger = JobLedger(make_job())
     finish(ledger, "i0")
     _, first = ledger.next_segment()
     finish(ledger, "i1")
-    # The first write went unanswered and took effect; the second met it.
+    # The first append took effect without an answer, so the second one found it stored.
     ledger.appended(0, first)
     assert [result.item_id for result in ledger.listed] == ["i0"]
     assert ledger.next_segment()[0] == 1
     assert [result.item_id for result in ledger.next_segment()[1]] == ["i1"]
 
 
-def test_an_item_is_never_listed_twice():
+def test_item_is_never_listed_twice():
     ledger = JobLedger(make_job())
     finish(ledger, "i0")
     _, segment = ledger.next_segment()
@@ -39,7 +39,7 @@
         ledger.appended(1, segment)
 
 
-def test_a_new_owner_goes_on_behind_what_is_listed():
+def test_new_owner_continues_after_the_listed_results():
     listed = [JobResult(item_id="i1", completed=True, text="x")]
     ledger = JobLedger(make_job(), listed)
     assert ledger.items["i1"].phase is ItemPhase.LISTED
@@ -48,7 +48,7 @@
     assert ledger.next_segment()[0] == 1
 
 
-def test_an_item_is_given_up_after_the_allowed_failures_and_not_before():
+def test_item_is_given_up_exactly_at_the_failure_limit():
     ledger = JobLedger(make_job(), max_failures=3)
     progress = ledger.items["i0"]
     for _ in range(2):
@@ -60,8 +60,8 @@
     assert progress.result == JobResult(item_id="i0", completed=False)
 
 
-def test_failed_reward_calls_count_against_the_reward_route_and_not_the_items():
-    # Found on the register's quiet day: the job's route allowed 3, the reward's 4.
+def test_failed_reward_calls_count_against_the_limit_of_the_reward_route():
+    # The job's route allows 3 failures, the reward call's route 4.
     ledger = JobLedger(make_job(reward=True), max_failures=3)
     finish(ledger, "i0")
     progress = ledger.items["i0"]
@@ -72,23 +72,23 @@
     assert progress.result == JobResult(item_id="i0", completed=False)
 
 
-def test_broken_runs_do_not_count_as_failures():
+def test_interrupted_runs_do_not_count_as_failures():
     ledger = JobLedger(make_job(), max_failures=1)
     progress = ledger.items["i0"]
     for _ in range(10):
         ledger.started(progress)
         ledger.broke(progress, "t", 0.0)
     assert progress.result is None
-    assert progress.avoid == "t"
+    assert progress.avoided_instance == "t"
 
 
-def test_nothing_starts_once_the_job_is_ended():
+def test_no_item_starts_after_the_job_is_ended():
     ledger = JobLedger(make_job())
     ledger.end()
     assert ledger.waiting(100.0) == []
 
 
-def test_an_item_with_a_position_is_done_with():
+def test_listed_item_drops_its_text_and_does_not_run_again():
     ledger = JobLedger(make_job())
     finish(ledger, "i0")
     ledger.appended(*ledger.next_segment())
@@ -98,7 +98,7 @@
     assert "i0" not in [item.item.item_id for item in ledger.waiting(100.0)]
 
 
-def test_a_run_that_broke_or_failed_waits_a_moment():
+def test_interrupted_or_failed_run_is_retried_after_a_delay():
     for end in ("broke", "failed"):
         ledger = JobLedger(make_job(1))
         progress = ledger.items["i0"]
@@ -108,10 +108,10 @@
         else:
             ledger.failed(progress, 10.0)
         assert ledger.waiting(10.0) == []
-        assert ledger.waiting(10.0 + RETRY_PAUSE_SECONDS) == [progress]
+        assert ledger.waiting(10.0 + RETRY_DELAY_SECONDS) == [progress]
 
 
-def test_an_item_that_has_ended_cannot_be_given_up():
+def test_completed_item_is_not_given_up():
     ledger = JobLedger(make_job(1))
     finish(ledger, "i0")
     ledger.give_up(ledger.items["i0"])
@@ -119,7 +119,7 @@
     assert result.completed
 
 
-def test_a_piece_of_a_version_that_is_too_old_is_not_taken():
+def test_piece_of_a_too_old_version_is_rejected():
     progress = JobLedger(make_job(1)).items["i0"]
     assert progress.accept(TextPiece(1, "a", 3), 4) is not None
     assert progress.pieces == []
@@ -127,10 +127,13 @@
 
 
 @pytest.mark.parametrize(
-    ("job", "words"),
+    ("job", "message"),
     [
         (make_job(0), "`items` is empty"),
-        (msgspec.structs.replace(make_job(1), items=(make_item(0), make_item(0))), "stands twice"),
+        (
+            msgspec.structs.replace(make_job(1), items=(make_item(0), make_item(0))),
+            "occurs more than once",
+        ),
         (
             msgspec.structs.replace(
                 make_job(1), items=(msgspec.structs.replace(make_item(0), path="p"),)
@@ -145,16 +148,16 @@
         ),
     ],
 )
-def test_a_job_that_cannot_be_taken_names_the_field(job, words):
-    assert words in check_job(job)
+def test_rejection_of_an_invalid_job_names_the_field(job, message):
+    assert message in check_job(job)
 
 
-def test_a_proper_job_is_taken():
+def test_valid_job_is_accepted():
     assert check_job(make_job()) is None
 
 
 @pytest.mark.parametrize("end", ["broke", "failed", "postponed", "whole"])
-def test_a_run_that_ends_after_its_item_was_listed_by_another_owner_changes_nothing(end):
+def test_end_of_a_run_is_ignored_after_another_owner_listed_its_item(end):
     ledger = JobLedger(make_job(items=1, reward=True))
     (progress,) = ledger.items.values()
     ledger.started(progress)
--- a/rackswitch/jobs/tests/test_listing.py
+++ b/rackswitch/jobs/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""When results are listed, seen from a trainer that waits for whole groups."""
+"""When results are listed, as seen by a trainer that waits for complete groups."""
 
 import random
 
@@ -8,7 +8,7 @@
 from rackswitch.jobs import JobLedger, listing_pause_seconds
 from rackswitch.jobs.tests.support import finish, make_job
 
-STEADY_SECONDS = 0.2
+FIXED_INTERVAL_SECONDS = 0.2
 GROUPS = 10
 WANTED = 9
 
@@ -22,7 +22,7 @@
     ledger.appended(position, segment)
 
 
-def test_only_what_makes_the_wanted_groups_whole_is_listed_at_once():
+def test_only_results_that_complete_the_wanted_groups_are_listed_at_once():
     ledger = JobLedger(job(6, wanted_groups=2))
     for item in ("i0", "i2", "i4", "i1"):
         finish(ledger, item)
@@ -34,7 +34,7 @@
     assert listing_pause_seconds(ledger) > 0
 
 
-def test_without_wanted_groups_the_last_item_decides():
+def test_without_wanted_groups_only_the_last_item_is_listed_at_once():
     ledger = JobLedger(job(4))
     for item in ("i0", "i1", "i2"):
         finish(ledger, item)
@@ -43,7 +43,7 @@
     assert listing_pause_seconds(ledger) == 0
 
 
-def test_a_new_owner_knows_which_groups_were_listed_before():
+def test_new_owner_knows_which_groups_are_listed():
     first = JobLedger(job(6, wanted_groups=2))
     for item in ("i0", "i1"):
         finish(first, item)
@@ -55,22 +55,24 @@
     assert listing_pause_seconds(second) == 0
 
 
-def play(seed: int, pause_of) -> tuple[float, int]:
-    """Return how long a step's end waits to be listed, and how many segments it takes."""
+def simulate_step(seed: int, interval_of) -> tuple[float, int]:
+    """Return the delay until a step's last result is listed, and the number of segments."""
     rng = random.Random(seed)
     ledger = JobLedger(job(2 * GROUPS, wanted_groups=WANTED))
-    ends = {f"i{n}": rng.lognormvariate(0.0, 0.8) for n in range(2 * GROUPS)}
-    whole = sorted(max(ends[f"i{2 * g}"], ends[f"i{2 * g + 1}"]) for g in range(GROUPS))
-    step_seconds = whole[WANTED - 1]
-    waiting = sorted(ends, key=lambda item: ends[item])
-    last_seconds, segments, now_seconds = float("-inf"), 0, 0.0
+    end_seconds = {f"i{n}": rng.lognormvariate(0.0, 0.8) for n in range(2 * GROUPS)}
+    completed_at_seconds = sorted(
+        max(end_seconds[f"i{2 * g}"], end_seconds[f"i{2 * g + 1}"]) for g in range(GROUPS)
+    )
+    step_seconds = completed_at_seconds[WANTED - 1]
+    waiting = sorted(end_seconds, key=lambda item: end_seconds[item])
+    last_segment_seconds, segments, now_seconds = float("-inf"), 0, 0.0
     while True:
         now_seconds += 0.01
-        while waiting and ends[waiting[0]] <= now_seconds:
+        while waiting and end_seconds[waiting[0]] <= now_seconds:
             finish(ledger, waiting.pop(0))
-        if ledger.has_pending and now_seconds >= last_seconds + pause_of(ledger):
+        if ledger.has_pending and now_seconds >= last_segment_seconds + interval_of(ledger):
             list_all(ledger)
-            last_seconds, segments = now_seconds, segments + 1
+            last_segment_seconds, segments = now_seconds, segments + 1
         listed = {result.item_id for result in ledger.listed}
         groups = sum({f"i{2 * g}", f"i{2 * g + 1}"} <= listed for g in range(GROUPS))
         if groups >= WANTED:
@@ -78,8 +80,8 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_step_is_whole_sooner_and_with_fewer_calls_than_by_a_steady_pace(seed):
-    late_seconds, segments = play(seed, listing_pause_seconds)
-    steady_late_seconds, steady_segments = play(seed, lambda ledger: STEADY_SECONDS)
-    assert late_seconds <= min(0.02, steady_late_seconds + 0.01)
-    assert segments <= steady_segments
+def test_step_completes_sooner_and_with_fewer_segments_than_at_a_fixed_interval(seed):
+    delay_seconds, segments = simulate_step(seed, listing_pause_seconds)
+    fixed_delay_seconds, fixed_segments = simulate_step(seed, lambda ledger: FIXED_INTERVAL_SECONDS)
+    assert delay_seconds <= min(0.02, fixed_delay_seconds + 0.01)
+    assert segments <= fixed_segments
--- a/rackswitch/jobs/tests/test_occupancy.py
+++ b/rackswitch/jobs/tests/test_occupancy.py
@@ -2,10 +2,10 @@
 from hypothesis import given
 
 from rackswitch.jobs import EngineLoad, EngineOccupancy
-from rackswitch.jobs.occupancy import LOAD_LIFE_SECONDS
+from rackswitch.jobs.occupancy import LOAD_REPORT_LIFETIME_SECONDS
 
 
-def test_what_an_engine_has_besides_the_own_runs_is_others():
+def test_runs_of_others_are_the_reported_load_less_own_runs():
     occupancy = EngineOccupancy()
     for _ in range(3):
         occupancy.began("e")
@@ -16,15 +16,15 @@
     assert occupancy.others("e", 0.5) == 7
 
 
-def test_an_engines_word_grows_old():
+def test_load_report_expires():
     occupancy = EngineOccupancy()
     occupancy.heard("e", EngineLoad(running=12, waiting=4), 0.0)
-    assert occupancy.others("e", LOAD_LIFE_SECONDS - 0.01) == 16
-    assert occupancy.others("e", LOAD_LIFE_SECONDS) == 0
+    assert occupancy.others("e", LOAD_REPORT_LIFETIME_SECONDS - 0.01) == 16
+    assert occupancy.others("e", LOAD_REPORT_LIFETIME_SECONDS) == 0
 
 
 @given(st.integers(0, 30), st.integers(0, 30), st.integers(0, 12))
-def test_a_word_that_lags_behind_the_own_runs_says_nothing_of_others(running, waiting, own):
+def test_report_older_than_own_runs_gives_no_negative_count(running, waiting, own):
     occupancy = EngineOccupancy()
     for _ in range(own):
         occupancy.began("e")
--- a/rackswitch/jobs/tests/test_retention.py
+++ b/rackswitch/jobs/tests/test_retention.py
@@ -7,11 +7,11 @@
 
 
 @given(st.floats(0.0, 1e6), st.floats(0.0, KEEP_SECONDS), st.booleans())
-def test_a_job_is_kept_for_its_time_however_clocks_differ_a_little(sent, age, ended):
+def test_job_is_kept_for_its_retention_time_despite_clock_skew(sent, age, ended):
     assert not is_forgettable(sent, ended, KEEP_SECONDS, sent + age + 5.0)
 
 
-def test_an_ended_job_is_forgotten_after_its_time_and_an_open_one_much_later():
+def test_ended_job_expires_after_its_retention_time_and_an_open_one_later():
     assert is_forgettable(1000.0, True, KEEP_SECONDS, 1000.0 + KEEP_SECONDS + 11.0)
     assert not is_forgettable(1000.0, False, KEEP_SECONDS, 1000.0 + KEEP_SECONDS + 11.0)
     assert is_forgettable(1000.0, False, KEEP_SECONDS, 1000.0 + 2 * 86_400.0)
--- a/rackswitch/jobs/tests/test_stragglers.py
+++ b/rackswitch/jobs/tests/test_stragglers.py
@@ -1,7 +1,7 @@
 import pytest
 
 from rackswitch.jobs import PieceIntervals, SpareCapacity, should_move
-from rackswitch.jobs.stragglers import GAPS_SEEN, MAX_MOVES, MIN_GAPS
+from rackswitch.jobs.stragglers import INTERVAL_WINDOW, MAX_MOVES, MIN_INTERVALS
 
 SPARE = SpareCapacity("fast", 0.04, 2)
 
@@ -10,7 +10,7 @@
     ("pace", "spare", "instance", "remaining", "moves", "moved"),
     [
         (0.12, SPARE, "slow", 50.0, 0, True),
-        # It gains half a second, a fifth of one, and too little against chance.
+        # Gains of 0.5 s and 0.15 s, and a slowdown below the minimum.
         (0.05, SPARE, "slow", 50.0, 0, True),
         (0.05, SPARE, "slow", 15.0, 0, False),
         (0.045, SPARE, "slow", 500.0, 0, False),
@@ -22,39 +22,37 @@
         (0.12, SPARE, "slow", 50.0, MAX_MOVES, False),
     ],
 )
-def test_a_slow_run_with_much_to_come_goes_where_there_is_room(
-    pace, spare, instance, remaining, moves, moved
-):
+def test_slow_run_moves_if_it_gains_enough_time(pace, spare, instance, remaining, moves, moved):
     assert should_move(pace, spare, instance, remaining, moves) is moved
 
 
-def gaps_of(*gaps_seconds: float) -> PieceIntervals:
-    """Return a run whose pieces came with these gaps."""
-    gaps = PieceIntervals()
-    gaps.piece_came(0.0)
+def intervals_of(*intervals_seconds: float) -> PieceIntervals:
+    """Return the intervals of a run whose pieces arrived at these intervals."""
+    intervals = PieceIntervals()
+    intervals.piece_came(0.0)
     now_seconds = 0.0
-    for gap_seconds in gaps_seconds:
-        now_seconds += gap_seconds
-        gaps.piece_came(now_seconds)
-    return gaps
+    for interval_seconds in intervals_seconds:
+        now_seconds += interval_seconds
+        intervals.piece_came(now_seconds)
+    return intervals
 
 
-def test_the_pause_of_a_load_does_not_make_a_run_slow():
-    gaps = gaps_of(*[0.04] * GAPS_SEEN, 0.9)
-    assert gaps.seconds_per_piece() == pytest.approx(0.04)
+def test_single_long_interval_does_not_change_the_pace():
+    intervals = intervals_of(*[0.04] * INTERVAL_WINDOW, 0.9)
+    assert intervals.seconds_per_piece() == pytest.approx(0.04)
 
 
-def test_a_run_that_turns_slow_shows_it_after_half_the_gaps():
-    gaps = gaps_of(*[0.04] * GAPS_SEEN, *[0.12] * (GAPS_SEEN // 2 + 1))
-    assert gaps.seconds_per_piece() == pytest.approx(0.12)
+def test_pace_follows_after_half_the_window():
+    intervals = intervals_of(*[0.04] * INTERVAL_WINDOW, *[0.12] * (INTERVAL_WINDOW // 2 + 1))
+    assert intervals.seconds_per_piece() == pytest.approx(0.12)
 
 
-def test_too_few_gaps_say_nothing():
-    assert gaps_of(*[0.5] * (MIN_GAPS - 1)).seconds_per_piece() is None
+def test_pace_is_unknown_with_too_few_intervals():
+    assert intervals_of(*[0.5] * (MIN_INTERVALS - 1)).seconds_per_piece() is None
 
 
-def test_the_first_piece_has_no_gap():
-    gaps = PieceIntervals()
-    assert gaps.piece_came(3.0) is None
-    assert gaps.piece_came(3.5) == 0.5
-    assert gaps.first_at_seconds == 3.0
+def test_first_piece_has_no_interval():
+    intervals = PieceIntervals()
+    assert intervals.piece_came(3.0) is None
+    assert intervals.piece_came(3.5) == 0.5
+    assert intervals.first_at_seconds == 3.0
--- a/rackswitch/jobs/urgency.py
+++ b/rackswitch/jobs/urgency.py
@@ -1,7 +1,7 @@
-"""How urgent an engine is told that a run is.
+"""The urgency level that is sent to an engine with a run.
 
-Engines that several owners fill admit the most urgent of their queue first. So the owners' common
-order holds in the queues too, though no owner knows what the others have sent.
+An engine admits the most urgent run of its queue first. So runs of several owners start in the
+common order, although no owner knows what the others have sent.
 """
 
 from collections.abc import Collection
@@ -9,70 +9,70 @@
 __all__ = ["MIDDLE_URGENCY", "urgency_levels", "urgency_of"]
 
 MIDDLE_URGENCY = 5
-"""Level that engines give to a request that names none."""
+"""Level that engines assume for a request without one."""
 
 MOST_URGENT, LEAST_URGENT = 0, 9
-"""The range of levels that engines know."""
+"""Range of the levels that engines accept."""
 
-TIGHT_SECONDS = 1.0
-"""An item with less slack than that is late after one wait in a full engine's queue."""
+TIGHT_SLACK_SECONDS = 1.0
+"""An item with less slack than this is late after one wait in a full engine's queue."""
 
-LATE, TIGHT, EASY, SURPLUS = range(4)
-"""Grades of an item. They are few, so that a run is displaced only by one that is clearly nearer
-to being late."""
+LATE, TIGHT, AMPLE, SURPLUS = range(4)
+"""Grades of an item's slack. They are few, so that only a run that is clearly closer to being
+late displaces another."""
 
-LAST_PLACE = 2 * SURPLUS + 1
-"""The last place, counted from 0. Each grade has two: one for the first rank, one behind it for all
-others."""
+MAX_URGENCY_POSITION = 2 * SURPLUS + 1
+"""Last position, counted from 0. Each grade has two: one for items of the first rank, one for
+all others."""
 
 
 def urgency_levels(rank: int, call_ranks: Collection[int]) -> tuple[int, int]:
     """Return the most and the least urgent level that runs of a rank may have.
 
-    Calls are sent without a level and stand in the middle. Items of a rank before theirs stay
-    before them, items of a later rank behind them.
+    Calls are sent without a level and get the middle one. Items of a rank before that of the calls
+    get more urgent levels, items of a later rank less urgent ones.
 
     Parameters
     ----------
     rank : int
-        The rank of the items' route, 0 first.
+        Rank of the items' route, 0 first.
     call_ranks : collection of int
-        Ranks of all routes of calls that the same engines serve.
+        Ranks of all call routes that the same engines serve.
     """
-    first, last = MOST_URGENT, LEAST_URGENT
-    if any(call < rank for call in call_ranks):
-        first = MIDDLE_URGENCY + 1
-    if any(call > rank for call in call_ranks):
-        last = MIDDLE_URGENCY - 1
-    if rank in call_ranks or first > last:
+    most_urgent, least_urgent = MOST_URGENT, LEAST_URGENT
+    if any(call_rank < rank for call_rank in call_ranks):
+        most_urgent = MIDDLE_URGENCY + 1
+    if any(call_rank > rank for call_rank in call_ranks):
+        least_urgent = MIDDLE_URGENCY - 1
+    if rank in call_ranks or most_urgent > least_urgent:
         return MIDDLE_URGENCY, MIDDLE_URGENCY
-    return first, last
+    return most_urgent, least_urgent
 
 
 def urgency_of(
     slack_seconds: float, is_surplus: bool, is_first_rank: bool, levels: tuple[int, int]
 ) -> int:
-    """Return the level of a run: by its slack, and by its rank among runs of one grade.
+    """Return the level of a run, by its slack, and within a grade by its rank.
 
     Parameters
     ----------
     slack_seconds : float
-        From now until the item must have begun to be whole in time.
+        Time left until the item must have started to be complete when due.
     is_surplus : bool
-        Whether its trainer will not wait for it.
+        Whether the item's trainer will not wait for it.
     is_first_rank : bool
-        Whether no items at the same engines have a rank before its own.
+        Whether no items at the same engines have an earlier rank.
     levels : (int, int)
-        The most and the least urgent level that it may have.
+        Most and least urgent level that the run may have.
     """
-    first, last = levels
-    place = 2 * _grade(slack_seconds, is_surplus) + (not is_first_rank)
-    return first + place * (last - first) // LAST_PLACE
+    most_urgent, least_urgent = levels
+    position = 2 * _slack_grade(slack_seconds, is_surplus) + (not is_first_rank)
+    return most_urgent + position * (least_urgent - most_urgent) // MAX_URGENCY_POSITION
 
 
-def _grade(slack_seconds: float, is_surplus: bool) -> int:
+def _slack_grade(slack_seconds: float, is_surplus: bool) -> int:
     if is_surplus:
         return SURPLUS
     if slack_seconds <= 0.0:
         return LATE
-    return TIGHT if slack_seconds < TIGHT_SECONDS else EASY
+    return TIGHT if slack_seconds < TIGHT_SLACK_SECONDS else AMPLE
