--- a/rackswitch/jobs/hand_over.py
+++ b/rackswitch/jobs/hand_over.py
@@ -13,7 +13,7 @@
 
 __all__ = ["SuccessorCandidate", "is_renewed", "order_jobs", "order_successors"]
 
-FLEET_START_SECONDS = 1.0
+FLEET_START_SPREAD_SECONDS = 1.0
 """Maximum interval between process starts in a fleet that is started at once. A process that is
 younger than this knows no engines yet."""
 
@@ -54,7 +54,9 @@
         return False
     newer_by_seconds = started_unix_seconds - oldest_unix_seconds
     age_seconds = now_unix_seconds - started_unix_seconds
-    return newer_by_seconds > FLEET_START_SECONDS and age_seconds > FLEET_START_SECONDS
+    return (
+        newer_by_seconds > FLEET_START_SPREAD_SECONDS and age_seconds > FLEET_START_SPREAD_SECONDS
+    )
 
 
 def order_successors(
--- a/rackswitch/jobs/occupancy.py
+++ b/rackswitch/jobs/occupancy.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _OtherRuns:
-    others: int
+    count: int
     until_seconds: float
 
 
@@ -50,9 +50,9 @@
 
     def heard(self, instance: str, load: EngineLoad, now_seconds: float) -> None:
         """Record an engine's load report, which includes this daemon's runs there."""
-        others = load.running + load.waiting - self.own.get(instance, 0)
+        other_count = load.running + load.waiting - self.own.get(instance, 0)
         self._other_runs[instance] = _OtherRuns(
-            max(0, others), now_seconds + LOAD_REPORT_LIFETIME_SECONDS
+            max(0, other_count), now_seconds + LOAD_REPORT_LIFETIME_SECONDS
         )
 
     def others_last(self, instance: str) -> int | None:
@@ -61,13 +61,13 @@
         None if the engine has not reported its load.
         """
         other_runs = self._other_runs.get(instance)
-        return other_runs.others if other_runs is not None else None
+        return other_runs.count if other_runs is not None else None
 
     def others(self, instance: str, now_seconds: float) -> int:
         """Return the number of other daemons' runs at an engine; 0 without a current report."""
         other_runs = self._other_runs.get(instance)
         return (
-            other_runs.others
+            other_runs.count
             if other_runs is not None and now_seconds < other_runs.until_seconds
             else 0
         )
--- a/rackswitch/jobs/tests/test_checkpoints.py
+++ b/rackswitch/jobs/tests/test_checkpoints.py
@@ -14,7 +14,7 @@
 from rackswitch.jobs.tests.support import finish, make_job
 
 
-def run(ledger: JobLedger, item_id: str, count: int, text: str = "a") -> None:
+def produce_pieces(ledger: JobLedger, item_id: str, count: int, text: str = "a") -> None:
     """Let an item's run produce this many pieces and continue."""
     progress = ledger.items[item_id]
     if progress.phase is ItemPhase.WAITING:
@@ -31,7 +31,7 @@
 
 def test_successor_continues_after_the_last_piece():
     ledger = JobLedger(make_job())
-    run(ledger, "i1", 3)
+    produce_pieces(ledger, "i1", 3)
     progress = successor_of(ledger).items["i1"]
     assert progress.phase is ItemPhase.WAITING
     assert progress.last_number == 3
@@ -42,7 +42,7 @@
 
 def test_complete_text_without_a_score_is_not_generated_again():
     ledger = JobLedger(make_job(reward=True))
-    run(ledger, "i1", 3)
+    produce_pieces(ledger, "i1", 3)
     ledger.whole(ledger.items["i1"])
     successor = successor_of(ledger)
     assert successor.items["i1"].phase is ItemPhase.SCORING
@@ -62,7 +62,7 @@
 
 def test_listed_item_is_not_restored():
     ledger = JobLedger(make_job())
-    run(ledger, "i1", 3)
+    produce_pieces(ledger, "i1", 3)
     checkpoints = checkpoint_items(ledger, 1)
     listed = [JobResult(item_id="i1", completed=True, text="a\na\na\na", versions=(1,))]
     successor = JobLedger(ledger.job, listed)
@@ -83,15 +83,15 @@
 
 def test_texts_of_exactly_the_maximum_length_are_stored():
     ledger = JobLedger(make_job())
-    run(ledger, "i0", 2, "x" * (MAX_CHECKPOINT_CHARACTERS // 2))
+    produce_pieces(ledger, "i0", 2, "x" * (MAX_CHECKPOINT_CHARACTERS // 2))
     assert [item.item_id for item in checkpoint_items(ledger, 1)] == ["i0"]
 
 
 def test_short_texts_are_omitted_and_the_longest_go_first():
     ledger = JobLedger(make_job())
-    run(ledger, "i0", 2)
-    run(ledger, "i1", 30, "x" * (MAX_CHECKPOINT_CHARACTERS // 50))
-    run(ledger, "i2", 31, "x" * (MAX_CHECKPOINT_CHARACTERS // 50))
+    produce_pieces(ledger, "i0", 2)
+    produce_pieces(ledger, "i1", 30, "x" * (MAX_CHECKPOINT_CHARACTERS // 50))
+    produce_pieces(ledger, "i2", 31, "x" * (MAX_CHECKPOINT_CHARACTERS // 50))
     checkpoints = checkpoint_items(ledger, 24)
     assert [item.item_id for item in checkpoints] == ["i2"]
     assert [item.item_id for item in checkpoint_items(JobLedger(make_job()), 0)] == [
--- a/rackswitch/jobs/tests/test_leaving.py
+++ b/rackswitch/jobs/tests/test_leaving.py
@@ -6,8 +6,8 @@
 from rackswitch.jobs.leaving import ENGINE_END_MARGIN_SECONDS
 
 
-def leaving_run(name: str, remaining_pieces: float, **given) -> LeavingRun:
-    values = {
+def leaving_run(name: str, remaining_pieces: float, **overrides) -> LeavingRun:
+    defaults = {
         "key": ("j", name),
         "start": "e@1",
         "service": "s",
@@ -17,7 +17,7 @@
         "seconds_per_piece": 0.04,
         "start_by_seconds": 0.0,
     }
-    return LeavingRun(**(values | given))
+    return LeavingRun(**(defaults | overrides))
 
 
 def free_engine(
--- a/rackswitch/jobs/tests/test_placement.py
+++ b/rackswitch/jobs/tests/test_placement.py
@@ -84,24 +84,29 @@
     )
 
 
-@pytest.mark.parametrize("warm", [True, False])
-def test_trainer_with_short_steps_keeps_its_owner_while_connections_are_open(warm):
+@pytest.mark.parametrize("connected", [True, False])
+def test_trainer_with_short_steps_keeps_its_owner_while_connections_are_open(connected):
     """A step ends after 3 s, and the next one arrives a second later at any of 17 daemons."""
     rng = random.Random(2)
     names = [f"d{number}" for number in range(17)]
     selectors = {name: OwnerSelector(name) for name in names}
-    owned_at: dict[str, float] = {}
+    owned_at_seconds: dict[str, float] = {}
     owners = []
     for step in range(16):
-        now = 4.0 * step
+        now_seconds = 4.0 * step
         known = [
-            OwnerCandidate(name, 0.5, 0, now - owned_at.get(name, float("-inf")) if warm else 99.0)
+            OwnerCandidate(
+                name,
+                0.5,
+                0,
+                now_seconds - owned_at_seconds.get(name, float("-inf")) if connected else 99.0,
+            )
             for name in names
         ]
-        owner = selectors[rng.choice(names)].owner(known, 80, now)
-        owned_at[owner] = now
+        owner = selectors[rng.choice(names)].owner(known, 80, now_seconds)
+        owned_at_seconds[owner] = now_seconds
         owners.append(owner)
-    assert (len(set(owners)) == 1) is warm
+    assert (len(set(owners)) == 1) is connected
 
 
 def test_job_goes_to_a_restarted_daemon_while_daemons_are_stopped_in_turn():
--- a/rackswitch/jobs/tests/test_schedule.py
+++ b/rackswitch/jobs/tests/test_schedule.py
@@ -15,8 +15,10 @@
 from rackswitch.leases import rank_candidates
 
 
-def make_engine(name: str, free: int, pace: float = 0.05, version: int = 1) -> EngineCapacity:
-    return EngineCapacity(name, "s", free, pace, {"m": version})
+def make_engine(
+    name: str, free_slots: int, seconds_per_piece: float = 0.05, version: int = 1
+) -> EngineCapacity:
+    return EngineCapacity(name, "s", free_slots, seconds_per_piece, {"m": version})
 
 
 def plan(
@@ -98,13 +100,13 @@
 
 
 def test_former_owner_may_claim_first_then_daemons_by_rank():
-    live = ["a", "b", "c"]
-    first, second, _ = rank_candidates("j", live)
+    live_daemons = ["a", "b", "c"]
+    first, second, _ = rank_candidates("j", live_daemons)
 
     def claims(daemon: str, held: bool, at_seconds: float, released: bool = False) -> bool:
-        orphans = OrphanedJobs(daemon)
-        orphans.orphaned("j", 0.0)
-        return orphans.may_claim("j", live, held, released, at_seconds)
+        orphaned_jobs = OrphanedJobs(daemon)
+        orphaned_jobs.orphaned("j", 0.0)
+        return orphaned_jobs.may_claim("j", live_daemons, held, released, at_seconds)
 
     assert claims(second, True, 0.0)
     assert not claims(first, False, 0.3)
@@ -118,11 +120,11 @@
 
 
 def test_job_with_an_owner_is_not_claimed():
-    orphans = OrphanedJobs("a")
-    assert not orphans.may_claim("j", ["a"], False, False, 100.0)
-    orphans.orphaned("j", 0.0)
-    orphans.owned("j")
-    assert not orphans.may_claim("j", ["a"], False, False, 100.0)
+    orphaned_jobs = OrphanedJobs("a")
+    assert not orphaned_jobs.may_claim("j", ["a"], False, False, 100.0)
+    orphaned_jobs.orphaned("j", 0.0)
+    orphaned_jobs.owned("j")
+    assert not orphaned_jobs.may_claim("j", ["a"], False, False, 100.0)
 
 
 def test_long_text_of_a_later_job_starts_before_a_short_one_of_an_earlier_job():
@@ -167,13 +169,13 @@
 
 
 def test_next_claim_is_delayed_until_the_job_has_had_an_owner():
-    orphans = OrphanedJobs("a")
-    orphans.orphaned("j", 0.0)
-    assert orphans.may_claim("j", ["a"], True, False, 1.0)
-    assert not orphans.may_claim("j", ["a"], True, False, 1.1)
-    orphans.owned("j")
-    orphans.orphaned("j", 1.2)
-    assert orphans.may_claim("j", ["a"], True, False, 1.2)
+    orphaned_jobs = OrphanedJobs("a")
+    orphaned_jobs.orphaned("j", 0.0)
+    assert orphaned_jobs.may_claim("j", ["a"], True, False, 1.0)
+    assert not orphaned_jobs.may_claim("j", ["a"], True, False, 1.1)
+    orphaned_jobs.owned("j")
+    orphaned_jobs.orphaned("j", 1.2)
+    assert orphaned_jobs.may_claim("j", ["a"], True, False, 1.2)
 
 
 def test_spare_capacity_of_a_service_is_its_fastest_engine_with_a_free_slot():
--- a/rackswitch/jobs/tests/test_urgency.py
+++ b/rackswitch/jobs/tests/test_urgency.py
@@ -35,15 +35,15 @@
 
 
 def test_levels_agree_with_the_order_of_ranks_and_calls():
-    for rank, call in itertools.product(range(6), repeat=2):
-        levels = urgency_levels(rank, (call,))
+    for rank, call_rank in itertools.product(range(6), repeat=2):
+        levels = urgency_levels(rank, (call_rank,))
         for slack, surplus, is_first in itertools.product(
             SLACK_SAMPLES_SECONDS, (False, True), (False, True)
         ):
             level = urgency_of(slack, surplus, is_first, levels)
-            if rank < call:
+            if rank < call_rank:
                 assert level < MIDDLE_URGENCY
-            elif rank > call:
+            elif rank > call_rank:
                 assert level > MIDDLE_URGENCY
             else:
                 assert level == MIDDLE_URGENCY
