--- a/rackswitch/gateway/callers/__init__.py
+++ b/rackswitch/gateway/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' requests: from the socket to a target and back."""
+"""Handling of callers' requests: HTTP, admission, choice of targets, retries and streams."""
--- a/rackswitch/gateway/callers/call_admission.py
+++ b/rackswitch/gateway/callers/call_admission.py
@@ -1,7 +1,4 @@
-"""Carrying out who waits for room at a service, who goes and who is refused.
-
-A word is a target's statement about its own load (`rackswitch.routing.reported_load`).
-"""
+"""Applying admission decisions: calls are sent, wait in their service's queue, or are refused."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -22,156 +19,165 @@
 from rackswitch.routing import TargetEstimate
 from rackswitch.telemetry.events import CallDecided, RoomSeen
 
-__all__ = ["CallAdmission", "NoTarget", "PlacesOf"]
+__all__ = ["CallAdmission", "NoTarget", "TargetEstimateLookup"]
 
-TOLD_SECONDS = 1.0
-"""Between two lines about one service's room."""
+LOG_INTERVAL_SECONDS = 1.0
+"""Interval between `RoomSeen` events of one service."""
 
-ANSWER_WORD_SECONDS = 0.02
-"""A word no older than this came with the answer that has just been read."""
+ANSWER_LOAD_MAX_AGE_SECONDS = 0.02
+"""Maximum age of a load report that is taken to come with the answer just received."""
 
-MAX_SHARES_TOLD = 20
-"""Tenants in one line, those with the largest shares."""
+MAX_LOGGED_SHARES = 20
+"""Maximum number of tenants in one `RoomSeen` event, those with the largest shares."""
 
-PlacesOf = Callable[[str], Sequence[TargetEstimate]]
-"""From a service's name to what is believed of its targets; empty if nothing is known."""
+TargetEstimateLookup = Callable[[str], Sequence[TargetEstimate]]
+"""From a service's name to the load estimates of its targets; empty if nothing is known."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoTarget:
-    """The service's last target went while the call waited."""
+    """The service lost its last target while the call waited."""
 
 
-Turn = SendCall | RefuseCall | NoTarget
+FinalDecision = SendCall | RefuseCall | NoTarget
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """A call that waits.
+class _QueuedCall:
+    """A call in a service's queue.
 
     Attributes
     ----------
-    want : AdmissionRequest
-        What it asks for.
-    expected_seconds : float
-        How long it would probably wait, when it began to.
-    since_seconds : float
-        When it began to (monotonic).
-    turn : Future of Turn
-        What is decided at last.
+    request : AdmissionRequest
+        The call's admission request.
+    expected_wait_seconds : float
+        Expected wait at the time when the call was queued.
+    queued_at_seconds : float
+        When the call was queued (monotonic).
+    final_decision : Future of FinalDecision
+        Set when the call leaves the queue.
     """
 
-    want: AdmissionRequest
-    expected_seconds: float
-    since_seconds: float
-    turn: asyncio.Future[Turn]
+    request: AdmissionRequest
+    expected_wait_seconds: float
+    queued_at_seconds: float
+    final_decision: asyncio.Future[FinalDecision]
 
 
 @dataclass(slots=True)
 class _Service:
-    """One service's room with the calls that wait in it.
+    """One service's admission state and its queued calls.
 
     Attributes
     ----------
-    look : TimerHandle or None
-        The next look at it without anything else happening.
-    telling : TimerHandle or None
-        When it is told of next; None while there is nothing to tell.
+    check_timer : TimerHandle or None
+        The next queue check if no call ends before.
+    log_timer : TimerHandle or None
+        The next `RoomSeen` event; None while no call waits.
     """
 
     name: str
-    room: ServiceAdmission
-    waiting: dict[Ticket, _Waiting]
-    look: asyncio.TimerHandle | None = None
-    telling: asyncio.TimerHandle | None = None
+    admission: ServiceAdmission
+    queued_calls: dict[Ticket, _QueuedCall]
+    check_timer: asyncio.TimerHandle | None = None
+    log_timer: asyncio.TimerHandle | None = None
 
 
 class CallAdmission:
-    """The rooms of all services that calls of this daemon go to.
+    """Admission of this daemon's calls to all services.
 
-    Calls that wait are woken when another one ends or when their own time comes.
+    A service's queue is checked when one of its calls ends and when a queued call's time is up.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    places_of : callable
-        What is believed of a service's targets.
+    estimates_of : callable
+        Returns the load estimates of a service's targets.
     """
 
-    __slots__ = ("_context", "_places_of", "_services")
+    __slots__ = ("_context", "_estimates_of", "_services")
 
-    def __init__(self, context: GatewayContext, places_of: PlacesOf):
+    def __init__(self, context: GatewayContext, estimates_of: TargetEstimateLookup):
         self._context = context
-        self._places_of = places_of
+        self._estimates_of = estimates_of
         self._services: dict[str, _Service] = {}
 
-    async def enter(self, service_name: str, want: AdmissionRequest) -> NotRun | NoTarget | None:
-        """Wait until a call may go; it then counts as being there until it has ended.
+    async def admit(self, service_name: str, request: AdmissionRequest) -> NotRun | NoTarget | None:
+        """Wait until a call may be sent; it then counts as in flight until it has ended.
 
         Returns
         -------
         NotRun or NoTarget or None
-            The refusal, or None to go on.
+            Why the call must not be sent; None if it may be.
         """
         service = self._service(service_name)
         now_seconds = self._context.now_seconds()
         draw = self._context.rng.random()
-        decision = service.room.ask(want, self._places_of(service_name), draw, now_seconds)
-        return await self._carry_out(service, want, decision)
+        decision = service.admission.ask(
+            request, self._estimates_of(service_name), draw, now_seconds
+        )
+        return await self._apply(service, request, decision)
 
-    async def enter_again(
-        self, service_name: str, want: AdmissionRequest
+    async def readmit(
+        self, service_name: str, request: AdmissionRequest
     ) -> NotRun | NoTarget | None:
-        """Let a call that a target did not begin wait for another place."""
+        """Queue a call again that a target refused to begin."""
         service = self._service(service_name)
-        decision = service.room.ask_again(want, self._context.now_seconds())
-        return await self._carry_out(service, want, decision)
+        decision = service.admission.ask_again(request, self._context.now_seconds())
+        return await self._apply(service, request, decision)
 
-    def repeat(self, service_name: str, want: AdmissionRequest) -> bool:
-        """Count a failed call in once more, if the service's retries allow it."""
-        room = self._service(service_name).room
+    def admit_retry(self, service_name: str, request: AdmissionRequest) -> bool:
+        """Admit a retry of a failed call if the service's retry budget allows it."""
+        admission = self._service(service_name).admission
         now_seconds = self._context.now_seconds()
-        if not room.may_repeat(now_seconds):
+        if not admission.may_repeat(now_seconds):
             return False
-        room.repeat(want, now_seconds)
+        admission.repeat(request, now_seconds)
         return True
 
-    def answered(
-        self, service_name: str, want: AdmissionRequest, instance: str, took_seconds: float
+    def record_answer(
+        self, service_name: str, request: AdmissionRequest, instance: str, took_seconds: float
     ) -> None:
-        """Note that a target has answered a call."""
+        """Record that a target answered a call."""
         service = self._service(service_name)
         now_seconds = self._context.now_seconds()
-        place = next(
-            (place for place in self._places_of(service_name) if place.instance == instance), None
+        estimate = next(
+            (
+                estimate
+                for estimate in self._estimates_of(service_name)
+                if estimate.instance == instance
+            ),
+            None,
         )
-        service.room.ended(want, took_seconds)
-        if place is not None and place.word_age_seconds <= ANSWER_WORD_SECONDS:
-            service.room.limit.answered(place.running, place.waiting, place.slots, now_seconds)
+        service.admission.ended(request, took_seconds)
+        if estimate is not None and estimate.word_age_seconds <= ANSWER_LOAD_MAX_AGE_SECONDS:
+            service.admission.limit.answered(
+                estimate.running, estimate.waiting, estimate.slots, now_seconds
+            )
         else:
-            service.room.limit.answered_untold(now_seconds)
-        self._look(service)
+            service.admission.limit.answered_untold(now_seconds)
+        self._check_queue(service)
 
-    def not_begun(self, service_name: str, want: AdmissionRequest) -> None:
-        """Note that a target had no room for a call."""
+    def record_refusal(self, service_name: str, request: AdmissionRequest) -> None:
+        """Record that a target refused a call because it was full."""
         service = self._service(service_name)
-        service.room.ended(want, None)
-        service.room.target_refused(self._context.now_seconds())
-        self._look(service)
+        service.admission.ended(request, None)
+        service.admission.target_refused(self._context.now_seconds())
+        self._check_queue(service)
 
-    def ended(self, service_name: str, want: AdmissionRequest) -> None:
-        """Note that a call has ended without an answer, or did not leave."""
+    def record_end(self, service_name: str, request: AdmissionRequest) -> None:
+        """Record that an admitted call ended without an answer or was not sent."""
         service = self._service(service_name)
-        service.room.ended(want, None)
-        self._look(service)
+        service.admission.ended(request, None)
+        self._check_queue(service)
 
-    def no_target(self, service_name: str) -> None:
-        """Note that a service has no target: nobody waits for it any longer."""
+    def record_no_target(self, service_name: str) -> None:
+        """Release all calls queued for a service that has no target left."""
         service = self._service(service_name)
-        for ticket in service.room.no_target():
-            self._tell(service, ticket, NoTarget())
-        self._look(service)
+        for ticket in service.admission.no_target():
+            self._resolve(service, ticket, NoTarget())
+        self._check_queue(service)
 
     def _service(self, name: str) -> _Service:
         service = self._services.get(name)
@@ -179,138 +185,157 @@
             service = self._services[name] = _Service(name, ServiceAdmission(), {})
         return service
 
-    async def _carry_out(
-        self, service: _Service, want: AdmissionRequest, decision: AdmissionDecision
+    async def _apply(
+        self, service: _Service, request: AdmissionRequest, decision: AdmissionDecision
     ) -> NotRun | NoTarget | None:
-        self._tell_later(service)
+        self._schedule_service_log(service)
         if isinstance(decision, WaitInQueue):
-            return await self._wait(service, want, decision)
-        return self._outcome(service, want, decision, 0.0, 0.0)
+            return await self._wait(service, request, decision)
+        return self._finish(service, request, decision, 0.0, 0.0)
 
     async def _wait(
-        self, service: _Service, want: AdmissionRequest, decision: WaitInQueue
+        self, service: _Service, request: AdmissionRequest, decision: WaitInQueue
     ) -> NotRun | NoTarget | None:
-        since_seconds = self._context.now_seconds()
-        turn: asyncio.Future[Turn] = asyncio.get_running_loop().create_future()
-        waiting = _Waiting(want, decision.wait_seconds, since_seconds, turn)
-        service.waiting[decision.ticket] = waiting
-        self._log(service, want, "waits", decision.wait_seconds, 0.0)
-        self._look(service)
+        queued_at_seconds = self._context.now_seconds()
+        final_decision: asyncio.Future[FinalDecision] = asyncio.get_running_loop().create_future()
+        queued_call = _QueuedCall(request, decision.wait_seconds, queued_at_seconds, final_decision)
+        service.queued_calls[decision.ticket] = queued_call
+        self._log_decision(service, request, "waits", decision.wait_seconds, 0.0)
+        self._check_queue(service)
         try:
-            taken = await turn
+            decided = await final_decision
         except asyncio.CancelledError:
-            self._left(service, decision.ticket, waiting)
+            self._remove_cancelled(service, decision.ticket, queued_call)
             raise
-        waited_seconds = self._context.now_seconds() - since_seconds
-        return self._outcome(service, want, taken, decision.wait_seconds, waited_seconds)
-
-    def _left(self, service: _Service, ticket: Ticket, waiting: _Waiting) -> None:
-        """Take out a call whose caller has gone, perhaps just as its turn came."""
-        service.waiting.pop(ticket, None)
-        had_turn = waiting.turn.done() and not waiting.turn.cancelled()
-        if not had_turn:
-            service.room.left(ticket)
-        elif isinstance(waiting.turn.result(), SendCall):
-            service.room.ended(waiting.want, None)
-        self._look(service)
-
-    def _outcome(
+        waited_seconds = self._context.now_seconds() - queued_at_seconds
+        return self._finish(service, request, decided, decision.wait_seconds, waited_seconds)
+
+    def _remove_cancelled(
+        self, service: _Service, ticket: Ticket, queued_call: _QueuedCall
+    ) -> None:
+        """Remove a call whose caller disconnected, possibly after the call was admitted."""
+        service.queued_calls.pop(ticket, None)
+        was_decided = (
+            queued_call.final_decision.done() and not queued_call.final_decision.cancelled()
+        )
+        if not was_decided:
+            service.admission.left(ticket)
+        elif isinstance(queued_call.final_decision.result(), SendCall):
+            service.admission.ended(queued_call.request, None)
+        self._check_queue(service)
+
+    def _finish(
         self,
         service: _Service,
-        want: AdmissionRequest,
-        turn: Turn,
-        expected_seconds: float,
+        request: AdmissionRequest,
+        final_decision: FinalDecision,
+        expected_wait_seconds: float,
         waited_seconds: float,
     ) -> NotRun | NoTarget | None:
-        if isinstance(turn, SendCall):
-            self._log(service, want, "sent", expected_seconds, waited_seconds)
+        if isinstance(final_decision, SendCall):
+            self._log_decision(service, request, "sent", expected_wait_seconds, waited_seconds)
             return None
-        if isinstance(turn, NoTarget):
-            return turn
+        if isinstance(final_decision, NoTarget):
+            return final_decision
         now_seconds = self._context.now_seconds()
         draw = self._context.rng.random()
-        back_seconds = next_retry_at_seconds(want, turn, draw, now_seconds)
-        outcome = f"refused: {turn.cause.value}"
-        come_back_seconds = back_seconds - now_seconds
-        self._log(service, want, outcome, turn.wait_seconds, waited_seconds, come_back_seconds)
-        return NotRun(NotRunReason.OVERLOADED, turn.cause.value, back_seconds)
-
-    def _look(self, service: _Service) -> None:
-        """Let go whoever may, refuse whoever cannot be served in time, and look again in time."""
+        retry_at_seconds = next_retry_at_seconds(request, final_decision, draw, now_seconds)
+        outcome = f"refused: {final_decision.cause.value}"
+        retry_after_seconds = retry_at_seconds - now_seconds
+        self._log_decision(
+            service,
+            request,
+            outcome,
+            final_decision.wait_seconds,
+            waited_seconds,
+            retry_after_seconds,
+        )
+        return NotRun(NotRunReason.OVERLOADED, final_decision.cause.value, retry_at_seconds)
+
+    def _check_queue(self, service: _Service) -> None:
+        """Send and refuse queued calls that are due, and schedule the next check."""
         now_seconds = self._context.now_seconds()
-        if service.waiting:
-            for ticket, turn in service.room.due(self._places_of(service.name), now_seconds):
-                self._tell(service, ticket, turn)
-        if service.look is not None:
-            service.look.cancel()
-            service.look = None
-        at_seconds = service.room.next_look_seconds(now_seconds)
-        if at_seconds < float("inf"):
+        if service.queued_calls:
+            for ticket, final_decision in service.admission.due(
+                self._estimates_of(service.name), now_seconds
+            ):
+                self._resolve(service, ticket, final_decision)
+        if service.check_timer is not None:
+            service.check_timer.cancel()
+            service.check_timer = None
+        check_at_seconds = service.admission.next_look_seconds(now_seconds)
+        if check_at_seconds < float("inf"):
             loop = asyncio.get_running_loop()
-            service.look = loop.call_at(max(at_seconds, now_seconds + 1e-3), self._look, service)
+            service.check_timer = loop.call_at(
+                max(check_at_seconds, now_seconds + 1e-3), self._check_queue, service
+            )
 
-    def _tell(self, service: _Service, ticket: Ticket, turn: Turn) -> None:
-        waiting = service.waiting.pop(ticket)
-        if not waiting.turn.done():
-            waiting.turn.set_result(turn)
-        elif isinstance(turn, SendCall):
-            # Its caller has left in the same turn of the loop.
-            service.room.ended(waiting.want, None)
+    def _resolve(self, service: _Service, ticket: Ticket, final_decision: FinalDecision) -> None:
+        queued_call = service.queued_calls.pop(ticket)
+        if not queued_call.final_decision.done():
+            queued_call.final_decision.set_result(final_decision)
+        elif isinstance(final_decision, SendCall):
+            # The caller disconnected in the same iteration of the event loop.
+            service.admission.ended(queued_call.request, None)
 
-    def _log(
+    def _log_decision(
         self,
         service: _Service,
-        want: AdmissionRequest,
+        request: AdmissionRequest,
         outcome: str,
-        expected_seconds: float,
+        expected_wait_seconds: float,
         waited_seconds: float,
-        come_back_seconds: float = 0.0,
+        retry_after_seconds: float = 0.0,
     ) -> None:
-        places = self._places_of(service.name)
-        ages = [place.word_age_seconds for place in places]
-        age_seconds = min(ages, default=float("inf"))
+        estimates = self._estimates_of(service.name)
+        report_ages_seconds = [estimate.word_age_seconds for estimate in estimates]
+        report_age_seconds = min(report_ages_seconds, default=float("inf"))
         self._context.log.write(
             CallDecided(
-                request=want.request_id,
+                request=request.request_id,
                 service=service.name,
-                route=want.kind,
-                tenant=want.tenant,
-                caller_class=want.rank,
+                route=request.kind,
+                tenant=request.tenant,
+                caller_class=request.rank,
                 outcome=outcome,
-                expected_wait_seconds=round(expected_seconds, 4),
+                expected_wait_seconds=round(expected_wait_seconds, 4),
                 waited_seconds=round(waited_seconds, 4),
-                left_seconds=round(want.deadline_seconds - self._context.now_seconds(), 4),
-                waiting=len(service.room.room),
-                in_flight=service.room.limit.in_flight,
-                limit=round(service.room.limit.limit, 3),
-                free_slots=round(sum(place.free_slots for place in places), 2),
-                word_age_seconds=round(age_seconds, 4) if age_seconds < float("inf") else -1.0,
-                come_back_seconds=round(come_back_seconds, 4),
-                refusals_since_answer=service.room.limit.refusals_since_answer,
-                crowding=round(service.room.limit.crowding(self._context.now_seconds()), 3),
+                left_seconds=round(request.deadline_seconds - self._context.now_seconds(), 4),
+                waiting=len(service.admission.room),
+                in_flight=service.admission.limit.in_flight,
+                limit=round(service.admission.limit.limit, 3),
+                free_slots=round(sum(estimate.free_slots for estimate in estimates), 2),
+                word_age_seconds=round(report_age_seconds, 4)
+                if report_age_seconds < float("inf")
+                else -1.0,
+                come_back_seconds=round(retry_after_seconds, 4),
+                refusals_since_answer=service.admission.limit.refusals_since_answer,
+                crowding=round(service.admission.limit.crowding(self._context.now_seconds()), 3),
             )
         )
 
-    def _tell_later(self, service: _Service) -> None:
-        """Tell of a service's room after a while, and again while calls wait there."""
-        if service.telling is None:
+    def _schedule_service_log(self, service: _Service) -> None:
+        """Schedule a `RoomSeen` event, which is repeated while calls are queued."""
+        if service.log_timer is None:
             loop = asyncio.get_running_loop()
-            service.telling = loop.call_later(TOLD_SECONDS, self._tell_room, service)
+            service.log_timer = loop.call_later(LOG_INTERVAL_SECONDS, self._log_service, service)
 
-    def _tell_room(self, service: _Service) -> None:
-        service.telling = None
+    def _log_service(self, service: _Service) -> None:
+        service.log_timer = None
         now_seconds = self._context.now_seconds()
-        shares = service.room.served_shares(now_seconds)
-        largest = sorted(shares, key=shares.__getitem__, reverse=True)[:MAX_SHARES_TOLD]
+        shares = service.admission.served_shares(now_seconds)
+        largest_tenants = sorted(shares, key=shares.__getitem__, reverse=True)[:MAX_LOGGED_SHARES]
         self._context.log.write(
             RoomSeen(
                 service=service.name,
-                waiting=len(service.room.room),
-                in_flight=service.room.limit.in_flight,
-                limit=round(service.room.limit.limit, 3),
-                oldest_wait_seconds=round(service.room.oldest_wait_seconds(now_seconds), 4),
-                tenant_shares={tenant: round(shares[tenant], 4) for tenant in largest if tenant},
+                waiting=len(service.admission.room),
+                in_flight=service.admission.limit.in_flight,
+                limit=round(service.admission.limit.limit, 3),
+                oldest_wait_seconds=round(service.admission.oldest_wait_seconds(now_seconds), 4),
+                tenant_shares={
+                    tenant: round(shares[tenant], 4) for tenant in largest_tenants if tenant
+                },
             )
         )
-        if service.waiting:
-            self._tell_later(service)
+        if service.queued_calls:
+            self._schedule_service_log(service)
--- a/rackswitch/gateway/callers/call_handler.py
+++ b/rackswitch/gateway/callers/call_handler.py
@@ -1,4 +1,4 @@
-"""Callers' calls over HTTP: a target's answer or stream, or the truth about it."""
+"""HTTP responses to callers: a target's answer or stream, or an error status."""
 
 import asyncio
 
@@ -23,21 +23,21 @@
 
 
 class CallHandler:
-    """Answers callers whose calls are passed through.
+    """Forwards callers' calls to targets and responds to the callers.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    front : RequestDispatcher
-        Serves calls.
+    dispatcher : RequestDispatcher
+        Sends calls to targets.
     """
 
-    __slots__ = ("_context", "_front")
+    __slots__ = ("_context", "_dispatcher")
 
-    def __init__(self, context: GatewayContext, front: RequestDispatcher):
+    def __init__(self, context: GatewayContext, dispatcher: RequestDispatcher):
         self._context = context
-        self._front = front
+        self._dispatcher = dispatcher
 
     async def serve(
         self,
@@ -47,10 +47,10 @@
         deadline_seconds: float,
         arrived_seconds: float,
     ) -> None:
-        """Serve a call, and give its work up if the caller leaves first."""
-        log = self._front.new_log(route)
+        """Serve a call; cancel it if the caller disconnects first."""
+        log = self._dispatcher.new_log(route)
         work = asyncio.create_task(
-            self._front.call(route, call, deadline_seconds, log, as_stream=route.streams)
+            self._dispatcher.call(route, call, deadline_seconds, log, as_stream=route.streams)
         )
         if not await done_before_disconnect(exchange, work):
             self._log_end(route, call, arrived_seconds, "caller left", None)
@@ -61,20 +61,20 @@
         if isinstance(outcome, TargetAnswer):
             await exchange.respond(outcome.status, outcome.headers, outcome.body)
         elif isinstance(outcome, TargetStream):
-            relay = StreamRelay(self._front, route, call, deadline_seconds, log)
-            label = await self._relay(exchange, relay, outcome, _streaming(answer))
+            relay = StreamRelay(self._dispatcher, route, call, deadline_seconds, log)
+            label = await self._relay(exchange, relay, outcome, _stream_target(answer))
         elif isinstance(outcome, NotRun):
             retry_at_seconds = outcome.retry_at_seconds or self._context.now_seconds()
-            left_seconds = max(0.0, retry_at_seconds - self._context.now_seconds())
-            await refuse(exchange, Refusal(503, outcome.detail, left_seconds))
+            retry_after_seconds = max(0.0, retry_at_seconds - self._context.now_seconds())
+            await refuse(exchange, Refusal(503, outcome.detail, retry_after_seconds))
         else:
-            await self._fail(exchange, outcome, deadline_seconds)
+            await self._respond_failed(exchange, outcome, deadline_seconds)
         self._log_end(route, call, arrived_seconds, label, answer)
 
     async def _relay(
         self, exchange: Exchange, relay: StreamRelay, stream: TargetStream, target: ListedTarget
     ) -> str:
-        """Pass a stream on as it comes; return how that ended."""
+        """Forward a stream to the caller; return its outcome for the log."""
         pieces = relay.pieces(stream, target)
         sending = asyncio.create_task(exchange.stream(stream.status, stream.headers, pieces))
         try:
@@ -83,7 +83,7 @@
             sending.result()
         finally:
             await pieces.aclose()
-        return f"{stream.status}, resumed {relay.resumed} times"
+        return f"{stream.status}, resumed {relay.resume_count} times"
 
     def _log_end(
         self,
@@ -102,28 +102,30 @@
                 tenant=call.caller.tenant,
                 table_revision=self._context.table_revision,
                 list_age_seconds=self._context.list_age_seconds(),
-                targets_known=self._front.usable_count(route),
+                targets_known=self._dispatcher.usable_target_count(route),
                 target=answer.instance if answer is not None else "",
                 attempts=answer.attempts if answer is not None else 0,
                 elapsed_seconds=round(elapsed_seconds, 4),
                 outcome=outcome,
-                place=self._place_seen(answer),
+                place=self._placement_event(answer),
             )
         )
 
-    def _place_seen(self, answer: DispatchAnswer | None) -> PlaceSeen | None:
+    def _placement_event(self, answer: DispatchAnswer | None) -> PlaceSeen | None:
         if answer is None or answer.target is None:
             return None
         return placement_event(self._context, answer.place, answer.target.service, WorkKind.CALL)
 
-    async def _fail(self, exchange: Exchange, outcome: MayHaveRun, deadline_seconds: float) -> None:
-        """Answer without a promise whether the request has run."""
-        late = self._context.now_seconds() >= deadline_seconds
-        await exchange.respond(504 if late else 502, TEXT, outcome.detail.encode())
+    async def _respond_failed(
+        self, exchange: Exchange, outcome: MayHaveRun, deadline_seconds: float
+    ) -> None:
+        """Respond that the request failed and may have run."""
+        deadline_passed = self._context.now_seconds() >= deadline_seconds
+        await exchange.respond(504 if deadline_passed else 502, TEXT, outcome.detail.encode())
 
 
-def _streaming(answer: DispatchAnswer) -> ListedTarget:
-    """Return the target whose stream an answer is."""
+def _stream_target(answer: DispatchAnswer) -> ListedTarget:
+    """Return the target that sends the stream of an answer."""
     if answer.target is None:
-        raise BrokenInvariant("a stream comes from a target")
+        raise BrokenInvariant("a stream answer has no target")
     return answer.target
--- a/rackswitch/gateway/callers/caller_handler.py
+++ b/rackswitch/gateway/callers/caller_handler.py
@@ -1,4 +1,4 @@
-"""The HTTP edge: what is checked of each request before it is served."""
+"""ASGI application for callers and trainers: checks each request before it is served."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, replace
@@ -26,18 +26,24 @@
 __all__ = ["CallerHandler"]
 
 BODY_TIMEOUT_SECONDS = 10.0
-"""How long a body may take whose sender names no deadline."""
+"""Time to receive the body of a request that has no deadline header."""
 
-STATE_COME_BACK_SECONDS = 0.2
-"""When to come back to a daemon that has just started and knows no table yet."""
+NO_TABLE_RETRY_AFTER_SECONDS = 0.2
+"""`Retry-After` of a daemon that has started and has not read a table yet."""
 
-NO_TABLE = Refusal(503, "no table in force yet", STATE_COME_BACK_SECONDS)
-"""A key that is not found is no news as long as nothing is known at all: never a 401."""
+NO_TABLE_REFUSAL = Refusal(503, "no table in force yet", NO_TABLE_RETRY_AFTER_SECONDS)
+"""Refusal of all requests until a table is known: keys cannot be checked, so no 401 is sent."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Head:
-    """What a request's head says; the deadline (event loop time) is the caller's own."""
+class _RequestHead:
+    """The checked head of a request.
+
+    Attributes
+    ----------
+    deadline_seconds : float or None
+        The caller's own deadline (event loop time).
+    """
 
     route: RouteRow
     caller: Caller
@@ -54,9 +60,9 @@
     context : GatewayContext
         The daemon.
     calls : CallHandler
-        Answers callers whose calls are passed through.
+        Handles calls that are forwarded to targets.
     jobs : JobHandler
-        Answers trainers.
+        Handles the requests of trainers.
     """
 
     __slots__ = ("_calls", "_context", "_jobs")
@@ -76,13 +82,13 @@
         if scope["type"] != "http":
             return
         exchange = Exchange(scope, receive, send)
-        # A stopping daemon asks callers to take a new connection, which goes elsewhere.
+        # Callers of a stopping daemon have to reconnect, which takes them to another daemon.
         exchange.close_connection = self._context.daemon.stopping
         with self._context.daemon.in_flight:
             try:
                 await self._serve(exchange)
             except ConnectionError as error:
-                logger.info("answer broken off: {}", error)
+                logger.info("caller connection lost while responding: {}", error)
                 raise
 
     async def _serve(self, exchange: Exchange) -> None:
@@ -98,9 +104,9 @@
     async def _serve_job_call(
         self, exchange: Exchange, job_call: JobCall, arrived_seconds: float
     ) -> None:
-        """Serve a call about a job for the job's own tenant; to others the job is not there."""
+        """Serve a call about a job; to other tenants the job does not exist."""
         if self._context.table_revision == 0:
-            await refuse_before_routing(exchange, self._context, NO_TABLE)
+            await refuse_before_routing(exchange, self._context, NO_TABLE_REFUSAL)
             return
         caller = self._context.tenants.identify(exchange.header_values(AUTHORIZATION_HEADER))
         identity = self._jobs.identity_for(caller, job_call.job_id)
@@ -127,10 +133,10 @@
 
     def _check_head(
         self, exchange: Exchange, limits: LimitsRow, arrived_seconds: float
-    ) -> _Head | Refusal:
-        """Return what a request's head says, or why it is refused."""
+    ) -> _RequestHead | Refusal:
+        """Check a request's head; return it parsed, or the refusal."""
         if self._context.table_revision == 0:
-            return NO_TABLE
+            return NO_TABLE_REFUSAL
         if exchange.header_bytes > limits.most_header_bytes:
             exchange.close_connection = True
             return Refusal(431, f"over {limits.most_header_bytes} header bytes")
@@ -138,7 +144,7 @@
         route = self._context.routes.find(host, exchange.path)
         if route is None:
             return Refusal(404, f"no route for {host}{exchange.path}")
-        caller = self._caller(exchange, route)
+        caller = self._identify_caller(exchange, route)
         if isinstance(caller, KeyFault):
             return self._key_refusal(caller)
         request_id = request_identity(exchange)
@@ -147,30 +153,30 @@
         deadline_seconds = request_deadline_seconds(exchange, arrived_seconds)
         if isinstance(deadline_seconds, MalformedRequest):
             return Refusal(400, deadline_seconds.detail)
-        return _Head(route, caller, host, request_id, deadline_seconds)
+        return _RequestHead(route, caller, host, request_id, deadline_seconds)
 
     def _key_refusal(self, fault: KeyFault) -> Refusal:
-        """Return the refusal of a request whose key nobody holds by the table in force.
+        """Return the refusal of a request whose key is not in the table in force.
 
-        A daemon that the service does not answer may lack a key that is new: its caller would
-        not come back after a 401, and another daemon may know the key.
+        While the key-value service is unreachable, the table may lack a new key. The response is
+        then a 503, as callers do not retry after a 401.
         """
         contact = self._context.contact
         if not fault.may_be_new or not contact.is_away:
-            return Refusal(401, fault.detail, told=fault.told)
-        left_seconds = contact.outage.remaining_seconds(self._context.now_seconds())
+            return Refusal(401, fault.detail, response_text=fault.told)
+        retry_after_seconds = contact.outage.remaining_seconds(self._context.now_seconds())
         detail = f"{fault.detail}, by a table that may be old"
-        return Refusal(503, detail, left_seconds, "the key cannot be checked now")
+        return Refusal(503, detail, retry_after_seconds, "the key cannot be checked now")
 
-    def _caller(self, exchange: Exchange, route: RouteRow) -> Caller | KeyFault:
-        """Return who sends a request on a route, by the table in force."""
+    def _identify_caller(self, exchange: Exchange, route: RouteRow) -> Caller | KeyFault:
+        """Return the caller of a request by its key, or the anonymous caller on public routes."""
         tenants = self._context.tenants
         if route.is_public:
             return tenants.anybody()
         return tenants.identify(exchange.header_values(AUTHORIZATION_HEADER))
 
     async def _serve_call(
-        self, exchange: Exchange, head: _Head, body: bytes, arrived_seconds: float
+        self, exchange: Exchange, head: _RequestHead, body: bytes, arrived_seconds: float
     ) -> None:
         call = Call(
             head.request_id,
--- a/rackswitch/gateway/callers/disconnects.py
+++ b/rackswitch/gateway/callers/disconnects.py
@@ -1,4 +1,4 @@
-"""Work on a request that ends when its caller leaves."""
+"""Cancelling the work on a request when its caller disconnects."""
 
 import asyncio
 from typing import Any
@@ -9,12 +9,12 @@
 
 
 async def done_before_disconnect(exchange: Exchange, work: asyncio.Task[Any]) -> bool:
-    """Wait for work on a request; cancel it and return False if the caller goes first."""
-    gone = asyncio.create_task(exchange.wait_gone())
+    """Wait for `work`; cancel it and return False if the caller disconnects first."""
+    disconnect = asyncio.create_task(exchange.wait_gone())
     try:
-        await asyncio.wait((work, gone), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait((work, disconnect), return_when=asyncio.FIRST_COMPLETED)
     finally:
-        gone.cancel()
+        disconnect.cancel()
         if not work.done():
             work.cancel()
     if work.done():
--- a/rackswitch/gateway/callers/refusals.py
+++ b/rackswitch/gateway/callers/refusals.py
@@ -1,4 +1,4 @@
-"""Answers that this daemon gives by itself, in place of a target's."""
+"""Error responses that the daemon itself sends in place of a target's answer."""
 
 from dataclasses import dataclass
 
@@ -14,38 +14,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """That a request has not run and will not, and why.
+    """An error response to a request that has not run and will not run.
 
     Attributes
     ----------
     detail : str
-        Why, for the log.
+        The reason, for the log.
     retry_after_seconds : float or None
-        When the caller should come back, counted from the answer; None if it need not.
-    told : str
-        What the caller reads in place of the detail, if that is not for everybody.
+        Value of the `Retry-After` header; None to send none.
+    response_text : str
+        Response body in place of `detail`, where `detail` is not meant for callers.
     """
 
     status: int
     detail: str
     retry_after_seconds: float | None = None
-    told: str = ""
+    response_text: str = ""
 
 
 async def refuse(exchange: Exchange, refusal: Refusal) -> None:
-    """Answer a request with its refusal; the caller logs what decided."""
+    """Send a refusal without logging it."""
     headers: tuple[tuple[str, str], ...] = TEXT
     if refusal.status == 401:
         headers = (*headers, ("www-authenticate", "Bearer"))
     if refusal.retry_after_seconds is not None:
         headers = (*headers, ("retry-after", f"{refusal.retry_after_seconds:.3f}"))
-    await exchange.respond(refusal.status, headers, (refusal.told or refusal.detail).encode())
+    await exchange.respond(
+        refusal.status, headers, (refusal.response_text or refusal.detail).encode()
+    )
 
 
 async def refuse_before_routing(
     exchange: Exchange, context: GatewayContext, refusal: Refusal
 ) -> None:
-    """Refuse a request of which no other line tells, and log why."""
+    """Log and send a refusal for which no other event is logged."""
     context.log.write(
         RequestRefused(
             request=request_identity(exchange),
--- a/rackswitch/gateway/callers/request_dispatcher.py
+++ b/rackswitch/gateway/callers/request_dispatcher.py
@@ -1,4 +1,4 @@
-"""Serving callers: a target's whole answer to their own request, or the truth about it."""
+"""Sending calls to targets: admission, choice of the target, retries and give-up."""
 
 import asyncio
 import time
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from rackswitch.admission import LEAST_URGENT_RANK, REWARD_RANK, AdmissionRequest, PatienceEstimate
-from rackswitch.gateway.callers.call_admission import CallAdmission, NoTarget, PlacesOf
+from rackswitch.gateway.callers.call_admission import CallAdmission, NoTarget, TargetEstimateLookup
 from rackswitch.gateway.callers.target_choice import CALL_COST_TOKENS, TargetChooser
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
@@ -30,27 +30,27 @@
 __all__ = ["DispatchAnswer", "DispatchOutcome", "RequestDispatcher", "outcome_label"]
 
 MAX_REFUSALS = 8
-"""Targets that may refuse one request before it is refused itself."""
+"""Maximum number of target refusals before the request itself is refused."""
 
-PAUSE_SECONDS = 0.02
-"""Between tries while every target is full; about half a call's usual work."""
+REFUSED_RETRY_DELAY_SECONDS = 0.02
+"""Delay after a target refused a call that does not go through admission."""
 
 CALL_SMOOTHING = 0.1
-"""Weight of one call's time in the usual time of its service: some ten calls count."""
+"""Weight of one call in the moving average of its service's call time."""
 
 SLOW_CALL_FACTOR = 2.0
-"""How many times longer than usual a call may take before its target is not preferred for its open
-connection: that one may have become slow, and a draw among all leaves it sooner."""
+"""Ratio to the typical call time above which a target is no longer preferred for its open
+connection."""
 
-FIRST_CALL_SECONDS = 0.05
-"""A service's usual time before a call of it was served; about that of a look-up."""
+INITIAL_CALL_SECONDS = 0.05
+"""Typical call time of a service before its first answer."""
 
 
 DispatchOutcome = TargetAnswer | TargetStream | NotRun | MayHaveRun
 
 
 def outcome_label(outcome: DispatchOutcome) -> str:
-    """Return an outcome in a few words, for logs."""
+    """Return a short text of an outcome for logs."""
     if isinstance(outcome, NotRun):
         return f"not run: {outcome.detail}"
     if isinstance(outcome, MayHaveRun):
@@ -60,21 +60,21 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatchAnswer:
-    """What became of a request.
+    """The result of a call.
 
     Attributes
     ----------
     outcome : DispatchOutcome
         The answer, or why there is none.
     attempts : int
-        How often it was sent.
+        How many times the call was sent.
     failures : int
-        Answers of 500, by which targets themselves said that they had failed.
+        Answers with status 500.
     target : ListedTarget or None
-        Whose answer it is.
+        The target that answered.
     place : TargetEstimate or None
-        What was believed of the answering target as it was chosen; None if its service tells
-        no pace.
+        Load estimate of the answering target when it was chosen; None if the service's targets
+        report no pace.
     """
 
     outcome: DispatchOutcome
@@ -85,34 +85,34 @@
 
     @property
     def instance(self) -> str:
-        """The target whose answer it is; empty if there is none."""
+        """Instance of the target that answered; empty if none did."""
         return self.target.instance if self.target is not None else ""
 
 
 @dataclass(slots=True)
-class _Serving:
-    """One call on its way.
+class _CallState:
+    """State of one call in progress.
 
     Attributes
     ----------
     route : RouteRow
-        The route in force when the call came.
+        The route in force when the call arrived.
     deadline_seconds : float
-        When the caller, or the route, gives it up (event loop time).
+        Deadline of the caller or the route (event loop time).
     log : AttemptLog
-        Its attempts so far.
+        The attempts so far.
     as_stream : bool
-        Whether a success is returned as soon as its head is there.
+        Whether a successful answer is returned as soon as its head has been received.
     service : str
-        Whose targets may serve it.
-    want : AdmissionRequest or None
-        What it asks of the service's room; None for a call that needs not ask.
+        The service whose targets may serve the call.
+    admission_request : AdmissionRequest or None
+        The admission request; None for a call that needs no admission.
     failures : int
-        Answers of 500, by which targets themselves said that they had failed.
+        Answers with status 500.
     last_failure : (TargetAnswer, ListedTarget) or None
-        The last such answer.
-    is_in : bool
-        Whether it counts as being at the service.
+        The last answer with status 500 or above.
+    is_admitted : bool
+        Whether the call counts as in flight at the service.
     """
 
     route: RouteRow
@@ -121,55 +121,57 @@
     log: AttemptLog
     as_stream: bool
     service: str
-    want: AdmissionRequest | None
+    admission_request: AdmissionRequest | None
     failures: int = 0
     last_failure: tuple[TargetAnswer, ListedTarget] | None = None
-    is_in: bool = False
+    is_admitted: bool = False
 
     def answer(
         self,
         outcome: DispatchOutcome,
         target: ListedTarget | None = None,
-        unnoted: int = 0,
+        unlogged_attempts: int = 0,
         place: TargetEstimate | None = None,
     ) -> DispatchAnswer:
-        """Return the final answer, with the attempts so far and those not in the log."""
-        return DispatchAnswer(outcome, len(self.log.ends) + unnoted, self.failures, target, place)
+        """Return the final answer; `unlogged_attempts` are added to those in the log."""
+        return DispatchAnswer(
+            outcome, len(self.log.ends) + unlogged_attempts, self.failures, target, place
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class _Held:
-    """A request that may not be sent now.
+class _Hold:
+    """A request that the quarantine holds back.
 
     Attributes
     ----------
     refusal : NotRun or None
-        What its caller is told; None if it may have run before, so that no refusal is true.
+        The answer to the caller; None if an earlier attempt may have run.
     """
 
     refusal: NotRun | None
 
 
-def no_places(service: str) -> Sequence[TargetEstimate]:
-    """Return that nothing is known of a service's targets."""
+def no_estimates(service: str) -> Sequence[TargetEstimate]:
+    """Return no estimates, for a dispatcher without load estimates."""
     return ()
 
 
 class RequestDispatcher:
-    """Sends calls to targets, again where that is allowed and useful.
+    """Sends calls to targets and retries them where that is safe.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     chooser : TargetChooser
-        Picks targets.
+        Chooses targets.
     targets : TargetClient
-        Makes the calls.
+        Sends the HTTP requests.
     quarantine : QuarantineManager
-        Told of runs that broke off.
-    places_of : callable, optional
-        What is believed of a service's targets; nothing by default.
+        Holds back requests under which targets end.
+    estimates_of : callable, optional
+        Returns the load estimates of a service's targets; none by default.
     """
 
     __slots__ = (
@@ -179,7 +181,7 @@
         "_outages",
         "_patience",
         "_quarantine",
-        "_rooms",
+        "_service_admission",
         "_targets",
     )
 
@@ -189,19 +191,19 @@
         chooser: TargetChooser,
         targets: TargetClient,
         quarantine: QuarantineManager,
-        places_of: PlacesOf = no_places,
+        estimates_of: TargetEstimateLookup = no_estimates,
     ):
         self._quarantine = quarantine
         self._context = context
         self._chooser = chooser
         self._targets = targets
-        self._rooms = CallAdmission(context, places_of)
+        self._service_admission = CallAdmission(context, estimates_of)
         self._patience = PatienceEstimate()
         self._call_seconds: dict[str, float] = {}
         self._outages: dict[str, OutageTracker] = {}
 
     def new_log(self, route: RouteRow) -> AttemptLog:
-        """Return the record of a request's attempts, which says how many there may be."""
+        """Return a new attempt log with the limits of a route."""
         repeatable = route.handling is Handling.REPEATABLE or route.resumable
         return AttemptLog(repeatable, most_attempts=route.most_attempts, max_refusals=MAX_REFUSALS)
 
@@ -219,79 +221,81 @@
         Parameters
         ----------
         route : RouteRow
-            The route in force when the call came.
+            The route in force when the call arrived.
         call : Call
             The call.
         deadline_seconds : float
-            When the caller, or the route, gives it up (event loop time).
+            Deadline of the caller or the route (event loop time).
         log : AttemptLog
-            The request's attempts so far; a stream that goes on elsewhere brings its own.
+            The request's attempts so far; not empty for a stream that is resumed.
         as_stream : bool
-            Whether to return a success as soon as its head is there.
+            Whether to return a successful answer as soon as its head has been received.
         reward_of : str or None
             The tenant whose step waits for this reward call; None for a caller's own call.
         """
         service = self._chooser.draw_choice(route).serves
-        serving = _Serving(route, call, deadline_seconds, log, as_stream, service, None)
+        state = _CallState(route, call, deadline_seconds, log, as_stream, service, None)
         if self._context.settings.queues_calls and not as_stream:
-            serving.want = self._want(route, call, deadline_seconds, reward_of)
+            state.admission_request = self._admission_request(
+                route, call, deadline_seconds, reward_of
+            )
         try:
-            return await self._serve(serving)
+            return await self._serve(state)
         finally:
-            self._go_out(serving)
+            self._release(state)
 
-    async def _serve(self, serving: _Serving) -> DispatchAnswer:
-        while serving.log.may_begin():
-            target = await self._next_target(serving)
+    async def _serve(self, state: _CallState) -> DispatchAnswer:
+        while state.log.may_begin():
+            target = await self._next_target(state)
             if isinstance(target, NotRun):
-                return serving.answer(target)
+                return state.answer(target)
             if target is None:
                 break
-            answer = await self._try(serving, target)
+            answer = await self._try_target(state, target)
             if answer is not None:
                 return answer
-        if serving.last_failure is not None:
-            return serving.answer(*serving.last_failure)
-        return serving.answer(self._give_up(serving))
+        if state.last_failure is not None:
+            return state.answer(*state.last_failure)
+        return state.answer(self._give_up(state))
 
-    async def _next_target(self, serving: _Serving) -> ListedTarget | NotRun | None:
-        """Wait until a call may be sent and return where to; its refusal, or None for nowhere."""
-        target = self._pick(serving.service, serving.log, serving.deadline_seconds)
+    async def _next_target(self, state: _CallState) -> ListedTarget | NotRun | None:
+        """Wait until a call may be sent; return its target, its refusal, or None for no target."""
+        target = self._pick(state.service, state.log, state.deadline_seconds)
         if target is None:
             return None
-        if serving.want is not None:
-            # A request that the quarantine holds back must not take up room at the service.
-            held = await self._held(serving, may_claim=False)
-            if held is not None:
-                return held.refusal
-            refused = await self._enter(serving, serving.want)
-            if refused is not None or not serving.is_in:
-                return refused if isinstance(refused, NotRun) else None
-            # The call may have waited: choose by what is known now.
-            target = self._pick(serving.service, serving.log, serving.deadline_seconds)
+        if state.admission_request is not None:
+            # A request that is held back must not take up the service's capacity.
+            hold = await self._check_quarantine(state, may_claim=False)
+            if hold is not None:
+                return hold.refusal
+            refusal = await self._admit(state, state.admission_request)
+            if refusal is not None or not state.is_admitted:
+                return refusal if isinstance(refusal, NotRun) else None
+            # Chosen again, as the call may have waited.
+            target = self._pick(state.service, state.log, state.deadline_seconds)
             if target is None:
                 return None
-        # Asked last: this may claim a trial of the request, which must then really be sent.
-        held = await self._held(serving, may_claim=True)
-        return target if held is None else held.refusal
-
-    async def _held(self, serving: _Serving, may_claim: bool) -> _Held | None:
-        """Ask the quarantine; return how a request is held back, or None if it is not."""
-        held = await self._quarantine.admit(
-            serving.call.fingerprint, serving.deadline_seconds, may_claim
+        # Last, as this may claim a trial and the request must then be sent.
+        hold = await self._check_quarantine(state, may_claim=True)
+        return target if hold is None else hold.refusal
+
+    async def _check_quarantine(self, state: _CallState, may_claim: bool) -> _Hold | None:
+        """Return the hold on a request, or None if it may be sent."""
+        hold = await self._quarantine.admit(
+            state.call.fingerprint, state.deadline_seconds, may_claim
         )
-        if held is None:
+        if hold is None:
             return None
-        if serving.log.may_have_run:
-            return _Held(None)
-        return _Held(NotRun(NotRunReason.HELD_BACK, held.detail, held.until_seconds))
+        if state.log.may_have_run:
+            return _Hold(None)
+        return _Hold(NotRun(NotRunReason.HELD_BACK, hold.detail, hold.until_seconds))
 
-    def _want(
+    def _admission_request(
         self, route: RouteRow, call: Call, deadline_seconds: float, reward_of: str | None
     ) -> AdmissionRequest:
-        """Return what a call asks of its service's room."""
+        """Return a call's admission request."""
         now_seconds = self._context.now_seconds()
-        aim_seconds = min(deadline_seconds, now_seconds + route.goal_seconds)
+        latency_target_at_seconds = min(deadline_seconds, now_seconds + route.goal_seconds)
         is_reward = reward_of is not None
         return AdmissionRequest(
             request_id=call.request_id,
@@ -302,144 +306,149 @@
             else min(LEAST_URGENT_RANK, call.caller.rank(route.caller_class)),
             body_bytes=len(call.body),
             arrived_seconds=now_seconds,
-            # A step waits for the last of its reward calls: none has an aim of its own.
-            aim_seconds=deadline_seconds if is_reward else aim_seconds,
+            # A step waits for all of its reward calls, so a single one has no latency target.
+            aim_seconds=deadline_seconds if is_reward else latency_target_at_seconds,
             deadline_seconds=deadline_seconds,
             is_back=not is_reward
             and self._patience.is_back(route.name, deadline_seconds - now_seconds),
         )
 
-    async def _enter(self, serving: _Serving, want: AdmissionRequest) -> NotRun | NoTarget | None:
-        """Wait for room, at first or after a target had none; or spend a retry after a failure."""
-        last = serving.log.ends[-1] if serving.log.ends else None
-        if last is not None and last.may_have_run:
-            serving.is_in = self._rooms.repeat(serving.service, want)
+    async def _admit(
+        self, state: _CallState, admission_request: AdmissionRequest
+    ) -> NotRun | NoTarget | None:
+        """Admit a call: the first attempt, one after a refusal, or a retry after a failure."""
+        last_attempt = state.log.ends[-1] if state.log.ends else None
+        if last_attempt is not None and last_attempt.may_have_run:
+            state.is_admitted = self._service_admission.admit_retry(
+                state.service, admission_request
+            )
             return None
-        if last is None:
-            refused = await self._rooms.enter(serving.service, want)
+        if last_attempt is None:
+            refusal = await self._service_admission.admit(state.service, admission_request)
         else:
-            refused = await self._rooms.enter_again(serving.service, want)
-        serving.is_in = refused is None
-        if isinstance(refused, NotRun) and serving.log.may_have_run:
-            # An earlier attempt may have run, so the caller must not be told that none has.
+            refusal = await self._service_admission.readmit(state.service, admission_request)
+        state.is_admitted = refusal is None
+        if isinstance(refusal, NotRun) and state.log.may_have_run:
+            # An earlier attempt may have run, so the answer must not be `NotRun`.
             return NoTarget()
-        return refused
+        return refusal
 
-    def _go_out(self, serving: _Serving) -> None:
-        """Note that a call is no longer at its service, if it still counts as being there."""
-        if serving.is_in and serving.want is not None:
-            serving.is_in = False
-            self._rooms.ended(serving.service, serving.want)
+    def _release(self, state: _CallState) -> None:
+        """Count a call out of its service if it is still counted in."""
+        if state.is_admitted and state.admission_request is not None:
+            state.is_admitted = False
+            self._service_admission.record_end(state.service, state.admission_request)
 
-    async def _try(self, serving: _Serving, target: ListedTarget) -> DispatchAnswer | None:
-        """Send a call once; return the final answer, or None if another target may be tried."""
-        call, log = serving.call, serving.log
+    async def _try_target(self, state: _CallState, target: ListedTarget) -> DispatchAnswer | None:
+        """Send a call once; return the final answer, or None if it may be sent again."""
+        call, log = state.call, state.log
         log.begin()
-        place = self._chooser.load(target).place
-        began_seconds = self._context.now_seconds()
+        estimate = self._chooser.target_state(target).place
+        started_at_seconds = self._context.now_seconds()
         sent_at_unix_seconds = time.time()
         try:
             result = await self._attempt(
-                serving.route, call, target, log, serving.deadline_seconds, serving.as_stream
+                state.route, call, target, log, state.deadline_seconds, state.as_stream
             )
         except asyncio.CancelledError:
-            # The caller has left, and the target was probably at work.
-            self._note_begin(call, log, sent_at_unix_seconds)
+            # The caller disconnected; the target has probably begun the request.
+            self._record_begin(call, log, sent_at_unix_seconds)
             raise
         if not isinstance(result, TargetFailed) or result.may_have_run:
             streams = isinstance(result, TargetStream)
-            self._note_begin(call, log, time.time() if streams else sent_at_unix_seconds)
-        self._note_room(serving, target, result, began_seconds)
+            self._record_begin(call, log, time.time() if streams else sent_at_unix_seconds)
+        self._record_admission_end(state, target, result, started_at_seconds)
         if isinstance(result, TargetAnswer):
             self._quarantine.answered(call.fingerprint)
         if isinstance(result, TargetFailed):
-            self._note_failure(call, target, log, result, began_seconds)
-            if serving.want is None and not result.may_have_run and not result.silent:
-                await asyncio.sleep(PAUSE_SECONDS)
+            self._record_failure(call, target, log, result, started_at_seconds)
+            if state.admission_request is None and not result.may_have_run and not result.silent:
+                await asyncio.sleep(REFUSED_RETRY_DELAY_SECONDS)
             return None
         if isinstance(result, TargetStream) or result.status < 500 or not log.repeatable:
-            return serving.answer(result, target, unnoted=1, place=place)
-        serving.failures += result.status == 500
-        serving.last_failure = (result, target)
+            return state.answer(result, target, unlogged_attempts=1, place=estimate)
+        state.failures += result.status == 500
+        state.last_failure = (result, target)
         log.note(AttemptEnd(target.instance, True, f"status {result.status}"))
         return None
 
-    def _note_room(
+    def _record_admission_end(
         self,
-        serving: _Serving,
+        state: _CallState,
         target: ListedTarget,
         result: TargetAnswer | TargetStream | TargetFailed,
-        began_seconds: float,
+        started_at_seconds: float,
     ) -> None:
-        """Tell the service's room how an attempt ended; the call is no longer there."""
-        want = serving.want
-        if want is None:
+        """Record the end of an attempt in the service's admission state."""
+        admission_request = state.admission_request
+        if admission_request is None:
             return
-        serving.is_in = False
+        state.is_admitted = False
         if not isinstance(result, TargetFailed):
-            took_seconds = self._context.now_seconds() - began_seconds
-            self._rooms.answered(serving.service, want, target.instance, took_seconds)
+            took_seconds = self._context.now_seconds() - started_at_seconds
+            self._service_admission.record_answer(
+                state.service, admission_request, target.instance, took_seconds
+            )
         elif result.may_have_run or result.silent or result.not_there:
-            self._rooms.ended(serving.service, want)
+            self._service_admission.record_end(state.service, admission_request)
         else:
-            self._rooms.not_begun(serving.service, want)
+            self._service_admission.record_refusal(state.service, admission_request)
 
-    def _note_begin(self, call: Call, log: AttemptLog, at_unix_seconds: float) -> None:
-        """Count a request once, by its first beginning at a target, whatever is repeated of it.
+    def _record_begin(self, call: Call, log: AttemptLog, at_unix_seconds: float) -> None:
+        """Count a request for the usage report when it first begins at a target.
 
-        An attempt without an answer counts: it has more probably begun than not.
+        An attempt without an answer counts, as it may have begun. Retries don't count.
         """
         if log.began_at_unix_seconds is None:
             log.began_at_unix_seconds = at_unix_seconds
             if call.caller.tenant:
                 self._context.usage.began(call.caller.tenant, at_unix_seconds)
 
-    def stream_ended(self, call: Call) -> None:
-        """Note that a stream came to its end."""
+    def record_stream_end(self, call: Call) -> None:
+        """Record that a stream ended normally."""
         self._quarantine.answered(call.fingerprint)
 
-    def stream_broke(self, call: Call, target: ListedTarget) -> None:
-        """Note that a stream broke off after its head."""
+    def record_stream_failure(self, call: Call, target: ListedTarget) -> None:
+        """Record that a stream was interrupted after its head."""
         self._quarantine.broke(call.fingerprint(), target)
 
-    def usable_count(self, route: RouteRow) -> int:
-        """Return how many targets of a route's services could be used now."""
+    def usable_target_count(self, route: RouteRow) -> int:
+        """Return how many targets of a route's services are usable now."""
         now_seconds = self._context.now_seconds()
         directory = self._context.directory
         return sum(len(directory.usable(choice.serves, now_seconds)) for choice in route.choices)
 
     def _pick(self, service: str, log: AttemptLog, deadline_seconds: float) -> ListedTarget | None:
-        """Return a target; None if there is none or the request's time is over.
+        """Return a target; None if there is none or the deadline has passed.
 
-        A caller whose request nobody can take is told so at once and comes back when somebody
-        probably can, in place of waiting here without an outcome.
+        Without a usable target the call is refused at once, with a retry time.
         """
         now_seconds = self._context.now_seconds()
         if now_seconds >= deadline_seconds:
             return None
         target = self._chooser.pick(service, log.tried_targets())
         if target is None and log.ends and (log.repeatable or not log.may_have_run):
-            # All usable ones have been tried: one of those again is better than none.
+            # All usable targets were tried: try one of them again.
             target = self._chooser.pick(service, set())
         outage = self._outages.setdefault(service, OutageTracker())
         if target is None and not log.ends:
             outage.missing(now_seconds)
             if self._context.settings.queues_calls:
-                self._rooms.no_target(service)
+                self._service_admission.record_no_target(service)
         elif target is not None:
             outage.there(now_seconds)
         return target
 
-    def _note_failure(
+    def _record_failure(
         self,
         call: Call,
         target: ListedTarget,
         log: AttemptLog,
         failure: TargetFailed,
-        began_seconds: float,
+        started_at_seconds: float,
     ) -> None:
-        """Learn from an attempt without an answer, log it and add it to the request's."""
-        self._chooser.note_failure(target, failure)
+        """Record an attempt without an answer: target state, quarantine, event and attempt log."""
+        self._chooser.record_failure(target, failure)
         fingerprint = call.fingerprint() if failure.may_have_run else ""
         if fingerprint:
             self._quarantine.broke(fingerprint, target)
@@ -453,7 +462,7 @@
                 attempt=len(log.ends) + 1,
                 may_have_run=failure.may_have_run,
                 detail=failure.detail,
-                attempt_seconds=round(self._context.now_seconds() - began_seconds, 4),
+                attempt_seconds=round(self._context.now_seconds() - started_at_seconds, 4),
                 list_age_seconds=self._context.list_age_seconds(),
                 fingerprint=fingerprint,
             )
@@ -469,50 +478,50 @@
         deadline_seconds: float,
         as_stream: bool,
     ) -> TargetAnswer | TargetStream | TargetFailed:
-        load = self._chooser.load(target)
+        target_state = self._chooser.target_state(target)
         until_seconds = attempt_deadline_seconds(
             log, route.goal_seconds, deadline_seconds, self._context.now_seconds()
         )
         fresh_connection = not log.repeatable
-        began_seconds = self._context.now_seconds()
-        load.begin(CALL_COST_TOKENS, ())
-        sent = self._chooser.sent(target)
+        started_at_seconds = self._context.now_seconds()
+        target_state.begin(CALL_COST_TOKENS, ())
+        sent_request = self._chooser.record_send(target)
         result: TargetAnswer | TargetStream | TargetFailed | None = None
         try:
             send = self._targets.open_stream if as_stream else self._targets.forward
             result = await send(target, call, until_seconds, fresh_connection)
         finally:
-            load.end(CALL_COST_TOKENS)
-            self._chooser.ended(sent, result)
+            target_state.end(CALL_COST_TOKENS)
+            self._chooser.record_end(sent_request, result)
         if not isinstance(result, TargetFailed) and result.status < 500:
-            load.succeeded(0, 0.0)
-            took_seconds = self._context.now_seconds() - began_seconds
-            usual_seconds = self._note_call_time(target.service, took_seconds)
-            if not fresh_connection and took_seconds <= SLOW_CALL_FACTOR * usual_seconds:
-                load.at_hand_until_seconds = began_seconds + self._targets.kept_seconds
+            target_state.succeeded(0, 0.0)
+            took_seconds = self._context.now_seconds() - started_at_seconds
+            typical_seconds = self._record_call_time(target.service, took_seconds)
+            if not fresh_connection and took_seconds <= SLOW_CALL_FACTOR * typical_seconds:
+                target_state.at_hand_until_seconds = started_at_seconds + self._targets.kept_seconds
             else:
-                load.at_hand_until_seconds = 0.0
+                target_state.at_hand_until_seconds = 0.0
         return result
 
-    def _note_call_time(self, service: str, took_seconds: float) -> float:
-        """Take in how long a call took; return how long one usually takes."""
-        usual_seconds = self._call_seconds.get(service, FIRST_CALL_SECONDS)
-        usual_seconds += CALL_SMOOTHING * (took_seconds - usual_seconds)
-        self._call_seconds[service] = usual_seconds
-        return usual_seconds
+    def _record_call_time(self, service: str, took_seconds: float) -> float:
+        """Record how long a call took; return the service's typical call time."""
+        typical_seconds = self._call_seconds.get(service, INITIAL_CALL_SECONDS)
+        typical_seconds += CALL_SMOOTHING * (took_seconds - typical_seconds)
+        self._call_seconds[service] = typical_seconds
+        return typical_seconds
 
-    def _give_up(self, serving: _Serving) -> NotRun | MayHaveRun:
-        log, service = serving.log, serving.service
-        rank = serving.call.caller.rank(serving.route.caller_class)
+    def _give_up(self, state: _CallState) -> NotRun | MayHaveRun:
+        log, service = state.log, state.service
+        rank = state.call.caller.rank(state.route.caller_class)
         now_seconds = self._context.now_seconds()
         if log.may_have_run:
             return log.give_up(now_seconds)
         if log.ends:
-            # Targets are there and full: one of them is through with a call after its usual time.
+            # All targets are full: one of them is free after about the typical call time.
             detail = log.ends[-1].detail
-            base_seconds = self._call_seconds.get(service, FIRST_CALL_SECONDS)
+            base_seconds = self._call_seconds.get(service, INITIAL_CALL_SECONDS)
         else:
-            detail = f"no target of {service!r} can be had"
+            detail = f"no target of {service!r} is usable"
             outage = self._outages.setdefault(service, OutageTracker())
             base_seconds = outage.remaining_seconds(now_seconds)
         draw = self._context.rng.random()
--- a/rackswitch/gateway/callers/stream_relay.py
+++ b/rackswitch/gateway/callers/stream_relay.py
@@ -1,4 +1,4 @@
-"""Passing a stream on to its caller, and going on elsewhere when it breaks off."""
+"""Forwarding a stream to its caller and resuming it at another target if it is interrupted."""
 
 from collections.abc import AsyncGenerator
 
@@ -13,47 +13,47 @@
 
 
 class StreamRelay:
-    """One caller's stream over one or more targets.
+    """One caller's stream, from one target or several in succession.
 
-    The answer keeps the head of its first target. Where the route allows it, a stream that
-    breaks goes on at another target after the last event that was passed on whole; events
-    are therefore passed on whole only.
+    The caller receives the first target's head. Where the route allows it, an interrupted stream
+    is resumed at another target after the last event that was forwarded; only complete events are
+    forwarded.
 
     Parameters
     ----------
-    front : RequestDispatcher
-        Finds the next target.
+    dispatcher : RequestDispatcher
+        Opens the stream at the next target.
     route : RouteRow
         The route of the call.
     call : Call
         The call.
     deadline_seconds : float
-        When the request is given up (event loop time).
+        Deadline of the request (event loop time).
     log : AttemptLog
         The request's attempts so far.
 
     Attributes
     ----------
-    resumed : int
-        How often the stream went on at another target.
+    resume_count : int
+        How many times the stream was resumed at another target.
     """
 
-    __slots__ = ("_call", "_deadline_seconds", "_front", "_log", "_route", "resumed")
+    __slots__ = ("_call", "_deadline_seconds", "_dispatcher", "_log", "_route", "resume_count")
 
     def __init__(
         self,
-        front: RequestDispatcher,
+        dispatcher: RequestDispatcher,
         route: RouteRow,
         call: Call,
         deadline_seconds: float,
         log: AttemptLog,
     ):
-        self._front = front
+        self._dispatcher = dispatcher
         self._route = route
         self._call = call
         self._deadline_seconds = deadline_seconds
         self._log = log
-        self.resumed = 0
+        self.resume_count = 0
 
     async def pieces(
         self, stream: TargetStream, target: ListedTarget
@@ -63,38 +63,39 @@
         Raises
         ------
         ConnectionError
-            If it breaks off and cannot go on; the caller must not take it for whole.
+            If the stream is interrupted and cannot be resumed. The response must then be aborted,
+            so that the caller does not take it for complete.
         """
         if not self._route.resumable:
             try:
                 async for data in stream.pieces:
                     yield data
             except ConnectionError:
-                self._front.stream_broke(self._call, target)
+                self._dispatcher.record_stream_failure(self._call, target)
                 raise
-            self._front.stream_ended(self._call)
+            self._dispatcher.record_stream_end(self._call)
             return
-        cutter = EventSplitter()
+        splitter = EventSplitter()
         while True:
             detail = "the stream ended inside an event"
             try:
                 async for data in stream.pieces:
-                    for event in cutter.feed(data):
+                    for event in splitter.feed(data):
                         yield event
-                if cutter.is_between_events:
-                    self._front.stream_ended(self._call)
+                if splitter.is_between_events:
+                    self._dispatcher.record_stream_end(self._call)
                     return
             except ConnectionError as error:
                 detail = str(error)
             finally:
                 stream.close()
-            cutter.drop_part()
-            self._front.stream_broke(self._call, target)
+            splitter.drop_part()
+            self._dispatcher.record_stream_failure(self._call, target)
             self._log.note(AttemptEnd(target.instance, True, detail))
-            stream, target = await self._go_on(cutter.last_number, detail)
+            stream, target = await self._resume(splitter.last_number, detail)
 
-    async def _go_on(self, last_number: str, detail: str) -> tuple[TargetStream, ListedTarget]:
-        answer = await self._front.call(
+    async def _resume(self, last_number: str, detail: str) -> tuple[TargetStream, ListedTarget]:
+        answer = await self._dispatcher.call(
             self._route,
             resumed_after(self._call, last_number),
             self._deadline_seconds,
@@ -102,6 +103,6 @@
             as_stream=True,
         )
         if not isinstance(answer.outcome, TargetStream) or answer.target is None:
-            raise ConnectionError(f"{detail}, and it cannot go on elsewhere")
-        self.resumed += 1
+            raise ConnectionError(f"{detail}; the stream could not be resumed at another target")
+        self.resume_count += 1
         return answer.outcome, answer.target
--- a/rackswitch/gateway/callers/target_choice.py
+++ b/rackswitch/gateway/callers/target_choice.py
@@ -1,4 +1,4 @@
-"""Choosing a target for a call, and learning from how it went."""
+"""Choosing targets for calls and recording the results in the load estimates."""
 
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.requests import TargetAnswer, TargetFailed, TargetStream
@@ -16,21 +16,21 @@
 
 __all__ = ["CALL_COST_TOKENS", "TargetChooser"]
 
-POLICY = "at_hand"
-"""Calls of plain services are short and alike, and a new connection costs more than a queue."""
+DEFAULT_POLICY = "at_hand"
+"""Prefers targets with an open connection: a new one costs more than a short queue."""
 
-POLICY_BY_WORDS = "nearly_best"
-"""For services that are placed by what their targets tell of their load."""
+REPORTED_LOAD_POLICY = "nearly_best"
+"""For services whose targets are chosen by their reported load."""
 
 CONNECT_SECONDS = 0.001
-"""What a new connection takes besides one more way there and back."""
+"""Time to open a connection, besides its network round trip."""
 
 CALL_COST_TOKENS = 20.0
-"""A plain call's weight in the load estimates, as in the stand-alone deployment."""
+"""Weight of a call in a target's load."""
 
 
 class TargetChooser:
-    """Applies a routing policy to the listed targets.
+    """Applies a routing policy to the usable targets of a service.
 
     Parameters
     ----------
@@ -38,22 +38,22 @@
         The daemon.
     """
 
-    __slots__ = ("_by_words", "_context", "_policy")
+    __slots__ = ("_by_load", "_context", "_policy")
 
     def __init__(self, context: GatewayContext):
         self._context = context
-        self._policy = POLICIES.get(POLICY)(context.rng)
-        self._by_words = POLICIES.get(POLICY_BY_WORDS)(context.rng)
+        self._policy = POLICIES.get(DEFAULT_POLICY)(context.rng)
+        self._by_load = POLICIES.get(REPORTED_LOAD_POLICY)(context.rng)
 
     def draw_choice(self, route: RouteRow) -> RouteChoice:
-        """Draw by weight among a route's choices."""
+        """Choose one of a route's choices at random, by weight."""
         weights = [choice.weight for choice in route.choices]
         if len(weights) == 1 or sum(weights) <= 0:
             return route.choices[0]
         return self._context.rng.choices(route.choices, weights)[0]
 
     def pick(self, service: str, tried: set[str]) -> ListedTarget | None:
-        """Return a target of a service that was not tried yet, or None."""
+        """Return a target of a service that is not in `tried`, or None."""
         now_seconds = self._context.now_seconds()
         listed = {
             entry.instance: entry
@@ -64,84 +64,84 @@
             return None
         targets = [self._context.targets[instance] for instance in listed]
         if self._context.places_by_load(service):
-            return listed[self._choose_by_words(service, listed, targets, now_seconds).name]
+            return listed[self._choose_by_load(service, listed, targets, now_seconds).name]
         routed = RoutedRequest(0.0, CALL_COST_TOKENS, (), now_seconds)
         chosen = self._policy.choose(routed, usable_targets(targets, now_seconds))
         return listed[chosen.name]
 
-    def _choose_by_words(
+    def _choose_by_load(
         self,
         service: str,
         listed: dict[str, ListedTarget],
         targets: list[Target],
         now_seconds: float,
     ) -> Target:
-        """Return the target for a call of a service that is placed by load."""
+        """Return a target of a service whose targets are chosen by reported load."""
         usable = usable_targets(targets, now_seconds)
         for target in usable:
-            target.place = self._place(listed[target.name], target, now_seconds)
+            target.place = self._estimate(listed[target.name], target, now_seconds)
         run_seconds = self._context.load_estimator.usual_run_seconds(service, WorkKind.CALL)
         routed = RoutedRequest(0.0, CALL_COST_TOKENS, (), now_seconds, run_seconds)
-        return self._by_words.choose(routed, usable)
+        return self._by_load.choose(routed, usable)
 
-    def _place(self, listed: ListedTarget, target: Target, now_seconds: float) -> TargetEstimate:
-        """Return what a place for a call is worth at a target."""
-        is_at_hand = target.is_at_hand(now_seconds)
+    def _estimate(self, listed: ListedTarget, target: Target, now_seconds: float) -> TargetEstimate:
+        """Return the load estimate of a target for one call."""
+        has_open_connection = target.is_at_hand(now_seconds)
         arrival_seconds = 2 * target.one_way_seconds
-        if not is_at_hand:
+        if not has_open_connection:
             arrival_seconds += 2 * target.one_way_seconds + CONNECT_SECONDS
         return self._context.load_estimator.place(
-            listed, WorkKind.CALL, 1.0, now_seconds, arrival_seconds, is_at_hand
+            listed, WorkKind.CALL, 1.0, now_seconds, arrival_seconds, has_open_connection
         )
 
     def places(self, service: str) -> list[TargetEstimate]:
-        """Return what is believed of a service's targets; nothing if it is not placed by load."""
+        """Return the estimates of a service's targets; none if they are not chosen by load."""
         if not self._context.places_by_load(service):
             return []
         now_seconds = self._context.now_seconds()
         return [
-            self._place(listed, self.load(listed), now_seconds)
+            self._estimate(listed, self.target_state(listed), now_seconds)
             for listed in self._context.directory.usable(service, now_seconds)
         ]
 
-    def sent(self, target: ListedTarget) -> SentRequest:
-        """Count a call in that is sent to a target now."""
+    def record_send(self, target: ListedTarget) -> SentRequest:
+        """Record that a call is sent to a target now."""
         now_seconds = self._context.now_seconds()
-        load = self.load(target)
-        place = load.place or self._place(target, load, now_seconds)
-        return self._context.load_estimator.sent(target, WorkKind.CALL, place, now_seconds)
+        target_state = self.target_state(target)
+        estimate = target_state.place or self._estimate(target, target_state, now_seconds)
+        return self._context.load_estimator.sent(target, WorkKind.CALL, estimate, now_seconds)
 
-    def ended(
-        self, sent: SentRequest, result: TargetAnswer | TargetStream | TargetFailed | None
+    def record_end(
+        self, sent_request: SentRequest, result: TargetAnswer | TargetStream | TargetFailed | None
     ) -> None:
-        """Count a call out and learn from its result; None if its caller left."""
+        """Record the end of a call; `result` is None if the caller disconnected."""
         load_estimator = self._context.load_estimator
-        load_estimator.done(sent, goes_on=isinstance(result, TargetStream))
+        load_estimator.done(sent_request, goes_on=isinstance(result, TargetStream))
         now_seconds = self._context.now_seconds()
         if result is None:
-            load_estimator.given_up(sent, now_seconds)
+            load_estimator.given_up(sent_request, now_seconds)
         if not isinstance(result, TargetAnswer):
             return
         if result.status < 400:
-            load_estimator.worked(sent, 1.0, now_seconds)
+            load_estimator.worked(sent_request, 1.0, now_seconds)
         elif result.status >= 500:
-            load_estimator.failed(sent.start, now_seconds)
-        # What is wrong with a request shows at once, and tells nothing of the target.
+            load_estimator.failed(sent_request.start, now_seconds)
+        # A client error is answered at once and says nothing about the target's speed.
 
-    def load(self, target: ListedTarget) -> Target:
-        """Return what is known of a target's load."""
+    def target_state(self, target: ListedTarget) -> Target:
+        """Return the load, speed and health of a target."""
         return self._context.targets[target.instance]
 
-    def note_failure(self, target: ListedTarget, failure: TargetFailed) -> None:
-        """Learn from a call without an answer."""
-        load = self.load(target)
+    def record_failure(self, target: ListedTarget, failure: TargetFailed) -> None:
+        """Record a call without an answer."""
+        target_state = self.target_state(target)
         now_seconds = self._context.now_seconds()
         if failure.not_there:
             self._context.directory.disown(target.instance)
         elif failure.silent:
-            load.went_silent(now_seconds)
+            target_state.went_silent(now_seconds)
         elif failure.may_have_run:
-            load.failed(now_seconds)
+            target_state.failed(now_seconds)
             self._context.load_estimator.failed(target.start, now_seconds)
         else:
             self._context.load_estimator.refused(target.start, now_seconds)
--- a/rackswitch/gateway/callers/tests/test_path_requests.py
+++ b/rackswitch/gateway/callers/tests/test_path_requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests on the whole path, on loopback."""
+"""Callers' requests through daemons and targets on loopback."""
 
 import asyncio
 import os
@@ -15,7 +15,7 @@
 from rackswitch.telemetry.events import RequestRefused
 
 
-def test_a_request_and_its_answer_pass_through_unchanged():
+def test_forwards_a_request_and_its_answer_unchanged():
     async def scenario(fleet):
         status, headers, body = await fleet.request(
             "d0", "POST", "/look/a%2Fb?x=1&y=%20", b"hello", "r1", {"X-Own": "kept"}
@@ -30,7 +30,7 @@
     play(scenario)
 
 
-def test_bad_requests_get_the_status_that_names_the_fault_and_run_nothing():
+def test_bad_requests_are_refused_with_the_matching_status():
     async def scenario(fleet):
         async def status(*args, **kwargs):
             return (await fleet.request("d0", *args, **kwargs))[0]
@@ -43,8 +43,8 @@
         assert await status("GET", "/look/x", headers={"X-Long": "x" * 5000}) == 431
         assert await status("POST", "/jobs/new", b"{") == 400
         assert await status("POST", "/jobs/new", b'{"items":[]}') == 400
-        twice = b'{"items":[{"id":"a","path":"/jobs/1"},{"id":"a","path":"/jobs/2"}]}'
-        assert await status("POST", "/jobs/new", twice) == 400
+        duplicate_ids = b'{"items":[{"id":"a","path":"/jobs/1"},{"id":"a","path":"/jobs/2"}]}'
+        assert await status("POST", "/jobs/new", duplicate_ids) == 400
         encoding = b'{"items":[{"id":"a","path":"/jobs/1","body":"!"}]}'
         assert await status("POST", "/jobs/new", encoding) == 400
         assert await status("GET", "/rackswitch/lots/none?since_rev=x") == 400
@@ -56,43 +56,43 @@
     play(scenario)
 
 
-def test_a_refusal_is_true_prompt_and_tells_when_to_come_back():
+def test_a_refusal_is_immediate_and_has_a_retry_time():
     async def scenario(fleet):
         for service in fleet.services:
             service.faults.refuse = True
-        began = asyncio.get_running_loop().time()
+        started_at_seconds = asyncio.get_running_loop().time()
         status, headers, _ = await fleet.request("d0", "POST", "/lodge/1", b"b")
         assert status == 503
         assert float(headers["Retry-After"]) > 0
-        assert asyncio.get_running_loop().time() - began < 0.7
+        assert asyncio.get_running_loop().time() - started_at_seconds < 0.7
         assert not any(service.runs for service in fleet.services)
 
     play(scenario)
 
 
-def test_a_request_that_nobody_can_take_is_refused_at_once():
+def test_a_request_without_a_usable_target_is_refused_at_once():
     async def scenario(fleet):
         for service in fleet.services:
             await service.crash()
         gateway = fleet.gateways["d0"]
-        listed = gateway.context.directory
-        await wait_for(lambda: not listed.usable("desk", gateway.context.now_seconds()))
+        directory = gateway.context.directory
+        await wait_for(lambda: not directory.usable("desk", gateway.context.now_seconds()))
         now_seconds = gateway.context.now_seconds()
         route = gateway.context.routes.find(HOST, "/look/x")
         call = Call("r1", HOST, "GET", "/look/x", (), b"")
         log = gateway.front.new_log(route)
-        serving = gateway.front.call(route, call, now_seconds + 5.0, log)
-        # It waits for nothing: the first step is the last.
-        with pytest.raises(StopIteration) as ended:
-            serving.send(None)
-        outcome = ended.value.value.outcome
+        coroutine = gateway.front.call(route, call, now_seconds + 5.0, log)
+        # The coroutine returns at its first step, without waiting.
+        with pytest.raises(StopIteration) as stopped:
+            coroutine.send(None)
+        outcome = stopped.value.value.outcome
         assert outcome.reason is NotRunReason.NO_TARGET
         assert outcome.retry_at_seconds > now_seconds
 
     play(scenario)
 
 
-def test_a_repeatable_request_moves_on_from_a_mute_target():
+def test_retries_a_repeatable_request_at_another_target_after_a_timeout():
     async def scenario(fleet):
         fleet.services[0].faults.mute = True
         for number in range(4):
@@ -102,7 +102,7 @@
     play(scenario)
 
 
-def test_a_request_that_may_not_be_repeated_runs_once_and_is_not_called_unrun():
+def test_a_request_that_may_not_be_repeated_runs_once_and_is_not_reported_as_not_run():
     async def scenario(fleet):
         for service in fleet.services:
             service.faults.mute = True
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("fault", ["foreign", "encoded"])
-def test_an_answer_that_is_not_the_targets_own_is_not_passed_on(fault):
+def test_an_answer_that_is_not_the_targets_own_is_not_forwarded(fault):
     async def scenario(fleet):
         setattr(fleet.services[0].faults, fault, True)
         setattr(fleet.services[1].faults, fault, True)
@@ -125,7 +125,7 @@
     play(scenario)
 
 
-def test_a_target_that_drains_gets_nothing_new():
+def test_a_draining_target_receives_no_new_requests():
     async def scenario(fleet):
         fleet.services[0].list_itself("draining")
         directories = [gateway.context.directory for gateway in fleet.gateways.values()]
@@ -138,9 +138,8 @@
     play(scenario)
 
 
-def test_a_stream_that_keeps_breaking_runs_on_no_more_targets_than_its_route_allows():
-    # Found by a test that failed now and then: a stream that went on elsewhere forgot its
-    # earlier attempts.
+def test_interrupted_streams_count_against_the_attempt_limit():
+    # A resumed stream has to keep the attempt log of the streams before it.
     async def scenario(fleet):
         state = desired_state(2)
         state["routes"][0] |= {"service": "engines", "streaming": True, "resumable": True}
@@ -167,7 +166,7 @@
 
 
 @pytest.mark.parametrize("resumable", [True, False])
-def test_a_callers_stream_goes_on_elsewhere_only_where_the_route_allows_it(resumable):
+def test_a_callers_stream_is_resumed_only_where_the_route_allows_it(resumable):
     async def scenario(fleet):
         state = desired_state(2)
         state["routes"][0] |= {"service": "engines", "streaming": True, "resumable": resumable}
@@ -179,14 +178,14 @@
         fleet.engines[0].faults.break_after = 3
         fleet.engines[1].faults.break_after = 4
         model = {"X-Rackswitch-Model": "m0"}
-        whole = "".join(f"id: {n}\ndata: piece {n}\n\n" for n in range(1, 8))
+        full_body = "".join(f"id: {n}\ndata: piece {n}\n\n" for n in range(1, 8))
         if not resumable:
             with pytest.raises(aiohttp.ClientPayloadError):
                 await fleet.request("d0", "POST", "/look/s", b"7", "r1", model)
             assert runs_of(fleet.engines, "r1") == 1
             return
         status, headers, body = await fleet.request("d0", "POST", "/look/s", b"7", "r1", model)
-        assert (status, body.decode()) == (200, whole)
+        assert (status, body.decode()) == (200, full_body)
         runs = [run for engine in fleet.engines for run in engine.runs]
         assert sorted(run.last_event_id or "" for run in runs)[0] == ""
         assert len(runs) == 2, runs
@@ -194,9 +193,8 @@
     play(scenario)
 
 
-def test_every_refusal_has_a_line_that_names_the_request():
-    # Found by explaining requests of played days: the 503 of a daemon that knows no table
-    # yet had none.
+def test_every_refusal_is_logged_with_its_request():
+    # Includes the 503 of a daemon that has no table yet.
     async def scenario(fleet):
         reader, writer = os.pipe()
         gateway = await fleet.start_gateway("d9", writer)
--- a/rackswitch/gateway/quarantine/__init__.py
+++ b/rackswitch/gateway/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Holding back requests that end the targets that run them."""
+"""Quarantine of requests under which targets end."""
--- a/rackswitch/gateway/quarantine/end_detector.py
+++ b/rackswitch/gateway/quarantine/end_detector.py
@@ -1,4 +1,4 @@
-"""Asking after targets at which runs broke off."""
+"""Probing targets at which runs failed, to find out whether they ended."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,19 +11,19 @@
 
 __all__ = ["EndDetector"]
 
-LOOK_TIMEOUT_SECONDS = 0.5
-"""A new connection takes 1 ms and two network delays; a lost packet is sent again after 1 s."""
+PROBE_TIMEOUT_SECONDS = 0.5
+"""Shorter than the first TCP retransmission, 1 s."""
 
 
 class EndDetector:
-    """Finds out which targets have ended under runs of this daemon.
+    """Finds out which targets ended under runs of this daemon.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     on_ended : callable
-        Told of each end, with what broke there.
+        Called with each end and the runs that failed there.
     """
 
     __slots__ = ("_context", "_on_ended", "inquiries", "resolved")
@@ -33,36 +33,38 @@
         self._on_ended = on_ended
         self.inquiries = EndInvestigations()
         self.resolved = asyncio.Event()
-        """Set when an inquiry is over, and replaced then."""
+        """Set when an investigation is closed, and then replaced by a new event."""
 
     def broke(self, fingerprint: str, target: ListedTarget) -> None:
-        """Note that a run of a request broke off at a target.
+        """Record a failed run and investigate its target.
 
-        One that is leaving ends as planned, with whatever it still runs, and nobody is to blame.
+        A draining or unlisted target is ignored, as its end is planned.
         """
         listed = self._context.directory.entries.get(target.instance)
         if listed is None or listed.draining:
             return
         now_seconds = self._context.now_seconds()
         if self.inquiries.broke(target.start, fingerprint, now_seconds):
-            self._context.daemon.spawn(self._inquire(target))
+            self._context.daemon.spawn(self._investigate(target))
 
     def ended(self, start: str, evidence: EndEvidence) -> None:
-        """Note that the platform's list shows the end of a target."""
-        self._tell(self.inquiries.ended(start, evidence))
+        """Record that the platform's list shows the end of a target."""
+        self._report(self.inquiries.ended(start, evidence))
 
-    async def _inquire(self, target: ListedTarget) -> None:
+    async def _investigate(self, target: ListedTarget) -> None:
         while self.inquiries.is_open(target.start):
-            began_seconds = self._context.now_seconds()
-            look = await look_at(target.host, target.port, LOOK_TIMEOUT_SECONDS)
+            probed_at_seconds = self._context.now_seconds()
+            outcome = await look_at(target.host, target.port, PROBE_TIMEOUT_SECONDS)
             now_seconds = self._context.now_seconds()
-            self._tell(self.inquiries.looked(target.start, look, began_seconds, now_seconds))
+            self._report(
+                self.inquiries.looked(target.start, outcome, probed_at_seconds, now_seconds)
+            )
             if self.inquiries.is_open(target.start):
                 await asyncio.sleep(LOOK_PAUSE_SECONDS)
         self.resolved.set()
         self.resolved = asyncio.Event()
 
-    def _tell(self, end: TargetEnd | None) -> None:
+    def _report(self, end: TargetEnd | None) -> None:
         if end is None:
             return
         self._context.log.write(
--- a/rackswitch/gateway/quarantine/quarantine_manager.py
+++ b/rackswitch/gateway/quarantine/quarantine_manager.py
@@ -1,4 +1,4 @@
-"""Holding back requests under which targets end, at this daemon."""
+"""Decides at this daemon which requests are held back because targets end under them."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 from rackswitch.clients.kv import Compare, KvEntry, KvUnavailable, Operation, TxnPart
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.quarantine.end_detector import EndDetector
-from rackswitch.gateway.quarantine.end_reporter import ENDS_PREFIX, EndReporter, Urgency
+from rackswitch.gateway.quarantine.end_reporter import ENDS_PREFIX, EndReporter, ReportUrgency
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.quarantine import (
     EndRecord,
@@ -27,28 +27,28 @@
 from rackswitch.routing import ListedTarget
 from rackswitch.telemetry.events import RequestAcquitted, RequestHeldBack, TrialClaimed
 
-__all__ = ["TRIALS_PREFIX", "QuarantineManager", "RequestHeld"]
+__all__ = ["TRIALS_PREFIX", "HeldRequest", "QuarantineManager"]
 
 TRIALS_PREFIX = "control/trials/"
 
-UNCLAIMED_PAUSE_SECONDS = 1.0
-"""When to come back for a trial that could not be claimed: another daemon has it, or the service
-is away, and the next look at this daemon's copy tells which."""
+UNCLAIMED_RETRY_DELAY_SECONDS = 1.0
+"""Retry delay after a trial could not be claimed: another daemon has claimed it, or the key-value
+service is unreachable."""
 
-PACED_PAUSE_SECONDS = 0.2
-"""When to come back if it was not known in time what became of other targets."""
+PACED_RETRY_DELAY_SECONDS = 0.2
+"""Retry delay if the fate of other targets was not known in time."""
 
-MAX_GIVEN_BACK = 256
+MAX_FREED_TRIALS = 256
 
 
 @dataclass(frozen=True, slots=True)
-class RequestHeld:
+class HeldRequest:
     """A request that must not be sent now.
 
     Attributes
     ----------
     until_seconds : float
-        From when it is worth another try (monotonic).
+        When it may be retried (monotonic).
     """
 
     detail: str
@@ -56,115 +56,117 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Trials:
+class _ClaimedTrials:
     record: TrialRecord
     revision: int
 
 
 class QuarantineManager:
-    """Asked before each send of a request, and told how each ended.
+    """Admits each send of a request and records its result.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    copies_complete : callable
-        Whether this daemon knows what all daemons have told.
+    entries_complete : callable
+        Whether this daemon has read the records of all daemons.
 
     Attributes
     ----------
     watch : EndDetector
-        Finds out which targets have ended.
+        Finds out which targets ended.
     """
 
     __slots__ = (
         "_context",
-        "_copies_complete",
+        "_entries_complete",
         "_evidence",
-        "_given_back",
-        "_own",
-        "_teller",
+        "_freed_trials",
+        "_own_ends",
+        "_reporter",
         "_trials",
         "watch",
     )
 
-    def __init__(self, context: GatewayContext, copies_complete: Callable[[], bool]):
+    def __init__(self, context: GatewayContext, entries_complete: Callable[[], bool]):
         self._context = context
         self._evidence = Evidence()
-        self._trials: dict[str, _Trials] = {}
-        self._given_back: set[str] = set()
-        self._copies_complete = copies_complete
-        self._own = LocalEnds()
-        self._teller = EndReporter(context, self._own, copies_complete, self._take_own)
-        self.watch = EndDetector(context, self._ended)
+        self._trials: dict[str, _ClaimedTrials] = {}
+        self._freed_trials: set[str] = set()
+        self._entries_complete = entries_complete
+        self._own_ends = LocalEnds()
+        self._reporter = EndReporter(
+            context, self._own_ends, entries_complete, self._record_own_ends
+        )
+        self.watch = EndDetector(context, self._record_end)
 
     @property
-    def knows_any(self) -> bool:
-        """Whether any request is under suspicion: while none is, requests need no fingerprint."""
+    def has_suspects(self) -> bool:
+        """Whether any request is suspected; if none is, no fingerprint has to be computed."""
         return not self._evidence.is_empty or bool(self._trials) or self.watch.inquiries.any_open
 
     async def run(self) -> None:
-        """Tell others of ends, until cancelled."""
-        await self._teller.run()
+        """Report ended targets to the other daemons until cancelled."""
+        await self._reporter.run()
 
-    # What daemons tell each other
+    # Records of other daemons
 
     def record_put(self, entry: KvEntry) -> None:
-        """Take in a daemon's record of ends."""
+        """Store a daemon's record of ends."""
         daemon = entry.key.removeprefix(ENDS_PREFIX)
         record = msgspec.json.decode(entry.value, type=EndRecord)
         if daemon != self._context.daemon_name:
             self._evidence.take(daemon, record)
-        elif not self._copies_complete():
-            # An earlier process of this daemon wrote it: this one writes nothing before that.
-            self._teller.adopt(record)
+        elif not self._entries_complete():
+            # Written by an earlier process of this daemon; this one has not written yet.
+            self._reporter.adopt(record)
 
     def record_deleted(self, key: str) -> None:
-        """Note that a daemon's record is gone."""
+        """Remove a daemon's record of ends, or store its own again."""
         daemon = key.removeprefix(ENDS_PREFIX)
         if daemon == self._context.daemon_name:
-            self._teller.lost()
+            self._reporter.restore_record()
         else:
             self._evidence.drop(daemon)
 
     def trial_put(self, entry: KvEntry) -> None:
-        """Take in how often a request was on trial."""
+        """Store the trials of a request."""
         record = msgspec.json.decode(entry.value, type=TrialRecord)
         fingerprint = entry.key.removeprefix(TRIALS_PREFIX)
-        self._trials[fingerprint] = _Trials(record, entry.mod_revision)
+        self._trials[fingerprint] = _ClaimedTrials(record, entry.mod_revision)
 
     def trial_deleted(self, key: str) -> None:
-        """Note that a request is not on trial any more."""
+        """Remove the trials of a request."""
         self._trials.pop(key.removeprefix(TRIALS_PREFIX), None)
 
     def told(self, request: pb.TellEndsRequest) -> pb.TellEndsReply:
-        """Take in a record that a daemon tells directly."""
+        """Store a record that a daemon sent directly."""
         record = msgspec.json.decode(request.record, type=EndRecord)
         if request.daemon != self._context.daemon_name:
             self._evidence.take(request.daemon, record)
         return pb.TellEndsReply()
 
-    # Runs of requests
+    # Requests of this daemon
 
     async def admit(
         self,
         fingerprint_of: Callable[[], str],
         deadline_seconds: float,
         may_claim: bool = True,
-    ) -> RequestHeld | None:
+    ) -> HeldRequest | None:
         """Return why a request must not be sent to any target now; None if it may be.
 
         Parameters
         ----------
         fingerprint_of : callable
-            Returns the request's fingerprint; called only if any request is under suspicion.
+            Returns the request's fingerprint; called only if any request is suspected.
         deadline_seconds : float
-            How long to wait (monotonic) until it is known what became of other targets.
+            How long to wait (monotonic) until the fate of other targets is known.
         may_claim : bool
-            Whether the request is sent now, so that a trial is claimed if it needs one. Otherwise
-            it is to be asked for again as it is sent.
+            Whether to claim a trial if the request needs one; it must then be sent. Otherwise
+            call this again before sending.
         """
-        if not self.knows_any:
+        if not self.has_suspects:
             return None
         fingerprint = fingerprint_of()
         while True:
@@ -173,26 +175,26 @@
             if isinstance(verdict, NotSuspected):
                 return None
             if isinstance(verdict, Paced):
-                if not await self._waited(deadline_seconds):
-                    return self._held(fingerprint, PACED_PAUSE_SECONDS)
+                if not await self._wait_for_outcome(deadline_seconds):
+                    return self._hold(fingerprint, PACED_RETRY_DELAY_SECONDS)
                 continue
-            if fingerprint in self._given_back:
+            if fingerprint in self._freed_trials:
                 if may_claim:
-                    self._given_back.discard(fingerprint)
+                    self._freed_trials.discard(fingerprint)
                 return None
             if isinstance(verdict, HeldBack):
-                return self._held(fingerprint, verdict.until_unix_seconds - now_unix_seconds)
+                return self._hold(fingerprint, verdict.until_unix_seconds - now_unix_seconds)
             if not may_claim or await self._claim(fingerprint, verdict):
                 return None
-            return self._held(fingerprint, UNCLAIMED_PAUSE_SECONDS)
+            return self._hold(fingerprint, UNCLAIMED_RETRY_DELAY_SECONDS)
 
     def broke(self, fingerprint: str, target: ListedTarget) -> None:
-        """Note that a run of a request broke off at a target."""
+        """Record that a run of a request failed at a target."""
         self.watch.broke(fingerprint, target)
 
     def answered(self, fingerprint_of: Callable[[], str]) -> None:
-        """Note that a target has run a request and answered, so that it does not end targets."""
-        if not self.knows_any:
+        """Clear a request of suspicion, as a target has answered it."""
+        if not self.has_suspects:
             return
         fingerprint = fingerprint_of()
         self.watch.inquiries.acquit(fingerprint)
@@ -200,24 +202,26 @@
         is_on_trial = fingerprint in self._trials
         if not ends and not is_on_trial:
             return
-        # On a second end hangs whether this one is sent, and who else is left to blame.
+        # Reported at once if it may decide about another request that was present at these ends.
         is_suspected = self._evidence.max_suspected_beside(fingerprint) > 1
-        told_by_others = self._evidence.targets_told_by_others(
+        reported_by_others = self._evidence.targets_told_by_others(
             fingerprint, self._context.daemon_name
         )
-        self._own.acquit(fingerprint, told_by_others, self._context.unix_seconds())
-        self._teller.changed(Urgency.NOW if is_suspected else Urgency.WITH_THE_NEXT)
+        self._own_ends.acquit(fingerprint, reported_by_others, self._context.unix_seconds())
+        self._reporter.schedule_report(
+            ReportUrgency.NOW if is_suspected else ReportUrgency.WITH_NEXT
+        )
         if is_on_trial:
             self._context.daemon.spawn(self._end_trials(fingerprint))
         self._context.log.write(RequestAcquitted(fingerprint=fingerprint, ends=ends))
 
     def not_run(self, fingerprint_of: Callable[[], str]) -> None:
-        """Note that a target refused to begin a request, whose trial is still to be had then."""
+        """Make a claimed trial available again, as the target did not begin the request."""
         if not self._trials:
             return
         fingerprint = fingerprint_of()
-        if fingerprint in self._trials and len(self._given_back) < MAX_GIVEN_BACK:
-            self._given_back.add(fingerprint)
+        if fingerprint in self._trials and len(self._freed_trials) < MAX_FREED_TRIALS:
+            self._freed_trials.add(fingerprint)
 
     def _suspicion(self, fingerprint: str) -> Suspicion:
         trials = self._trials.get(fingerprint)
@@ -229,7 +233,7 @@
             trial=trials.record if trials is not None else None,
         )
 
-    def _held(self, fingerprint: str, for_seconds: float) -> RequestHeld:
+    def _hold(self, fingerprint: str, for_seconds: float) -> HeldRequest:
         ends = self._evidence.count(fingerprint)
         trials = self._trials.get(fingerprint)
         self._context.log.write(
@@ -241,10 +245,10 @@
             )
         )
         detail = f"held back: {ends} targets ended under this request"
-        return RequestHeld(detail, self._context.now_seconds() + for_seconds)
+        return HeldRequest(detail, self._context.now_seconds() + for_seconds)
 
-    async def _waited(self, deadline_seconds: float) -> bool:
-        """Wait for news of targets where runs broke; return False if it is too late for that."""
+    async def _wait_for_outcome(self, deadline_seconds: float) -> bool:
+        """Wait until an investigation is closed; return False if the deadline passes first."""
         try:
             async with asyncio.timeout_at(deadline_seconds):
                 await self.watch.resolved.wait()
@@ -252,40 +256,42 @@
             return False
         return True
 
-    async def _claim(self, fingerprint: str, due: TrialDue) -> bool:
-        """Claim a trial; return whether this daemon surely has it."""
-        if not await self._teller.hold_lease():
+    async def _claim(self, fingerprint: str, trial_due: TrialDue) -> bool:
+        """Claim a trial in the key-value service; return whether it is known to be claimed."""
+        if not await self._reporter.ensure_lease():
             return False
-        known = self._trials.get(fingerprint)
+        known_trials = self._trials.get(fingerprint)
         key = TRIALS_PREFIX + fingerprint
-        unchanged = Compare(key, "mod", known.revision if known is not None else 0)
-        put = Operation(key, msgspec.json.encode(due.claim), self._teller.lease.lease_id or 0)
-        done = await self._context.kv.txn([TxnPart((unchanged,), (put,), (key,))])
-        self._context.contact.note(self._context.now_seconds(), done)
+        unchanged = Compare(key, "mod", known_trials.revision if known_trials is not None else 0)
+        put = Operation(
+            key, msgspec.json.encode(trial_due.claim), self._reporter.lease.lease_id or 0
+        )
+        result = await self._context.kv.txn([TxnPart((unchanged,), (put,), (key,))])
+        self._context.contact.note(self._context.now_seconds(), result)
         is_claimed = False
-        if not isinstance(done, KvUnavailable) and done[0].succeeded:
+        if not isinstance(result, KvUnavailable) and result[0].succeeded:
             is_claimed = True
-            self._trials[fingerprint] = _Trials(due.claim, done[0].revision)
+            self._trials[fingerprint] = _ClaimedTrials(trial_due.claim, result[0].revision)
         self._context.log.write(
-            TrialClaimed(fingerprint=fingerprint, trial=due.claim.trials, claimed=is_claimed)
+            TrialClaimed(fingerprint=fingerprint, trial=trial_due.claim.trials, claimed=is_claimed)
         )
         return is_claimed
 
     async def _end_trials(self, fingerprint: str) -> None:
-        known = self._trials.pop(fingerprint, None)
-        self._given_back.discard(fingerprint)
-        if known is None:
+        known_trials = self._trials.pop(fingerprint, None)
+        self._freed_trials.discard(fingerprint)
+        if known_trials is None:
             return
         key = TRIALS_PREFIX + fingerprint
-        unchanged = Compare(key, "mod", known.revision)
-        done = await self._context.kv.txn([TxnPart((unchanged,), (Operation(key, None),))])
-        self._context.contact.note(self._context.now_seconds(), done)
+        unchanged = Compare(key, "mod", known_trials.revision)
+        result = await self._context.kv.txn([TxnPart((unchanged,), (Operation(key, None),))])
+        self._context.contact.note(self._context.now_seconds(), result)
 
-    def _ended(self, end: TargetEnd) -> None:
-        """Note that a target ended under runs of this daemon."""
-        is_second = any(self._evidence.count(run) > 0 for run in end.fingerprints)
-        self._own.ended(end.target, end.fingerprints, self._context.unix_seconds())
-        self._teller.changed(Urgency.NOW if is_second else Urgency.SOON)
+    def _record_end(self, end: TargetEnd) -> None:
+        """Record that a target ended under runs of this daemon."""
+        is_repeated = any(self._evidence.count(run) > 0 for run in end.fingerprints)
+        self._own_ends.ended(end.target, end.fingerprints, self._context.unix_seconds())
+        self._reporter.schedule_report(ReportUrgency.NOW if is_repeated else ReportUrgency.SOON)
 
-    def _take_own(self, record: EndRecord) -> None:
+    def _record_own_ends(self, record: EndRecord) -> None:
         self._evidence.take(self._context.daemon_name, record)
--- a/rackswitch/gateway/quarantine/tests/quarantine_run.py
+++ b/rackswitch/gateway/quarantine/tests/quarantine_run.py
@@ -1,7 +1,7 @@
-"""A fleet, its targets and its callers on a clock that jumps, with faults that follow from a seed.
+"""Seeded simulation of daemons, targets and callers on a virtual clock, with random faults.
 
-One request ends each target that begins it and comes back at any daemon. Others are healthy, and
-some targets end for other reasons.
+One request, the lethal one, ends each target that begins it and is retried at random daemons. All
+other requests are healthy. Some targets end for other reasons.
 """
 
 import asyncio
@@ -23,23 +23,23 @@
 from rackswitch.standins.kv_store import KvStore
 
 CONTROL = "control/"
-ENDING = "ending"
-NAMES = ("a", "b", "c", "d")
-TARGETS = 5
-CONTACT_SECONDS = 3.0
-COPY_SECONDS = 0.1
+LETHAL_FINGERPRINT = "ending"
+DAEMON_NAMES = ("a", "b", "c", "d")
+TARGET_COUNT = 5
+SETTLING_SECONDS = 3.0
+POLL_SECONDS = 0.1
 MAX_ATTEMPTS = 2
-TIMEOUT_SECONDS = 40.0
-"""Healthy requests are items of a job here: they wait that long."""
+CALLER_TIMEOUT_SECONDS = 40.0
+"""How long the caller of a healthy request retries it."""
 FAULTS = ("cut", "outage", "crash", "crash all", "slow")
-CALM_SECONDS = (1.0, 6.0)
+FAULT_INTERVAL_SECONDS = (1.0, 6.0)
 FAULT_SECONDS = (0.5, 5.0)
 BASE_UNIX_SECONDS = 1_770_000_000.0
 
 
 @dataclass(slots=True)
 class SimulatedTarget:
-    """A target's process, and what runs on it."""
+    """A target's process and its runs."""
 
     number: int
     is_up: bool = True
@@ -52,90 +52,90 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    """The ending request, as it reached a target."""
+class LethalSend:
+    """One send of the lethal request to a target."""
 
     at_seconds: float
-    in_touch: bool
+    is_settled: bool
 
 
-class FleetLinks:
-    """Calls between the daemons of a run; who is cut off hears nothing."""
+class SimulatedLinks:
+    """Calls between the simulated daemons; a partitioned daemon receives none."""
 
-    def __init__(self, run: "QuarantineRun", own: "Node"):
+    def __init__(self, run: "QuarantineRun", own_process: "DaemonProcess"):
         self._run = run
-        self._own = own
+        self._own_process = own_process
 
     async def call(self, peer, method, message, timeout_seconds, stub_kind):
-        node = self._run.nodes[peer.daemon]
+        process = self._run.processes[peer.daemon]
         await asyncio.sleep(0.01)
-        if node.is_cut or self._own.is_cut:
+        if process.is_partitioned or self._own_process.is_partitioned:
             await asyncio.sleep(timeout_seconds)
             return PeerUnreachable("cut off")
-        return node.quarantine.told(message)
+        return process.quarantine.told(message)
 
 
-class Node:
-    """One process of a daemon: its copy of the entries, and what it knows of ends."""
+class DaemonProcess:
+    """One process of a daemon with its replica of the stored entries and its quarantine."""
 
     def __init__(self, run: "QuarantineRun", name: str):
         self.run = run
-        self.faults = KvFaults(delay_seconds=run.delay_seconds, down=run.service_is_down)
+        self.faults = KvFaults(delay_seconds=run.delay_seconds, down=run.store_is_down)
         self.context = make_gateway_context(
             name, run.store, run.rng.randrange(1 << 30), self.faults
         )
-        self.context.daemon.links = FleetLinks(run, self)
-        self.is_cut = False
-        self.disrupted_seconds = self.context.now_seconds()
-        self.quarantine = run.keeper_kind(self.context, lambda: self._copy.revision > 0)
-        self._copy = PrefixReplica(CONTROL)
-        members = [vm_entry(other, make_member()) for other in NAMES]
+        self.context.daemon.links = SimulatedLinks(run, self)
+        self.is_partitioned = False
+        self.partition_end_seconds = self.context.now_seconds()
+        self.quarantine = run.manager_class(self.context, lambda: self._replica.revision > 0)
+        self._replica = PrefixReplica(CONTROL)
+        members = [vm_entry(other, make_member()) for other in DAEMON_NAMES]
         self.context.daemon.membership.learn_listed(members, self.context.now_seconds())
         for target in run.targets:
             self.context.directory.put(target.listed())
         self.context.daemon.spawn_duty(self.quarantine.run())
-        self.context.daemon.spawn_duty(self._follow())
+        self.context.daemon.spawn_duty(self._poll_store())
 
-    async def _follow(self) -> None:
-        """Keep the copy, a little behind the service."""
+    async def _poll_store(self) -> None:
+        """Update the replica from the key-value store at random intervals."""
         while True:
             read = await self.context.kv.read(CONTROL, is_prefix=True)
             if not isinstance(read, KvUnavailable):
-                self._take(read)
-            await asyncio.sleep(COPY_SECONDS * (0.5 + self.context.rng.random()))
+                self._apply(read)
+            await asyncio.sleep(POLL_SECONDS * (0.5 + self.context.rng.random()))
 
-    def _take(self, read) -> None:
-        before = dict(self._copy.entries)
-        news = PrefixReplica(CONTROL, entries=before).replace(read.entries, read.revision)
-        for entry in news.entries:
+    def _apply(self, read) -> None:
+        before = dict(self._replica.entries)
+        changes = PrefixReplica(CONTROL, entries=before).replace(read.entries, read.revision)
+        for entry in changes.entries:
             if entry.key.startswith(ENDS_PREFIX):
                 self.quarantine.record_put(entry)
             elif entry.key.startswith(TRIALS_PREFIX):
                 self.quarantine.trial_put(entry)
-        for key in news.deleted:
+        for key in changes.deleted:
             if key.startswith(ENDS_PREFIX):
                 self.quarantine.record_deleted(key)
             elif key.startswith(TRIALS_PREFIX):
                 self.quarantine.trial_deleted(key)
-        self._copy.replace(read.entries, read.revision)
+        self._replica.replace(read.entries, read.revision)
 
     @property
-    def serves(self) -> bool:
-        """A daemon that has read nothing yet knows no routes either."""
-        return self._copy.revision > 0
+    def is_ready(self) -> bool:
+        """Whether the daemon has read the store; before that it knows no routes."""
+        return self._replica.revision > 0
 
     @property
-    def in_touch(self) -> bool:
-        return self.context.now_seconds() >= self.disrupted_seconds + CONTACT_SECONDS
+    def is_settled(self) -> bool:
+        return self.context.now_seconds() >= self.partition_end_seconds + SETTLING_SECONDS
 
     async def send(self, fingerprint: str, work_seconds: float, tried: set[int]) -> str:
-        """Send a request to one target; return how that went."""
-        up = [target for target in self.run.targets if target.number not in tried]
-        target = self.run.rng.choice(up or self.run.targets)
+        """Send a request to one target; return the outcome."""
+        untried = [target for target in self.run.targets if target.number not in tried]
+        target = self.run.rng.choice(untried or self.run.targets)
         tried.add(target.number)
-        patience_seconds = self.context.now_seconds() + 1.0
-        held = await self.quarantine.admit(lambda: fingerprint, patience_seconds)
-        if held is not None:
+        wait_until_seconds = self.context.now_seconds() + 1.0
+        hold = await self.quarantine.admit(lambda: fingerprint, wait_until_seconds)
+        if hold is not None:
             return "held"
         listed = target.listed()
         if not target.is_up:
@@ -152,99 +152,99 @@
 
 
 class QuarantineRun:
-    """One seeded run; `sends` and `unserved` are what is judged."""
+    """One seeded run; tests check `sends` and `unserved`."""
 
-    def __init__(self, seed: int, keeper_kind: type = QuarantineManager):
+    def __init__(self, seed: int, manager_class: type = QuarantineManager):
         self.rng = random.Random(seed)
-        self.keeper_kind = keeper_kind
+        self.manager_class = manager_class
         self.store = KvStore()
-        self.service_is_down = False
+        self.store_is_down = False
         self.delay_seconds = 0.002
-        self.targets = [SimulatedTarget(number) for number in range(TARGETS)]
-        self.nodes: dict[str, Node] = {}
-        self.sends: list[Send] = []
-        self.ends_under_it: list[float] = []
+        self.targets = [SimulatedTarget(number) for number in range(TARGET_COUNT)]
+        self.processes: dict[str, DaemonProcess] = {}
+        self.sends: list[LethalSend] = []
+        self.lethal_ends: list[float] = []
         self.served = 0
         self.unserved: list[str] = []
         self._tasks: set[asyncio.Task] = set()
 
-    async def play(self, seconds: float) -> None:
+    async def simulate(self, seconds: float) -> None:
         with (
-            patch("rackswitch.gateway.quarantine.end_detector.look_at", self._look),
+            patch("rackswitch.gateway.quarantine.end_detector.look_at", self._probe),
             patch.object(
                 GatewayContext, "unix_seconds", lambda ctx: BASE_UNIX_SECONDS + ctx.now_seconds()
             ),
         ):
-            self.nodes = {name: Node(self, name) for name in NAMES}
-            work = (
-                self._ending_caller(),
+            self.processes = {name: DaemonProcess(self, name) for name in DAEMON_NAMES}
+            coroutines = (
+                self._lethal_caller(),
                 self._healthy_callers(),
-                self._other_ends(),
+                self._unrelated_ends(),
                 self._faults(),
             )
-            duties = [asyncio.create_task(duty) for duty in work]
+            tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
             await asyncio.sleep(seconds)
-            for duty in duties:
-                duty.cancel()
+            for task in tasks:
+                task.cancel()
             await asyncio.gather(*self._tasks)
-            for node in self.nodes.values():
-                await node.crash()
+            for process in self.processes.values():
+                await process.crash()
 
     def late_sends(self) -> int:
-        """Return the sends that were too late, by daemons in touch."""
-        if len(self.ends_under_it) < 3:
+        """Count lethal sends by settled daemons after all had time to learn of the third end."""
+        if len(self.lethal_ends) < 3:
             return 0
-        from_seconds = sorted(self.ends_under_it)[2] + CONTACT_SECONDS
-        return sum(send.in_touch and send.at_seconds > from_seconds for send in self.sends)
+        from_seconds = sorted(self.lethal_ends)[2] + SETTLING_SECONDS
+        return sum(send.is_settled and send.at_seconds > from_seconds for send in self.sends)
 
     async def runs(
-        self, target: SimulatedTarget, node: Node, fingerprint: str, work_seconds: float
+        self, target: SimulatedTarget, process: DaemonProcess, fingerprint: str, work_seconds: float
     ) -> bool:
         """Run a request at a target; return False if the target ends under it."""
-        ended: asyncio.Future = asyncio.get_running_loop().create_future()
-        target.runs.append(ended)
-        if fingerprint == ENDING:
-            now_seconds = node.context.now_seconds()
-            self.sends.append(Send(now_seconds, node.in_touch))
+        target_ended: asyncio.Future = asyncio.get_running_loop().create_future()
+        target.runs.append(target_ended)
+        if fingerprint == LETHAL_FINGERPRINT:
+            now_seconds = process.context.now_seconds()
+            self.sends.append(LethalSend(now_seconds, process.is_settled))
             await asyncio.sleep(0.1)
             if target.is_up:
-                self.ends_under_it.append(node.context.now_seconds())
-                self._end(target)
+                self.lethal_ends.append(process.context.now_seconds())
+                self._end_target(target)
             return False
-        done, _ = await asyncio.wait((ended,), timeout=work_seconds)
+        done, _ = await asyncio.wait((target_ended,), timeout=work_seconds)
         if not done:
-            target.runs.remove(ended)
+            target.runs.remove(target_ended)
         return not done
 
-    def _end(self, target: SimulatedTarget) -> None:
+    def _end_target(self, target: SimulatedTarget) -> None:
         target.is_up = False
         for run in target.runs:
             run.set_result(None)
         target.runs.clear()
-        self._spawn(self._start_again(target))
+        self._spawn(self._restart_target(target))
 
-    async def _start_again(self, target: SimulatedTarget) -> None:
+    async def _restart_target(self, target: SimulatedTarget) -> None:
         await asyncio.sleep(self.rng.uniform(1.4, 3.5))
         target.starts += 1
         target.is_up = True
-        for node in self.nodes.values():
-            node.context.directory.put(target.listed())
+        for process in self.processes.values():
+            process.context.directory.put(target.listed())
 
-    async def _look(self, host: str, port: int, timeout_seconds: float) -> ProbeOutcome:
+    async def _probe(self, host: str, port: int, timeout_seconds: float) -> ProbeOutcome:
         await asyncio.sleep(0.005)
         return ProbeOutcome.ANSWERED if self.targets[port].is_up else ProbeOutcome.REFUSED
 
-    async def _ending_caller(self) -> None:
+    async def _lethal_caller(self) -> None:
         while True:
             await asyncio.sleep(self.rng.choice((0.03, 0.3, 1.5)))
-            self._spawn(self._ending_request(self.rng.choice(NAMES)))
+            self._spawn(self._lethal_request(self.rng.choice(DAEMON_NAMES)))
 
-    async def _ending_request(self, name: str) -> None:
-        node, tried = self.nodes[name], set()
+    async def _lethal_request(self, name: str) -> None:
+        process, tried = self.processes[name], set()
         for _ in range(MAX_ATTEMPTS):
-            if not node.serves or self.nodes[name] is not node:
+            if not process.is_ready or self.processes[name] is not process:
                 return
-            if await node.send(ENDING, 0.1, tried) in ("held", "not there"):
+            if await process.send(LETHAL_FINGERPRINT, 0.1, tried) in ("held", "not there"):
                 return
 
     async def _healthy_callers(self) -> None:
@@ -258,58 +258,62 @@
         work_seconds = self.rng.choice((0.05, 0.5, 2.0))
         tried: set[int] = set()
         try:
-            async with asyncio.timeout(TIMEOUT_SECONDS):
+            async with asyncio.timeout(CALLER_TIMEOUT_SECONDS):
                 while True:
-                    node = self.nodes[self.rng.choice(NAMES)]
+                    process = self.processes[self.rng.choice(DAEMON_NAMES)]
                     if (
-                        node.serves
-                        and await node.send(fingerprint, work_seconds, tried) == "answered"
+                        process.is_ready
+                        and await process.send(fingerprint, work_seconds, tried) == "answered"
                     ):
                         self.served += 1
                         return
-                    if len(tried) >= TARGETS:
+                    if len(tried) >= TARGET_COUNT:
                         tried.clear()
                     await asyncio.sleep(0.1)
         except TimeoutError:
             self.unserved.append(fingerprint)
 
-    async def _other_ends(self) -> None:
+    async def _unrelated_ends(self) -> None:
         while True:
             await asyncio.sleep(self.rng.uniform(2.0, 8.0))
-            up = [target for target in self.targets if target.is_up]
-            if up:
-                self._end(self.rng.choice(up))
+            running = [target for target in self.targets if target.is_up]
+            if running:
+                self._end_target(self.rng.choice(running))
 
     async def _faults(self) -> None:
-        await break_at_random(self.rng, CALM_SECONDS, FAULTS, self._fault)
+        await break_at_random(self.rng, FAULT_INTERVAL_SECONDS, FAULTS, self._fault)
 
     async def _fault(self, kind: str) -> None:
-        for_seconds = self.rng.uniform(*FAULT_SECONDS)
-        struck = [self.rng.choice(NAMES)] if kind in ("cut", "crash") else list(NAMES)
+        duration_seconds = self.rng.uniform(*FAULT_SECONDS)
+        daemon_names = (
+            [self.rng.choice(DAEMON_NAMES)] if kind in ("cut", "crash") else list(DAEMON_NAMES)
+        )
         if kind.startswith("crash"):
-            await asyncio.gather(*(self._restart(name) for name in struck))
+            await asyncio.gather(*(self._restart_daemon(name) for name in daemon_names))
             return
-        self._set(kind, struck, True)
-        await asyncio.sleep(for_seconds)
-        self._set(kind, struck, False)
+        self._set_fault(kind, daemon_names, True)
+        await asyncio.sleep(duration_seconds)
+        self._set_fault(kind, daemon_names, False)
 
-    def _set(self, kind: str, struck: list[str], begins: bool) -> None:
+    def _set_fault(self, kind: str, daemon_names: list[str], is_active: bool) -> None:
         if kind == "outage":
-            self.service_is_down = begins
+            self.store_is_down = is_active
         if kind == "slow":
-            self.delay_seconds = 0.06 if begins else 0.002
-        for name in struck:
-            node = self.nodes[name]
+            self.delay_seconds = 0.06 if is_active else 0.002
+        for name in daemon_names:
+            process = self.processes[name]
             if kind == "cut":
-                node.is_cut = begins
-                node.disrupted_seconds = node.context.now_seconds() + CONTACT_SECONDS * 2 * begins
-            node.faults.down = self.service_is_down or node.is_cut
-            node.faults.delay_seconds = self.delay_seconds
-
-    async def _restart(self, name: str) -> None:
-        await self.nodes[name].crash()
+                process.is_partitioned = is_active
+                process.partition_end_seconds = (
+                    process.context.now_seconds() + SETTLING_SECONDS * 2 * is_active
+                )
+            process.faults.down = self.store_is_down or process.is_partitioned
+            process.faults.delay_seconds = self.delay_seconds
+
+    async def _restart_daemon(self, name: str) -> None:
+        await self.processes[name].crash()
         await asyncio.sleep(0.3)
-        self.nodes[name] = Node(self, name)
+        self.processes[name] = DaemonProcess(self, name)
 
     def _spawn(self, work) -> None:
         task = asyncio.create_task(work)
--- a/rackswitch/gateway/quarantine/tests/test_path_quarantine.py
+++ b/rackswitch/gateway/quarantine/tests/test_path_quarantine.py
@@ -1,21 +1,4 @@
-"""Requests that end the targets that run them, on the whole path, on loopback.
-
-What users saw: a format check ended each target that began it and came again under a new
-identity, at any daemon, 18 times in 34 s. Each time all four targets of the service were down for
-3 s, and nearly everything sent to it meanwhile was refused.
-
-The order of events: a daemon sends the request to a target, which ends 0.1 s later; the daemon
-repeats it at the next one, as it should, and answers 502 when its attempts are used up; the caller
-comes back at another daemon within 0.04 s, or some seconds later, and there all begins anew.
-
-The cause: what a daemon learns from an attempt lives as long as the request's own record of
-attempts, filed under an identity that each send has anew. Nothing that lasts, and nothing that
-other daemons see, ties the ends of targets to the request under which they ended.
-
-The evidence: with a fingerprint of tenant, host, method, path and body in the log lines, the runs
-that broke in every wave of such a request carry the same one, under identities of their own, and
-`target ended` lines show that the targets' processes were gone, not only their connections.
-"""
+"""A request that ends each target that runs it is held back by the whole fleet, on loopback."""
 
 import asyncio
 
@@ -23,61 +6,60 @@
 
 from rackswitch.gateway.tests.path import check_whole, play, wait_for
 
-ENDING_BODY = b"ends whoever runs it"
+LETHAL_BODY = b"ends whoever runs it"
 
-MAX_SENDS_AFTERWARDS = 3
-"""Users bear so many more runs of a request once it has ended three targets and all had time to
-hear of it."""
+MAX_SENDS_AFTER_THIRD_END = 3
+"""Maximum number of runs of a request after it has ended three targets and all daemons know it."""
 
-TIME_TO_HEAR_SECONDS = 1.5
-"""Half of the shortest time that users allow for it."""
+PROPAGATION_SECONDS = 1.5
+"""Time until all daemons know an end."""
 
 
-def ends(targets):
+def end_count(targets):
     return sum(len(target.ended_at_seconds) for target in targets)
 
 
-def runs(targets):
-    return sum(run.body == ENDING_BODY for target in targets for run in target.runs)
+def run_count(targets):
+    return sum(run.body == LETHAL_BODY for target in targets for run in target.runs)
 
 
-async def end_three(fleet, targets, path="/look/1"):
-    """Send the request, as a caller that comes back does, until three targets have ended."""
+async def end_three_targets(fleet, targets, path="/look/1"):
+    """Send the request, as a caller that retries does, until three targets have ended."""
     number = 0
-    while ends(targets) < 3:
-        await wait_for(lambda: all_see_a_target(fleet, targets[0].service))
+    while end_count(targets) < 3:
+        await wait_for(lambda: all_list_a_target(fleet, targets[0].service))
         daemon = f"d{number % len(fleet.gateways)}"
-        await fleet.request(daemon, "POST", path, ENDING_BODY, f"first-{number}")
+        await fleet.request(daemon, "POST", path, LETHAL_BODY, f"first-{number}")
         number += 1
 
 
-def all_see_a_target(fleet, service):
+def all_list_a_target(fleet, service):
     contexts = [gateway.context for gateway in fleet.gateways.values()]
     return all(ctx.directory.usable(service, ctx.now_seconds()) for ctx in contexts)
 
 
-async def come_back(fleet, targets, times, path="/look/1"):
-    """Send the request again and again, each time to targets that are there."""
+async def resend(fleet, targets, count, path="/look/1"):
+    """Send the request repeatedly, each time while targets are listed."""
     answers = []
-    for number in range(times):
-        await wait_for(lambda: all_see_a_target(fleet, targets[0].service))
+    for number in range(count):
+        await wait_for(lambda: all_list_a_target(fleet, targets[0].service))
         daemon = f"d{number % len(fleet.gateways)}"
-        status, headers, _ = await fleet.request(daemon, "POST", path, ENDING_BODY, f"r{number}")
+        status, headers, _ = await fleet.request(daemon, "POST", path, LETHAL_BODY, f"r{number}")
         answers.append((status, headers))
         await asyncio.sleep(0.2)
     return answers
 
 
-def test_a_request_that_ended_three_targets_is_held_back_at_every_daemon():
+def test_holds_back_a_request_that_ended_three_targets_at_every_daemon():
     async def scenario(fleet):
         for target in fleet.services:
-            target.faults.end_on = ENDING_BODY
-        await end_three(fleet, fleet.services)
-        await asyncio.sleep(TIME_TO_HEAR_SECONDS)
-        before = runs(fleet.services)
-        answers = await come_back(fleet, fleet.services, 8)
-        assert runs(fleet.services) - before <= MAX_SENDS_AFTERWARDS
-        # Held back is said truly and at once, with a time to come back.
+            target.faults.end_on = LETHAL_BODY
+        await end_three_targets(fleet, fleet.services)
+        await asyncio.sleep(PROPAGATION_SECONDS)
+        count_before = run_count(fleet.services)
+        answers = await resend(fleet, fleet.services, 8)
+        assert run_count(fleet.services) - count_before <= MAX_SENDS_AFTER_THIRD_END
+        # Requests held back are answered with a retry time.
         assert all(status in (502, 503) for status, _ in answers)
         status, headers = answers[-1]
         assert status == 503
@@ -88,109 +70,109 @@
     play(scenario, daemons=3, services=4)
 
 
-def test_targets_that_come_back_under_their_identities_have_ended_all_the_same():
+def test_counts_ends_of_targets_that_restart_under_the_same_identity():
     async def scenario(fleet):
         for target in fleet.services:
-            target.faults.end_on = ENDING_BODY
+            target.faults.end_on = LETHAL_BODY
             target.faults.keeps_identity = True
-        await end_three(fleet, fleet.services)
-        await asyncio.sleep(TIME_TO_HEAR_SECONDS)
-        before = runs(fleet.services)
-        await come_back(fleet, fleet.services, 6)
-        assert runs(fleet.services) - before <= MAX_SENDS_AFTERWARDS
+        await end_three_targets(fleet, fleet.services)
+        await asyncio.sleep(PROPAGATION_SECONDS)
+        count_before = run_count(fleet.services)
+        await resend(fleet, fleet.services, 6)
+        assert run_count(fleet.services) - count_before <= MAX_SENDS_AFTER_THIRD_END
 
     play(scenario, daemons=2, services=2)
 
 
-def test_what_is_held_back_stays_so_when_all_daemons_start_anew():
+def test_request_stays_held_back_when_all_daemons_restart():
     async def scenario(fleet):
         for target in fleet.services:
-            target.faults.end_on = ENDING_BODY
-        await end_three(fleet, fleet.services)
-        await asyncio.sleep(TIME_TO_HEAR_SECONDS)
+            target.faults.end_on = LETHAL_BODY
+        await end_three_targets(fleet, fleet.services)
+        await asyncio.sleep(PROPAGATION_SECONDS)
         for gateway in fleet.gateways.values():
             await gateway.crash()
         for name in list(fleet.gateways):
             await fleet.start_gateway(name)
         await wait_for(lambda: all(g.copies.is_complete for g in fleet.gateways.values()))
-        before = runs(fleet.services)
-        answers = await come_back(fleet, fleet.services, 6)
-        # One trial is due, and no daemon takes it for the first one after another start.
-        assert runs(fleet.services) - before <= 1
+        count_before = run_count(fleet.services)
+        answers = await resend(fleet, fleet.services, 6)
+        # One trial is due, and another restart must not grant it again.
+        assert run_count(fleet.services) - count_before <= 1
         for gateway in fleet.gateways.values():
             await gateway.crash()
         for name in list(fleet.gateways):
             await fleet.start_gateway(name)
         await wait_for(lambda: all(g.copies.is_complete for g in fleet.gateways.values()))
-        answers = await come_back(fleet, fleet.services, 6)
-        assert runs(fleet.services) - before <= 1
+        answers = await resend(fleet, fleet.services, 6)
+        assert run_count(fleet.services) - count_before <= 1
         assert all(status == 503 for status, _ in answers)
 
     play(scenario, daemons=2, services=4)
 
 
-def test_while_the_service_is_away_daemons_tell_each_other_directly():
+def test_daemons_notify_each_other_directly_while_the_store_is_unreachable():
     async def scenario(fleet):
         for target in fleet.services:
-            target.faults.end_on = ENDING_BODY
+            target.faults.end_on = LETHAL_BODY
             target.faults.keeps_identity = True
         fleet.store.faults.down = "silent"
         for number in range(2):
-            await fleet.request("d0", "POST", "/look/1", ENDING_BODY, f"first-{number}")
-        assert ends(fleet.services) >= 3
-        await asyncio.sleep(TIME_TO_HEAR_SECONDS + 0.5)
-        before = runs(fleet.services)
+            await fleet.request("d0", "POST", "/look/1", LETHAL_BODY, f"first-{number}")
+        assert end_count(fleet.services) >= 3
+        await asyncio.sleep(PROPAGATION_SECONDS + 0.5)
+        count_before = run_count(fleet.services)
         for number in range(6):
-            status, _, _ = await fleet.request("d1", "POST", "/look/1", ENDING_BODY, f"r{number}")
+            status, _, _ = await fleet.request("d1", "POST", "/look/1", LETHAL_BODY, f"r{number}")
             assert status == 503
-        assert runs(fleet.services) == before
+        assert run_count(fleet.services) == count_before
         status, _, _ = await fleet.request("d1", "POST", "/look/1", b"another", "healthy")
         assert status == 200
 
     play(scenario, daemons=2, services=4)
 
 
-def test_an_item_that_ended_three_engines_leaves_the_others_theirs():
+def test_holds_back_an_item_that_ended_three_engines():
     async def scenario(fleet):
-        ending = b"77"
+        lethal_body = b"77"
         for engine in fleet.engines:
-            engine.faults.end_on = ending
+            engine.faults.end_on = lethal_body
         assert await fleet.submit("d0", "j1", [30, 77, 25, 40, 35, 20]) == 202
-        await wait_for(lambda: ends(fleet.engines) >= 3)
-        await asyncio.sleep(TIME_TO_HEAR_SECONDS)
-        before = ends(fleet.engines)
+        await wait_for(lambda: end_count(fleet.engines) >= 3)
+        await asyncio.sleep(PROPAGATION_SECONDS)
+        count_before = end_count(fleet.engines)
         results = []
         async with asyncio.timeout(12.0):
             while len(results) < 5:
                 results += (await fleet.read("d1", "j1", len(results), 500)).results
         await asyncio.sleep(2.0)
-        assert ends(fleet.engines) - before <= MAX_SENDS_AFTERWARDS
-        check_whole_but(results, [30, 77, 25, 40, 35, 20], 1)
+        assert end_count(fleet.engines) - count_before <= MAX_SENDS_AFTER_THIRD_END
+        check_complete_except(results, [30, 77, 25, 40, 35, 20], 1)
 
     play(scenario, engines=4)
 
 
-def check_whole_but(results, pieces, held_back):
-    """All items but one are whole; that one is neither listed nor given up before its time."""
+def check_complete_except(results, pieces, held_number):
+    """Check that all items but one are complete and that one has no result yet."""
     by_id = {result["id"]: result for result in results}
-    assert f"j1-{held_back}" not in by_id
-    others = [count for number, count in enumerate(pieces) if number != held_back]
-    assert len(by_id) == len(others)
+    assert f"j1-{held_number}" not in by_id
+    expected_counts = [count for number, count in enumerate(pieces) if number != held_number]
+    assert len(by_id) == len(expected_counts)
     assert all(result["state"] == "completed" for result in results)
 
 
-@pytest.mark.parametrize("ends_of_others", [1, 2])
-def test_a_request_that_was_at_targets_that_ended_is_still_served(ends_of_others):
-    """Targets end for other reasons too, with much work on them."""
+@pytest.mark.parametrize("unrelated_ends", [1, 2])
+def test_serves_requests_that_were_present_at_unrelated_ends(unrelated_ends):
+    """Requests that ran at a target that ended for another reason are not held back."""
 
     async def scenario(fleet):
         pieces = [150] * 10
         assert await fleet.submit("d0", "j1", pieces) == 202
-        for number in range(ends_of_others):
+        for number in range(unrelated_ends):
             await wait_for(lambda: sum(len(engine.runs) for engine in fleet.engines) >= 10)
             await asyncio.sleep(0.1)
-            restarted = fleet.engines[number].end_and_start_again()
-            restart = asyncio.create_task(restarted)
+            restart_target = fleet.engines[number].end_and_start_again()
+            restart = asyncio.create_task(restart_target)
             await asyncio.sleep(0.15)
         check_whole(await fleet.read_all("d1", "j1", 20.0), pieces, "j1")
         await restart
