--- a/rackswitch/gateway/callers/call_admission.py
+++ b/rackswitch/gateway/callers/call_admission.py
@@ -24,7 +24,7 @@
 LOG_INTERVAL_SECONDS = 1.0
 """Interval between `RoomSeen` events of one service."""
 
-ANSWER_LOAD_MAX_AGE_SECONDS = 0.02
+MAX_ANSWER_REPORT_AGE_SECONDS = 0.02
 """Maximum age of a load report that is taken to come with the answer just received."""
 
 MAX_LOGGED_SHARES = 20
@@ -73,7 +73,7 @@
     check_timer : TimerHandle or None
         The next queue check if no call ends before.
     log_timer : TimerHandle or None
-        The next `RoomSeen` event; None while no call waits.
+        The next `RoomSeen` event; None if none is due.
     """
 
     name: str
@@ -151,7 +151,7 @@
             None,
         )
         service.admission.ended(request, took_seconds)
-        if estimate is not None and estimate.word_age_seconds <= ANSWER_LOAD_MAX_AGE_SECONDS:
+        if estimate is not None and estimate.word_age_seconds <= MAX_ANSWER_REPORT_AGE_SECONDS:
             service.admission.limit.answered(
                 estimate.running, estimate.waiting, estimate.slots, now_seconds
             )
--- a/rackswitch/gateway/callers/caller_handler.py
+++ b/rackswitch/gateway/callers/caller_handler.py
@@ -88,7 +88,7 @@
             try:
                 await self._serve(exchange)
             except ConnectionError as error:
-                logger.info("caller connection lost while responding: {}", error)
+                logger.info("response aborted: {}", error)
                 raise
 
     async def _serve(self, exchange: Exchange) -> None:
@@ -165,7 +165,7 @@
         if not fault.may_be_new or not contact.is_away:
             return Refusal(401, fault.detail, response_text=fault.told)
         retry_after_seconds = contact.outage.remaining_seconds(self._context.now_seconds())
-        detail = f"{fault.detail}, by a table that may be old"
+        detail = f"{fault.detail}; the table may be outdated"
         return Refusal(503, detail, retry_after_seconds, "the key cannot be checked now")
 
     def _identify_caller(self, exchange: Exchange, route: RouteRow) -> Caller | KeyFault:
@@ -207,5 +207,5 @@
             )
         elif isinstance(fault, BodyTooSlow):
             await refuse_before_routing(
-                exchange, self._context, Refusal(408, "the body did not come in time")
+                exchange, self._context, Refusal(408, "the body was not received in time")
             )
--- a/rackswitch/gateway/callers/tests/test_call_admission.py
+++ b/rackswitch/gateway/callers/tests/test_call_admission.py
@@ -309,7 +309,7 @@
     assert all(isinstance(outcome, NotRun) for outcome in refused)
 
 
-def test_limits_calls_to_targets_that_are_reachable_again():
+def test_sends_at_most_two_probe_calls_to_targets_that_are_listed_again():
     async def scenario():
         targets = FullTargets(4)
         harness = DispatcherHarness(targets, has_estimates=False)
--- a/rackswitch/gateway/callers/tests/test_target_choice.py
+++ b/rackswitch/gateway/callers/tests/test_target_choice.py
@@ -181,9 +181,9 @@
         report_loads(context, {"t0": 18, "t1": 18}, pace=None)
         return count_picks(chooser), chooser.places("s")
 
-    chosen, places = run_virtual(scenario())
+    chosen, estimates = run_virtual(scenario())
     assert set(chosen) == {"t2", "t3"}
-    assert {estimate.instance: estimate.free_slots for estimate in places} == {
+    assert {estimate.instance: estimate.free_slots for estimate in estimates} == {
         "t0": 0.0,
         "t1": 0.0,
         "t2": 6.0,
--- a/rackswitch/gateway/quarantine/quarantine_manager.py
+++ b/rackswitch/gateway/quarantine/quarantine_manager.py
@@ -122,7 +122,7 @@
             self._reporter.adopt(record)
 
     def record_deleted(self, key: str) -> None:
-        """Remove a daemon's record of ends, or store its own again."""
+        """Remove another daemon's record of ends; store this daemon's own record again."""
         daemon = key.removeprefix(ENDS_PREFIX)
         if daemon == self._context.daemon_name:
             self._reporter.restore_record()
