--- a/rackswitch/routing/__init__.py
+++ b/rackswitch/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choosing a target, and what is known of targets."""
+"""Target selection, and the state and load estimates of targets."""
 
 from rackswitch.routing.admission import *  # noqa: F403
 from rackswitch.routing.admission import __all__ as _admission_all
--- a/rackswitch/routing/admission.py
+++ b/rackswitch/routing/admission.py
@@ -1,4 +1,4 @@
-"""Whether to take a request on at all."""
+"""Admission control before a request is sent to its target."""
 
 from rackswitch.outcomes import NotRun, NotRunReason
 from rackswitch.routing.policies import BATCH_WIDTH, RoutedRequest, estimated_wait_seconds
@@ -6,11 +6,11 @@
 
 __all__ = ["admit"]
 
-QUEUE_BOUND_SECONDS = 8.0
-"""Longest estimated wait that a request without a deadline is queued for."""
+MAX_QUEUE_SECONDS = 8.0
+"""Longest estimated queue that a request of the most urgent class joins."""
 
-CLASS_HEADROOM = 0.06
-"""Part of the bound that each step down in caller class gives up under load."""
+CLASS_QUEUE_REDUCTION = 0.06
+"""Share of `MAX_QUEUE_SECONDS` by which the limit shrinks with each less urgent caller class."""
 
 
 def admit(
@@ -19,15 +19,15 @@
     deadline_seconds: float | None,
     caller_class: int,
 ) -> NotRun | None:
-    """Decide whether the request can be served in time by the chosen target.
+    """Decide whether the chosen target can serve the request in time.
 
-    Work that cannot finish is refused before it costs an engine anything. Lower classes
-    (larger numbers) meet the queue bound earlier, so a burst displaces them first.
+    Requests that would miss their deadline are refused before they cost an engine anything.
+    Less urgent classes (larger numbers) have a lower queue limit, so a burst displaces them first.
 
     Returns
     -------
     NotRun or None
-        The refusal with the time to come back, or None to go on.
+        The refusal with the time to retry at, or None if the request is admitted.
     """
     wait_seconds = estimated_wait_seconds(request, target)
     finish_seconds = request.now_seconds + wait_seconds
@@ -40,11 +40,11 @@
     queue_seconds = target.outstanding_tokens() / (
         max(1.0, target.speed_tokens_per_second) * BATCH_WIDTH
     )
-    bound_seconds = QUEUE_BOUND_SECONDS * (1.0 - CLASS_HEADROOM * caller_class)
-    if queue_seconds > bound_seconds:
+    max_queue_seconds = MAX_QUEUE_SECONDS * (1.0 - CLASS_QUEUE_REDUCTION * caller_class)
+    if queue_seconds > max_queue_seconds:
         return NotRun(
             NotRunReason.OVERLOADED,
             f"the shortest queue is {queue_seconds:.1f} s long",
-            request.now_seconds + queue_seconds - bound_seconds + 0.5,
+            request.now_seconds + queue_seconds - max_queue_seconds + 0.5,
         )
     return None
--- a/rackswitch/routing/directory.py
+++ b/rackswitch/routing/directory.py
@@ -1,9 +1,8 @@
-"""The targets that the platform lists, and which of them may get new work.
+"""The targets that the platform lists, and which of them may receive new work.
 
-Targets list themselves in the platform's key-value service under a lease. An
-entry that goes means that the target has left, unless the service itself was
-away: then entries lapse though their targets live, and are back shortly after
-the service is.
+Targets register in the platform's key-value service under a lease. A removed entry means that the
+target has left, unless the service was unreachable: then leases expire although their targets still
+run, and the targets register again shortly after the service is reachable.
 """
 
 from dataclasses import dataclass, field
@@ -11,11 +10,7 @@
 __all__ = ["ListedTarget", "TargetDirectory"]
 
 LAPSE_GRACE_SECONDS = 2.0
-"""How long an entry that lapsed with the service may take to come back.
-
-Source: the platform's operators; a live target lists itself again within about two
-seconds of the service's return.
-"""
+"""How long a target whose lease expired during an outage may take to register again."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,18 +20,18 @@
     Attributes
     ----------
     instance : str
-        Identity of the target. Some keep it over a restart; `start` tells their starts apart.
+        Identity of the target. It may survive a restart; `start` distinguishes the starts.
     draining : bool
         Whether it is leaving and must get no new work.
     versions : dict of str to int
         The weights it has loaded, by model.
     reclaimable : bool
-        Whether the platform may take it away at short notice.
+        Whether the platform may reclaim it at short notice.
     started_at_unix_ms : int
-        When it started; 0 if it does not say.
+        When it started; 0 if not reported.
     leaving_in_seconds : float or None
-        How long it would still be there, told when it wrote its entry; None if it does not leave
-        or does not say.
+        Remaining lifetime at the time it wrote its entry; None if it is not leaving or did not
+        report it.
     """
 
     instance: str
@@ -53,7 +48,7 @@
 
     @property
     def start(self) -> str:
-        """Key of this start, as INSTANCE@START_MS: a target may come back under its identity."""
+        """Key of this start, as INSTANCE@START_MS: a restarted target may keep its identity."""
         return f"{self.instance}@{self.started_at_unix_ms}"
 
     @property
@@ -64,27 +59,27 @@
 
 @dataclass(slots=True)
 class TargetDirectory:
-    """What one daemon knows of the platform's list.
+    """One daemon's copy of the platform's list of targets.
 
     Attributes
     ----------
     entries : dict of str to ListedTarget
         The targets listed, by instance.
     lapsed : dict of str to float
-        Targets whose entry went while the service was away, and until when (monotonic)
-        each may still be used.
+        Targets whose entry was removed while the service was unreachable, and until when
+        (monotonic) each may still be used.
     """
 
     entries: dict[str, ListedTarget] = field(default_factory=dict)
     lapsed: dict[str, float] = field(default_factory=dict)
 
     def put(self, target: ListedTarget) -> None:
-        """Take in an entry."""
+        """Add or replace an entry."""
         self.entries[target.instance] = target
         self.lapsed.pop(target.instance, None)
 
-    def remove(self, instance: str, now_seconds: float, service_back_seconds: float) -> None:
-        """Take an entry out that the list no longer has.
+    def remove(self, instance: str, now_seconds: float, service_reachable_seconds: float) -> None:
+        """Remove an entry that the list no longer has.
 
         Parameters
         ----------
@@ -92,17 +87,17 @@
             The entry's identity.
         now_seconds : float
             Monotonic clock.
-        service_back_seconds : float
-            When the key-value service was last back from being away; minus infinity if it
-            never was.
+        service_reachable_seconds : float
+            When the key-value service last became reachable again; minus infinity if it was never
+            unreachable.
         """
         if instance not in self.entries:
             return
-        deadline_seconds = service_back_seconds + LAPSE_GRACE_SECONDS
+        deadline_seconds = service_reachable_seconds + LAPSE_GRACE_SECONDS
         if now_seconds < deadline_seconds:
             self.lapsed.setdefault(instance, deadline_seconds)
         else:
-            self._forget(instance)
+            self._discard(instance)
 
     def at_address(self, host: str, port: int) -> list[ListedTarget]:
         """Return the targets that are listed at an address."""
@@ -111,8 +106,8 @@
         ]
 
     def disown(self, instance: str) -> None:
-        """Note that another target answered at this one's address."""
-        self._forget(instance)
+        """Remove a target at whose address another target answered."""
+        self._discard(instance)
 
     def usable(self, service: str, now_seconds: float) -> list[ListedTarget]:
         """Return the targets of a service that may get new work now."""
@@ -124,11 +119,11 @@
         ]
 
     def expire(self, now_seconds: float) -> None:
-        """Forget lapsed entries whose grace is over."""
-        over = [name for name, until in self.lapsed.items() if now_seconds >= until]
-        for instance in over:
-            self._forget(instance)
+        """Remove lapsed entries whose grace period is over."""
+        expired = [name for name, until in self.lapsed.items() if now_seconds >= until]
+        for instance in expired:
+            self._discard(instance)
 
-    def _forget(self, instance: str) -> None:
+    def _discard(self, instance: str) -> None:
         self.entries.pop(instance, None)
         self.lapsed.pop(instance, None)
--- a/rackswitch/routing/load_estimator.py
+++ b/rackswitch/routing/load_estimator.py
@@ -1,11 +1,12 @@
-"""What one daemon believes of the load of each target.
+"""Estimates the load and pace of each target, at one daemon.
 
-A word is a target's statement about its own load (`ReportedLoad`). A pace is how many times longer
-than usual work takes at a target: 1 is as usual, 2 half as fast. A surprise is by how much longer a
-request took than words alone had promised, as a logarithm.
+A `ReportedLoad` is a target's statement about its own load. A pace is how many times longer than
+typical work takes at a target: 1 is typical, 2 half as fast. A log residual is the logarithm of a
+request's observed time divided by the time that reports alone predicted.
 
-What comes in, each with its time: words, sends and ends of this daemon's requests, how long these
-took, and refusals. What comes out: places, which `rackswitch.routing.placing` chooses among.
+Inputs, each with its time, are load reports, sends and ends of this daemon's requests, their
+durations, and refusals. Outputs are target estimates, among which `rackswitch.routing.placing`
+chooses.
 """
 
 import math
@@ -19,64 +20,66 @@
 
 __all__ = ["LoadEstimator", "SentRequest", "WorkKind"]
 
-MIN_FADE_SECONDS = 1.0
-"""Least time over which what a word tells of others' requests fades, also where requests are
-shorter: as others' requests end, others send new ones."""
+MIN_LOAD_DECAY_SECONDS = 1.0
+"""Minimum time constant with which the reported requests of other daemons decay. It also applies
+where requests are shorter: as requests end, other daemons send new ones."""
 
-PACE_MEMORY_SECONDS = 0.3
-"""How long a told pace's difference from the learnt one lasts on average: it comes from other users
-of the target's machine."""
+PACE_NOISE_DECAY_SECONDS = 0.3
+"""Mean duration of a reported pace's deviation from the average. Such deviations come from other
+load on the target's VM."""
 
-LEARNING_SECONDS = 2.0
-"""Span over which a target's usual pace is learnt: several times `PACE_MEMORY_SECONDS`, so that
-passing noise averages out."""
+PACE_AVERAGING_SECONDS = 2.0
+"""Time constant of a target's average pace, several times `PACE_NOISE_DECAY_SECONDS` so that noise
+averages out."""
 
-LEARNT_LIFE_SECONDS = 10.0
-"""Over which a learnt pace fades, without a word, towards the best of the service, so that a target
-that was slow is tried again."""
+AVERAGE_PACE_DECAY_SECONDS = 10.0
+"""Time constant with which an average pace, without new reports, decays towards the best of the
+service, so that a target that was slow is tried again."""
 
-SURPRISE_SPAN_SECONDS = 1.0
-"""Span over which own requests' times against the expected ones are averaged."""
+RESIDUAL_AVERAGING_SECONDS = 1.0
+"""Time constant of the average of log residuals."""
 
-SURPRISE_LIFE_SECONDS = 3.0
-"""Over which a surprise fades, so that a target that did worse than its word is tried again."""
+RESIDUAL_DECAY_SECONDS = 3.0
+"""Time constant with which a log residual decays, so that a target that was slower than it reported
+is tried again."""
 
 MAX_SAMPLE_WEIGHT = 0.3
-"""Weight of one observation at most, however long none came before it."""
+"""Maximum weight of one observation, however long ago the previous one was."""
 
-MAX_LOG_SURPRISE = math.log(8.0)
-"""Bound on how far observations may overrule a word, in both directions."""
+MAX_LOG_RESIDUAL = math.log(8.0)
+"""Bound on how far observations may correct a report, in both directions."""
 
-FAILURE_LOG_SURPRISE = math.log(8.0)
-"""A failed request counts as if its work had taken so many times longer: it is made again."""
+FAILURE_LOG_RESIDUAL = math.log(8.0)
+"""Log residual of a failed request, which has to be repeated."""
 
-USUAL_SMOOTHING = 0.05
-"""Weight of one observation in a service's usual time: some twenty count."""
+RUN_TIME_SMOOTHING = 0.05
+"""Weight of one request in a service's typical time."""
 
-PIECE_SMOOTHING = 0.005
-"""The same for the gaps between pieces: one text brings many, and must not decide alone."""
+PIECE_TIME_SMOOTHING = 0.005
+"""Weight of one piece in a service's typical time of a piece. A text has many pieces, and one text
+must not dominate the average."""
 
 DEFAULT_SLOTS = 4
-"""Requests side by side at a target whose slots nobody tells."""
+"""Slots of a target that neither reports nor lists them."""
 
 
 class WorkKind(Enum):
-    """What a piece of work is counted in."""
+    """What a request's work is counted in."""
 
     CALL = "call"
     TEXT = "text"
 
 
-FIRST_UNIT_SECONDS = {WorkKind.CALL: 0.05, WorkKind.TEXT: 0.04}
-"""Time of a call, or of a piece of a text, before one was seen."""
+INITIAL_UNIT_SECONDS = {WorkKind.CALL: 0.05, WorkKind.TEXT: 0.04}
+"""Time of a call, or of a piece of a text, before the first observation."""
 
-FIRST_RUN_SECONDS = {WorkKind.CALL: 0.05, WorkKind.TEXT: 0.9}
-"""Time of a whole request before one was seen."""
+INITIAL_RUN_SECONDS = {WorkKind.CALL: 0.05, WorkKind.TEXT: 0.9}
+"""Time of a complete request before the first observation."""
 
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """A request of this daemon that is on its way or worked on.
+    """A request of this daemon that has been sent and has not ended.
 
     Attributes
     ----------
@@ -85,11 +88,11 @@
     kind : WorkKind
         What its work is counted in.
     place : TargetEstimate
-        What was believed of the target without it.
-    log_surprise : float
-        Part of the place's pace that came from observation, not from words; its logarithm.
+        The target's estimate without this request.
+    log_correction : float
+        Logarithm of the part of the estimated pace that came from observations, not from reports.
     expected_seconds : float
-        How long a usual request was believed to take there.
+        Estimated time of a typical request there.
     sent_at_seconds : float
         When it was sent (monotonic).
     """
@@ -98,254 +101,257 @@
     service: str
     kind: WorkKind
     place: TargetEstimate
-    log_surprise: float
+    log_correction: float
     expected_seconds: float
     sent_at_seconds: float
 
     def log_ratio_so_far(self, now_seconds: float) -> float:
-        """Return the logarithm of how much longer than words said a usual request takes so far."""
+        """Return the log residual of a typical request that ended now."""
         took_seconds = max(1e-4, now_seconds - self.sent_at_seconds)
-        return math.log(took_seconds / self.expected_seconds) + self.log_surprise
+        return math.log(took_seconds / self.expected_seconds) + self.log_correction
 
 
 @dataclass(slots=True)
 class _LoadEstimate:
-    """What is known of one start of a target.
+    """State of one start of a target.
 
     Attributes
     ----------
-    word : ReportedLoad or None
-        The last one.
-    own : int
+    reported : ReportedLoad or None
+        The last load report.
+    own_requests : int
         Requests of this daemon that are there.
     pending : list of SentRequest
         The calls among them, oldest first.
-    own_at_word : int
-        How many of this daemon's were there when the last word came, which counts them too.
-    learnt_pace : float or None
-        The usual pace, from words; None before the first word that tells one.
-    log_surprise : float
-        Logarithm of how much longer work took than words said, at `surprised_at_seconds`.
+    own_at_report : int
+        This daemon's requests that were there when the last report came, which counts them too.
+    average_pace : float or None
+        Moving average of the reported paces; None before the first report with a pace.
+    log_residual : float
+        Moving average of the log residuals, at `residual_updated_at_seconds`.
     """
 
-    word: ReportedLoad | None = None
-    own: int = 0
+    reported: ReportedLoad | None = None
+    own_requests: int = 0
     pending: list[SentRequest] = field(default_factory=list)
-    own_at_word: int = 0
-    learnt_pace: float | None = None
-    pace_told_at_seconds: float = float("-inf")
+    own_at_report: int = 0
+    average_pace: float | None = None
+    pace_reported_at_seconds: float = float("-inf")
     refused_at_seconds: float = float("-inf")
-    log_surprise: float = 0.0
-    surprised_at_seconds: float = float("-inf")
+    log_residual: float = 0.0
+    residual_updated_at_seconds: float = float("-inf")
 
-    def word_age_seconds(self, now_seconds: float) -> float:
-        """Return the age of the last word; infinite if there is none."""
-        if self.word is None:
+    def report_age_seconds(self, now_seconds: float) -> float:
+        """Return the age of the last report; infinite if there is none."""
+        if self.reported is None:
             return math.inf
-        return max(0.0, now_seconds - self.word.heard_at_seconds)
+        return max(0.0, now_seconds - self.reported.received_at_seconds)
 
-    def surprise_now(self, now_seconds: float) -> float:
-        """Return the logarithm of how much longer work takes than words say."""
-        age_seconds = now_seconds - self.surprised_at_seconds
-        return self.log_surprise * math.exp(-max(0.0, age_seconds) / SURPRISE_LIFE_SECONDS)
+    def log_residual_at(self, now_seconds: float) -> float:
+        """Return the average log residual, decayed to the given time."""
+        age_seconds = now_seconds - self.residual_updated_at_seconds
+        return self.log_residual * math.exp(-max(0.0, age_seconds) / RESIDUAL_DECAY_SECONDS)
 
-    def overdue(self, now_seconds: float) -> float:
-        """Return the logarithm of how much longer than words said the oldest call takes so far.
+    def overdue_log_ratio(self, now_seconds: float) -> float:
+        """Return the log residual of the oldest pending call if it ended now.
 
-        A target that stands still tells nothing, and its calls' times come too late.
+        It detects a stalled target, which sends no reports and whose calls do not end.
         """
         if not self.pending:
             return -math.inf
-        return min(MAX_LOG_SURPRISE, self.pending[0].log_ratio_so_far(now_seconds))
+        return min(MAX_LOG_RESIDUAL, self.pending[0].log_ratio_so_far(now_seconds))
 
-    def correction_now(self, now_seconds: float) -> float:
-        """Return the logarithm of how much longer than words say work is believed to take."""
-        return max(self.surprise_now(now_seconds), self.overdue(now_seconds))
+    def log_correction_at(self, now_seconds: float) -> float:
+        """Return the logarithm of the factor by which observations correct the reported pace."""
+        return max(self.log_residual_at(now_seconds), self.overdue_log_ratio(now_seconds))
 
-    def surprised(self, log_ratio: float, now_seconds: float) -> None:
-        """Take in how a request's time compared with what words alone had promised."""
-        before = self.surprise_now(now_seconds)
-        since_seconds = max(0.0, now_seconds - self.surprised_at_seconds)
-        weight = min(MAX_SAMPLE_WEIGHT, 1 - math.exp(-since_seconds / SURPRISE_SPAN_SECONDS))
-        bounded = max(-MAX_LOG_SURPRISE, min(MAX_LOG_SURPRISE, log_ratio))
-        self.log_surprise = before + weight * (bounded - before)
-        self.surprised_at_seconds = now_seconds
+    def record_residual(self, log_ratio: float, now_seconds: float) -> None:
+        """Update the average log residual with one observation."""
+        before = self.log_residual_at(now_seconds)
+        elapsed_seconds = max(0.0, now_seconds - self.residual_updated_at_seconds)
+        weight = min(MAX_SAMPLE_WEIGHT, 1 - math.exp(-elapsed_seconds / RESIDUAL_AVERAGING_SECONDS))
+        bounded = max(-MAX_LOG_RESIDUAL, min(MAX_LOG_RESIDUAL, log_ratio))
+        self.log_residual = before + weight * (bounded - before)
+        self.residual_updated_at_seconds = now_seconds
 
 
 @dataclass(slots=True)
-class _Service:
-    """What is known of all targets of a service together.
+class _ServiceEstimate:
+    """State that all targets of a service share.
 
     Attributes
     ----------
-    tells_pace : bool
-        Whether one of them has told its pace.
+    reports_pace : bool
+        Whether one of them has reported its pace.
     unit_seconds : dict of WorkKind to float
-        Usual time of a call, or of a piece of a text, at pace 1.
+        Typical time of a call, or of a piece of a text, at pace 1.
     run_seconds : dict of WorkKind to float
-        Usual time of a whole request at pace 1.
-    learnt_paces : dict of str to float
-        Usual pace, by start.
+        Typical time of a complete request at pace 1.
+    average_paces : dict of str to float
+        Average pace, by start.
     best_pace : float
-        The least of these; 1 if there is none.
+        Minimum of the average paces; 1 if there is none.
     """
 
-    tells_pace: bool = False
-    unit_seconds: dict[WorkKind, float] = field(default_factory=FIRST_UNIT_SECONDS.copy)
-    run_seconds: dict[WorkKind, float] = field(default_factory=FIRST_RUN_SECONDS.copy)
-    learnt_paces: dict[str, float] = field(default_factory=dict)
+    reports_pace: bool = False
+    unit_seconds: dict[WorkKind, float] = field(default_factory=INITIAL_UNIT_SECONDS.copy)
+    run_seconds: dict[WorkKind, float] = field(default_factory=INITIAL_RUN_SECONDS.copy)
+    average_paces: dict[str, float] = field(default_factory=dict)
     best_pace: float = 1.0
 
-    def learnt(self, start: str, pace: float) -> None:
-        """Keep the pace learnt of a start, and the best of all."""
-        before = self.learnt_paces.get(start)
-        self.learnt_paces[start] = pace
-        if len(self.learnt_paces) == 1 or pace <= self.best_pace:
+    def record_average_pace(self, start: str, pace: float) -> None:
+        """Store the average pace of a start and update the best one."""
+        before = self.average_paces.get(start)
+        self.average_paces[start] = pace
+        if len(self.average_paces) == 1 or pace <= self.best_pace:
             self.best_pace = pace
         elif before == self.best_pace:
-            self.best_pace = min(self.learnt_paces.values())
+            self.best_pace = min(self.average_paces.values())
 
     def forget(self, start: str) -> None:
-        """Drop the pace of a start that has gone."""
-        if self.learnt_paces.pop(start, None) is not None:
-            self.best_pace = min(self.learnt_paces.values(), default=1.0)
+        """Remove the pace of a start that has left."""
+        if self.average_paces.pop(start, None) is not None:
+            self.best_pace = min(self.average_paces.values(), default=1.0)
 
 
 @dataclass(slots=True)
 class LoadEstimator:
-    """Beliefs about the targets' load, by start of a target.
+    """Estimates of the targets' load, by start of a target.
 
-    Another start under the same identity is another target: nothing of the old one counts.
+    Another start under the same identity is another target and inherits nothing.
     """
 
-    _beliefs: dict[str, _LoadEstimate] = field(default_factory=dict)
-    _services: dict[str, _Service] = field(default_factory=dict)
+    _loads: dict[str, _LoadEstimate] = field(default_factory=dict)
+    _services: dict[str, _ServiceEstimate] = field(default_factory=dict)
 
     def tells_pace(self, service: str) -> bool:
-        """Return whether a target of a service has told its pace."""
-        known = self._services.get(service)
-        return known is not None and known.tells_pace
+        """Return whether a target of a service has reported its pace."""
+        shared = self._services.get(service)
+        return shared is not None and shared.reports_pace
 
     def usual_run_seconds(self, service: str, kind: WorkKind) -> float:
-        """Return how long a whole request of a service takes at pace 1."""
-        known = self._services.get(service)
-        return known.run_seconds[kind] if known is not None else FIRST_RUN_SECONDS[kind]
-
-    def heard(self, start: str, service: str, word: ReportedLoad) -> None:
-        """Take in a target's word; what this daemon has there is in it."""
-        belief = self._belief(start)
-        if belief.word is not None and word.heard_at_seconds < belief.word.heard_at_seconds:
+        """Return the typical time of a complete request of a service at pace 1."""
+        shared = self._services.get(service)
+        return shared.run_seconds[kind] if shared is not None else INITIAL_RUN_SECONDS[kind]
+
+    def heard(self, start: str, service: str, reported: ReportedLoad) -> None:
+        """Record a target's load report, which includes this daemon's requests there."""
+        load = self._load(start)
+        if (
+            load.reported is not None
+            and reported.received_at_seconds < load.reported.received_at_seconds
+        ):
             return
-        if word.pace is not None:
-            self._learn_pace(belief, word, word.pace)
-            known = self._service(service)
-            known.tells_pace = True
-            known.learnt(start, belief.learnt_pace or word.pace)
-        belief.word = word
-        belief.own_at_word = belief.own
+        if reported.pace is not None:
+            self._update_average_pace(load, reported, reported.pace)
+            shared = self._service(service)
+            shared.reports_pace = True
+            shared.record_average_pace(start, load.average_pace or reported.pace)
+        load.reported = reported
+        load.own_at_report = load.own_requests
 
     def refused(self, start: str, now_seconds: float) -> None:
-        """Note that a target did not begin a request: newer than its word, whatever that said."""
-        self._belief(start).refused_at_seconds = now_seconds
+        """Record that a target refused a request, which overrides its last report."""
+        self._load(start).refused_at_seconds = now_seconds
 
     def sent(
-        self, target: ListedTarget, kind: WorkKind, place: TargetEstimate, now_seconds: float
+        self, target: ListedTarget, kind: WorkKind, estimate: TargetEstimate, now_seconds: float
     ) -> SentRequest:
-        """Count a request of this daemon in."""
-        belief = self._belief(target.start)
-        belief.own += 1
+        """Record the send of a request of this daemon."""
+        load = self._load(target.start)
+        load.own_requests += 1
         run_seconds = self.usual_run_seconds(target.service, kind)
         sent = SentRequest(
             start=target.start,
             service=target.service,
             kind=kind,
-            place=place,
-            log_surprise=belief.correction_now(now_seconds),
-            expected_seconds=place.finish_seconds(1.0, run_seconds),
+            place=estimate,
+            log_correction=load.log_correction_at(now_seconds),
+            expected_seconds=estimate.finish_seconds(1.0, run_seconds),
             sent_at_seconds=now_seconds,
         )
         if kind is WorkKind.CALL:
-            belief.pending.append(sent)
+            load.pending.append(sent)
         return sent
 
     def done(self, sent: SentRequest, goes_on: bool = False) -> None:
-        """Count a request of this daemon out, however it ended.
+        """Record the end of a request of this daemon, whatever its result.
 
         Parameters
         ----------
         sent : SentRequest
             The request.
         goes_on : bool, optional
-            Whether the target still works on it, unseen from here: it counts then as one of
-            others', until the word that tells of it has faded.
+            Whether the target still works on it, unobserved by this daemon. It then counts as a
+            request of another daemon until the report that includes it has decayed.
         """
-        belief = self._beliefs.get(sent.start)
-        if belief is None:
+        load = self._loads.get(sent.start)
+        if load is None:
             return
-        belief.own = max(0, belief.own - 1)
-        belief.pending = [other for other in belief.pending if other is not sent]
+        load.own_requests = max(0, load.own_requests - 1)
+        load.pending = [other for other in load.pending if other is not sent]
         if goes_on:
-            belief.own_at_word = max(0, belief.own_at_word - 1)
+            load.own_at_report = max(0, load.own_at_report - 1)
 
     def worked(self, sent: SentRequest, units: float, now_seconds: float) -> None:
-        """Learn from the time that a served request took.
+        """Update the estimates with the duration of a served request.
 
         Parameters
         ----------
         sent : SentRequest
             The request.
         units : float
-            Its work: 1 for a call, or the pieces of a text.
+            Its work: 1 for a call, or the number of pieces of a text.
         now_seconds : float
-            When it was through (monotonic).
+            When it finished (monotonic).
         """
         took_seconds = max(1e-4, now_seconds - sent.sent_at_seconds)
-        belief = self._belief(sent.start)
-        service = self._service(sent.service)
-        run_seconds = service.run_seconds[sent.kind]
+        load = self._load(sent.start)
+        shared = self._service(sent.service)
+        run_seconds = shared.run_seconds[sent.kind]
         if sent.place.wait_seconds(run_seconds) == 0.0:
-            self._learn_usual(sent, took_seconds)
+            self._update_typical_times(sent, took_seconds)
         if sent.kind is WorkKind.CALL:
             expected_seconds = sent.place.finish_seconds(units, run_seconds)
             log_ratio = math.log(took_seconds / expected_seconds)
-            belief.surprised(log_ratio + sent.log_surprise, now_seconds)
+            load.record_residual(log_ratio + sent.log_correction, now_seconds)
 
     def given_up(self, sent: SentRequest, now_seconds: float) -> None:
-        """Learn from a call that nobody waits for any more: it takes at least as long as it did."""
-        belief = self._belief(sent.start)
+        """Record an abandoned call; its elapsed time is a lower bound of its duration."""
+        load = self._load(sent.start)
         log_ratio = sent.log_ratio_so_far(now_seconds)
-        if log_ratio > max(0.0, belief.surprise_now(now_seconds)):
-            belief.surprised(log_ratio, now_seconds)
-
-    def piece(self, start: str, service: str, gap_seconds: float, now_seconds: float) -> None:
-        """Learn from the gap between two pieces of a text."""
-        belief = self._belief(start)
-        units = self._service(service).unit_seconds
-        pace = self._word_pace(belief, service, 0.0, now_seconds)
-        at_usual_seconds = max(1e-4, gap_seconds) / pace
-        usual_seconds = units[WorkKind.TEXT]
-        log_ratio = math.log(at_usual_seconds / usual_seconds)
-        belief.surprised(log_ratio, now_seconds)
+        if log_ratio > max(0.0, load.log_residual_at(now_seconds)):
+            load.record_residual(log_ratio, now_seconds)
+
+    def piece(self, start: str, service: str, interval_seconds: float, now_seconds: float) -> None:
+        """Update the estimates with the interval between two pieces of a text."""
+        load = self._load(start)
+        unit_seconds = self._service(service).unit_seconds
+        pace = self._reported_pace(load, service, 0.0, now_seconds)
+        observed_seconds = max(1e-4, interval_seconds) / pace
+        typical_seconds = unit_seconds[WorkKind.TEXT]
+        log_ratio = math.log(observed_seconds / typical_seconds)
+        load.record_residual(log_ratio, now_seconds)
         bounded = max(-1.0, min(1.0, log_ratio))
-        units[WorkKind.TEXT] = usual_seconds * math.exp(PIECE_SMOOTHING * bounded)
+        unit_seconds[WorkKind.TEXT] = typical_seconds * math.exp(PIECE_TIME_SMOOTHING * bounded)
 
     def failed(self, start: str, now_seconds: float) -> None:
-        """Note an answer that served nobody: a target that fails fast must not look fast."""
-        self._belief(start).surprised(FAILURE_LOG_SURPRISE, now_seconds)
+        """Record a failed request as a slow one: a target that fails fast must not look fast."""
+        self._load(start).record_residual(FAILURE_LOG_RESIDUAL, now_seconds)
 
     def forget(self, start: str) -> None:
-        """Drop what is known of a start that has gone."""
-        self._beliefs.pop(start, None)
-        for service in self._services.values():
-            service.forget(start)
+        """Remove the state of a start that has left."""
+        self._loads.pop(start, None)
+        for shared in self._services.values():
+            shared.forget(start)
 
     def starts(self) -> set[str]:
-        """Return the starts of which anything is known."""
-        known = set(self._beliefs)
-        return known.union(*(service.learnt_paces for service in self._services.values()))
+        """Return the starts that have any state."""
+        known = set(self._loads)
+        return known.union(*(shared.average_paces for shared in self._services.values()))
 
     def keep_only(self, starts: Set[str]) -> None:
-        """Drop what is known of all other starts, also what came late of those that have gone."""
+        """Remove the state of all other starts, including what was recorded after they left."""
         for start in self.starts() - starts:
             self.forget(start)
 
@@ -358,7 +364,7 @@
         arrival_seconds: float = 0.0,
         is_at_hand: bool = False,
     ) -> TargetEstimate:
-        """Return what a place at a target is worth now.
+        """Return the current estimate of a target.
 
         Parameters
         ----------
@@ -369,18 +375,20 @@
         now_seconds : float
             Monotonic clock.
         arrival_seconds : float, optional
-            Network distance there and back.
+            Network round trip.
         is_at_hand : bool, optional
-            Whether a connection rests there.
+            Whether an idle open connection to it exists.
         """
-        belief = self._beliefs.get(target.start) or _LoadEstimate()
-        service = self._services.get(target.service) or _Service()
-        unit_seconds = service.unit_seconds[kind]
-        run_seconds = service.run_seconds[kind]
-        pace = self._word_pace(belief, target.service, units * unit_seconds, now_seconds)
-        pace *= math.exp(belief.correction_now(now_seconds))
-        slots = _slots(belief, target)
-        requests = _requests(belief, slots, max(MIN_FADE_SECONDS, run_seconds), now_seconds)
+        load = self._loads.get(target.start) or _LoadEstimate()
+        shared = self._services.get(target.service) or _ServiceEstimate()
+        unit_seconds = shared.unit_seconds[kind]
+        run_seconds = shared.run_seconds[kind]
+        pace = self._reported_pace(load, target.service, units * unit_seconds, now_seconds)
+        pace *= math.exp(load.log_correction_at(now_seconds))
+        slots = _slot_count(load, target)
+        requests = _request_count(
+            load, slots, max(MIN_LOAD_DECAY_SECONDS, run_seconds), now_seconds
+        )
         return TargetEstimate(
             instance=target.instance,
             slots=slots,
@@ -388,104 +396,108 @@
             waiting=max(0.0, requests - slots),
             pace=pace,
             unit_seconds=unit_seconds,
-            word_age_seconds=belief.word_age_seconds(now_seconds),
+            word_age_seconds=load.report_age_seconds(now_seconds),
             arrival_seconds=arrival_seconds,
             is_at_hand=is_at_hand,
         )
 
     def usual_units(self, service: str, kind: WorkKind) -> float:
-        """Return the work of a usual request of a service."""
-        known = self._services.get(service) or _Service()
-        return known.run_seconds[kind] / known.unit_seconds[kind]
-
-    def _belief(self, start: str) -> _LoadEstimate:
-        return self._beliefs.setdefault(start, _LoadEstimate())
-
-    def _service(self, service: str) -> _Service:
-        return self._services.setdefault(service, _Service())
-
-    def _learn_pace(self, belief: _LoadEstimate, word: ReportedLoad, pace: float) -> None:
-        """Move the learnt pace towards a word's, by the time that the word stands for."""
-        before = belief.learnt_pace
-        since_seconds = word.heard_at_seconds - belief.pace_told_at_seconds
-        belief.pace_told_at_seconds = word.heard_at_seconds
+        """Return the work of a typical request of a service."""
+        shared = self._services.get(service) or _ServiceEstimate()
+        return shared.run_seconds[kind] / shared.unit_seconds[kind]
+
+    def _load(self, start: str) -> _LoadEstimate:
+        return self._loads.setdefault(start, _LoadEstimate())
+
+    def _service(self, service: str) -> _ServiceEstimate:
+        return self._services.setdefault(service, _ServiceEstimate())
+
+    def _update_average_pace(
+        self, load: _LoadEstimate, reported: ReportedLoad, pace: float
+    ) -> None:
+        """Move the average pace towards a reported one, weighted by the time since the last."""
+        before = load.average_pace
+        elapsed_seconds = reported.received_at_seconds - load.pace_reported_at_seconds
+        load.pace_reported_at_seconds = reported.received_at_seconds
         if before is None:
-            belief.learnt_pace = pace
+            load.average_pace = pace
             return
-        weight = 1 - math.exp(-since_seconds / LEARNING_SECONDS)
-        belief.learnt_pace = before + weight * (pace - before)
-        self._explain_surprise(belief, pace)
+        weight = 1 - math.exp(-elapsed_seconds / PACE_AVERAGING_SECONDS)
+        load.average_pace = before + weight * (pace - before)
+        self._reduce_residual(load, pace)
 
-    def _explain_surprise(self, belief: _LoadEstimate, pace: float) -> None:
-        """Take off a surprise what a word now says itself, so that it does not count twice.
+    def _reduce_residual(self, load: _LoadEstimate, pace: float) -> None:
+        """Subtract from the residual what a newly reported pace explains, to count it once.
 
-        Own requests that took twice as long as told make a surprise of log 2. If the next word
-        tells twice the pace of the last one, it explains that, and nothing of the surprise is left.
+        Requests that took twice as long as predicted give a residual of log 2. If the next report
+        doubles the pace, it explains the residual completely.
         """
-        told = belief.word.pace if belief.word is not None else None
-        if told is None:
+        previous_pace = load.reported.pace if load.reported is not None else None
+        if previous_pace is None:
             return
-        explained = math.log(pace / told)
-        if explained * belief.log_surprise > 0:
-            left = max(0.0, abs(belief.log_surprise) - abs(explained))
-            belief.log_surprise = math.copysign(left, belief.log_surprise)
+        explained = math.log(pace / previous_pace)
+        if explained * load.log_residual > 0:
+            remaining = max(0.0, abs(load.log_residual) - abs(explained))
+            load.log_residual = math.copysign(remaining, load.log_residual)
 
-    def _word_pace(
-        self, belief: _LoadEstimate, service: str, work_seconds: float, now_seconds: float
+    def _reported_pace(
+        self, load: _LoadEstimate, service: str, work_seconds: float, now_seconds: float
     ) -> float:
-        """Return the pace over some work to come, by words alone.
+        """Return the mean pace over upcoming work, from reports alone.
 
-        A word's difference from the learnt pace decays from the moment when it was said, and
-        counts by its mean over the work: noise is over before a long text is.
+        A report's deviation from the average decays from the moment it was received, and counts by
+        its mean over the work: noise ends before a long text does.
         """
-        # Taken for worse than the best, a target without a word would never be tried.
+        # A target without a report is assumed to be the best; otherwise it would never be tried.
         best = self._services[service].best_pace if service in self._services else 1.0
-        word = belief.word
-        if word is None or belief.learnt_pace is None:
+        reported = load.reported
+        if reported is None or load.average_pace is None:
             return best
-        age_seconds = max(0.0, now_seconds - belief.pace_told_at_seconds)
-        learnt_share = math.exp(-age_seconds / LEARNT_LIFE_SECONDS)
-        learnt = best + (belief.learnt_pace - best) * learnt_share
-        if word.pace is None:
-            return learnt
-        share = math.exp(-age_seconds / PACE_MEMORY_SECONDS) * _mean_decay(work_seconds)
-        return learnt + (word.pace - belief.learnt_pace) * share * learnt_share
-
-    def _learn_usual(self, sent: SentRequest, took_seconds: float) -> None:
-        """Move a service's usual times towards a request's that waited for nothing."""
-        service = self._service(sent.service)
-        usual_seconds = service.run_seconds[sent.kind]
-        log_ratio = math.log(took_seconds / sent.place.pace / usual_seconds)
+        age_seconds = max(0.0, now_seconds - load.pace_reported_at_seconds)
+        average_share = math.exp(-age_seconds / AVERAGE_PACE_DECAY_SECONDS)
+        average = best + (load.average_pace - best) * average_share
+        if reported.pace is None:
+            return average
+        share = math.exp(-age_seconds / PACE_NOISE_DECAY_SECONDS) * _mean_decay(work_seconds)
+        return average + (reported.pace - load.average_pace) * share * average_share
+
+    def _update_typical_times(self, sent: SentRequest, took_seconds: float) -> None:
+        """Move a service's typical times towards those of a request that did not wait."""
+        shared = self._service(sent.service)
+        typical_seconds = shared.run_seconds[sent.kind]
+        log_ratio = math.log(took_seconds / sent.place.pace / typical_seconds)
         bounded = max(-1.0, min(1.0, log_ratio))
-        service.run_seconds[sent.kind] = usual_seconds * math.exp(USUAL_SMOOTHING * bounded)
+        shared.run_seconds[sent.kind] = typical_seconds * math.exp(RUN_TIME_SMOOTHING * bounded)
         if sent.kind is WorkKind.CALL:
-            service.unit_seconds[sent.kind] = service.run_seconds[sent.kind]
+            shared.unit_seconds[sent.kind] = shared.run_seconds[sent.kind]
 
 
 def _mean_decay(work_seconds: float) -> float:
-    """Return how much of a word's news is left on average over some work that begins now."""
-    spans = work_seconds / PACE_MEMORY_SECONDS
+    """Return the mean of the pace noise's decay over work that begins now."""
+    spans = work_seconds / PACE_NOISE_DECAY_SECONDS
     return (1 - math.exp(-spans)) / spans if spans > 1e-6 else 1.0
 
 
-def _slots(belief: _LoadEstimate, target: ListedTarget) -> int:
-    if belief.word is not None:
-        return belief.word.slots
+def _slot_count(load: _LoadEstimate, target: ListedTarget) -> int:
+    if load.reported is not None:
+        return load.reported.slots
     return target.slots or DEFAULT_SLOTS
 
 
-def _requests(belief: _LoadEstimate, slots: int, life_seconds: float, now_seconds: float) -> float:
-    """Return how many requests of all daemons are believed to be at a target."""
+def _request_count(
+    load: _LoadEstimate, slots: int, decay_seconds: float, now_seconds: float
+) -> float:
+    """Return the estimated number of requests of all daemons at a target."""
     others = 0.0
-    if belief.word is not None:
-        told = belief.word.running + belief.word.waiting
-        if belief.word.waiting and belief.word.running < slots:
-            # One that queues with free slots lacks something else: it is as good as full.
-            told = slots + belief.word.waiting
-        age_seconds = belief.word_age_seconds(now_seconds)
-        others = max(0, told - belief.own_at_word) * math.exp(-age_seconds / life_seconds)
-    word_at_seconds = belief.word.heard_at_seconds if belief.word else float("-inf")
-    if belief.refused_at_seconds >= word_at_seconds:
-        age_seconds = max(0.0, now_seconds - belief.refused_at_seconds)
-        others = max(others, 2 * slots * math.exp(-age_seconds / life_seconds))
-    return belief.own + others
+    if load.reported is not None:
+        total = load.reported.running + load.reported.waiting
+        if load.reported.waiting and load.reported.running < slots:
+            # A target that queues with free slots lacks another resource and counts as full.
+            total = slots + load.reported.waiting
+        age_seconds = load.report_age_seconds(now_seconds)
+        others = max(0, total - load.own_at_report) * math.exp(-age_seconds / decay_seconds)
+    reported_at_seconds = load.reported.received_at_seconds if load.reported else float("-inf")
+    if load.refused_at_seconds >= reported_at_seconds:
+        age_seconds = max(0.0, now_seconds - load.refused_at_seconds)
+        others = max(others, 2 * slots * math.exp(-age_seconds / decay_seconds))
+    return load.own_requests + others
--- a/rackswitch/routing/policies.py
+++ b/rackswitch/routing/policies.py
@@ -14,14 +14,15 @@
 PREFILL_TOKENS_PER_SECOND = 8000.0
 WARM_UP_PENALTY_SECONDS = 0.05
 BATCH_WIDTH = 16.0
-"""Requests that an engine is taken to run side by side."""
+"""Assumed number of requests that an engine runs concurrently."""
 
 HOME_WAIT_FACTOR = 1.25
 HOME_WAIT_SECONDS = 0.02
-"""How much longer than elsewhere a request may wait at its prefix's home."""
+"""How much longer than elsewhere a request may wait at its prefix's home target."""
 
-NEAR_TIE_SECONDS = 0.010
-"""Targets this close to the best are drawn from at random, against herding."""
+TIE_SECONDS = 0.010
+"""Targets whose waits exceed the best by at most this are drawn from at random, so that daemons
+do not all choose the same target."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +40,7 @@
     now_seconds : float
         Monotonic clock.
     run_seconds : float
-        How long a request of its service usually takes at pace 1; 0 where targets tell no pace.
+        Typical time of a request of its service at pace 1; 0 where targets report no pace.
     """
 
     prompt_tokens: float
@@ -65,21 +66,25 @@
 def estimated_wait_seconds(request: RoutedRequest, target: Target) -> float:
     """Return the expected time until the target has answered the request.
 
-    The work ahead at the target's observed speed, the part of the prompt that is not
-    cached there, the request's own tokens, the network and a warm-up.
+    It is the sum of the time for the work ahead at the target's observed speed, for the uncached
+    part of the prompt and for the request's own tokens, the network round trip, and a warm-up.
     """
     speed = max(1.0, target.speed_tokens_per_second)
     queue_seconds = target.outstanding_tokens() / (speed * BATCH_WIDTH)
     missed_share = 1.0 - target.cached_share(request.prefixes)
     prefill_seconds = request.prompt_tokens * missed_share / PREFILL_TOKENS_PER_SECOND
     own_seconds = request.cost_tokens / speed
-    warm_up = WARM_UP_PENALTY_SECONDS if request.now_seconds < target.warm_until_seconds else 0.0
-    return queue_seconds + prefill_seconds + own_seconds + 2 * target.one_way_seconds + warm_up
+    warm_up_seconds = (
+        WARM_UP_PENALTY_SECONDS if request.now_seconds < target.warming_up_until_seconds else 0.0
+    )
+    return (
+        queue_seconds + prefill_seconds + own_seconds + 2 * target.one_way_seconds + warm_up_seconds
+    )
 
 
 @POLICIES.register("random")
 class RandomChoice:
-    """Any target, with equal chance."""
+    """Any target, with equal probability."""
 
     __slots__ = ("_rng",)
 
@@ -93,17 +98,17 @@
 
 @POLICIES.register("round_robin")
 class RoundRobin:
-    """The targets in turn."""
+    """The targets in turn, from a random one on."""
 
-    __slots__ = ("_turn",)
+    __slots__ = ("_next",)
 
     def __init__(self, rng: random.Random):
-        self._turn = rng.randrange(1 << 16)
+        self._next = rng.randrange(1 << 16)
 
     def choose(self, request: RoutedRequest, targets: list[Target]) -> Target:
         """Return one of `targets`, which is not empty."""
-        self._turn += 1
-        return targets[self._turn % len(targets)]
+        self._next += 1
+        return targets[self._next % len(targets)]
 
 
 @POLICIES.register("least_reported")
@@ -140,12 +145,11 @@
 
 
 @POLICIES.register("at_hand")
-class AtHand:
-    """A target to which a connection rests, or else the less loaded of two.
+class IdleConnection:
+    """The less loaded of two targets, drawn among those with an idle open connection if any.
 
-    A daemon that calls a service now and then opens a connection for nearly each call when it
-    draws among all targets. A daemon that serves many calls has connections to all of them, and so
-    draws among all.
+    Drawing among all targets would open a connection for nearly each call of a daemon that calls a
+    service rarely. A daemon with many calls has connections to all targets and draws among all.
     """
 
     __slots__ = ("_two_choices",)
@@ -155,15 +159,15 @@
 
     def choose(self, request: RoutedRequest, targets: list[Target]) -> Target:
         """Return one of `targets`, which is not empty."""
-        at_hand = [target for target in targets if target.is_at_hand(request.now_seconds)]
-        return self._two_choices.choose(request, at_hand or targets)
+        connected = [target for target in targets if target.is_at_hand(request.now_seconds)]
+        return self._two_choices.choose(request, connected or targets)
 
 
 @POLICIES.register("nearly_best")
 class NearlyBest:
-    """A draw among the places that finish a request first, by what targets tell.
+    """A weighted draw among the targets that are estimated to finish a request first.
 
-    Targets without a place are passed over; if none has one, the less loaded of two is chosen.
+    Targets without an estimate are ignored; if none has one, the less loaded of two is chosen.
     """
 
     __slots__ = ("_rng", "_two_choices")
@@ -175,15 +179,15 @@
     def choose(self, request: RoutedRequest, targets: list[Target]) -> Target:
         """Return one of `targets`, which is not empty."""
         by_name = {target.name: target for target in targets}
-        places = [target.place for target in targets if target.place is not None]
-        if not places:
+        estimates = [target.place for target in targets if target.place is not None]
+        if not estimates:
             return self._two_choices.choose(request, targets)
-        return by_name[choose_target(places, 1.0, request.run_seconds, self._rng).instance]
+        return by_name[choose_target(estimates, 1.0, request.run_seconds, self._rng).instance]
 
 
 @POLICIES.register("estimated_wait")
 class EstimatedWait:
-    """The shortest estimated wait, near ties drawn at random."""
+    """The target with the shortest estimated wait; near ties are drawn at random."""
 
     __slots__ = ("_rng",)
 
@@ -194,17 +198,17 @@
         """Return one of `targets`, which is not empty."""
         waits = [(estimated_wait_seconds(request, target), target) for target in targets]
         best_seconds = min(wait for wait, _ in waits)
-        near = [target for wait, target in waits if wait <= best_seconds + NEAR_TIE_SECONDS]
-        return self._rng.choice(near)
+        tied = [target for wait, target in waits if wait <= best_seconds + TIE_SECONDS]
+        return self._rng.choice(tied)
 
 
 @POLICIES.register("prefix_home")
 class PrefixHome:
     """A prefix's home target, unless it is clearly busier than the better of two others.
 
-    The home follows from the prompt's first chunk alone, so all daemons send a prefix to
-    the same engine without talking. Two random candidates in place of all keep daemons
-    with equally old reports from running to the same engine. This is the shipped policy.
+    The home depends on the prompt's first chunk alone, so all daemons send a prefix to the same
+    engine without coordination. Otherwise two random candidates are compared, so that daemons with
+    equally old reports do not all choose the same engine. This is the default policy.
 
     References
     ----------
@@ -223,14 +227,14 @@
         waits = [estimated_wait_seconds(request, target) for target in pair]
         best_seconds = min(waits)
         if request.prefixes:
-            home = _home(request.prefixes[0], targets)
-            bound_seconds = best_seconds * HOME_WAIT_FACTOR + HOME_WAIT_SECONDS
-            if estimated_wait_seconds(request, home) <= bound_seconds:
+            home = _home_target(request.prefixes[0], targets)
+            max_wait_seconds = best_seconds * HOME_WAIT_FACTOR + HOME_WAIT_SECONDS
+            if estimated_wait_seconds(request, home) <= max_wait_seconds:
                 return home
         return pair[waits.index(best_seconds)]
 
 
-def _home(prefix: int, targets: list[Target]) -> Target:
+def _home_target(prefix: int, targets: list[Target]) -> Target:
     """Return the target that a prefix belongs to (rendezvous hashing)."""
 
     def weight(target: Target) -> bytes:
--- a/rackswitch/routing/reported_load.py
+++ b/rackswitch/routing/reported_load.py
@@ -1,7 +1,4 @@
-"""What a target says of its own load.
-
-Such a statement is called a word. Targets send one with answers and refusals.
-"""
+"""The load that a target reports with its answers and refusals."""
 
 from dataclasses import dataclass
 
@@ -10,22 +7,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """One statement of a target about itself.
+    """One load report of a target.
 
     Attributes
     ----------
     running, waiting : int
-        Requests that it works on, and requests in its queue.
+        Requests in progress, and requests in its queue.
     slots : int
-        Requests that it works on at once.
+        Maximum number of requests in progress.
     pace : float or None
-        How many times longer than usual work takes there at present; None if it does not say.
-    heard_at_seconds : float
-        When the answer came that carried it (monotonic).
+        How many times longer than typical work takes there at present; None if not reported.
+    received_at_seconds : float
+        When the answer that carried it was received (monotonic).
     """
 
     running: int
     waiting: int
     slots: int
     pace: float | None
-    heard_at_seconds: float
+    received_at_seconds: float
--- a/rackswitch/routing/target_estimates.py
+++ b/rackswitch/routing/target_estimates.py
@@ -1,7 +1,4 @@
-"""What a place at a target is worth to a request, as one daemon believes it.
-
-A target's word is its last statement about its own load (`rackswitch.routing.reported_load`).
-"""
+"""A daemon's estimate of a target's load, and of when a request would finish there."""
 
 from dataclasses import dataclass, replace
 
@@ -10,27 +7,27 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetEstimate:
-    """Room at one target, with all that the daemon has heard and seen taken together.
+    """Estimated state of one target, from its load reports and this daemon's own requests.
 
     Attributes
     ----------
     instance : str
         The target.
     slots : int
-        Requests that it works on at once.
+        Maximum number of requests in progress.
     running, waiting : float
-        Requests believed to be worked on and to be queued there, of all daemons, with those that
-        this daemon has sent since the target's last word.
+        Estimated requests of all daemons in progress and in the queue, including those that this
+        daemon has sent since the target's last load report.
     pace : float
-        How many times longer than usual work is believed to take there.
+        How many times longer than typical work is estimated to take there.
     unit_seconds : float
-        Usual time of one request, or of one piece of a text, at pace 1.
+        Typical time of one request, or of one piece of a text, at pace 1.
     word_age_seconds : float
-        Age of the target's last word; infinite if it never gave one.
+        Age of the target's last load report; infinite if there is none.
     arrival_seconds : float
-        Network distance there and back, with a new connection if none is open.
+        Network round trip, including a new connection if none is open.
     is_at_hand : bool
-        Whether an open connection rests there.
+        Whether an idle open connection to it exists.
     """
 
     instance: str
@@ -45,35 +42,35 @@
 
     @property
     def free_slots(self) -> float:
-        """Requests that could begin there at once."""
+        """Number of requests that could begin there at once."""
         return max(0.0, self.slots - self.running - self.waiting)
 
     def with_one_more(self) -> "TargetEstimate":
-        """Return the place as it is once one more request has been sent there."""
+        """Return the estimate after one more request has been sent there."""
         if self.free_slots >= 1:
             return replace(self, running=self.running + 1)
         return replace(self, waiting=self.waiting + 1)
 
     def wait_seconds(self, run_seconds: float) -> float:
-        """Return how long one more request waits there for a slot.
+        """Return how long one more request would wait there for a slot.
 
         Parameters
         ----------
         run_seconds : float
-            How long the requests before it usually take at pace 1.
+            Typical time of the requests ahead of it at pace 1.
         """
         ahead = self.running + self.waiting + 1 - self.slots
         return max(0.0, ahead) * run_seconds * self.pace / max(1, self.slots)
 
     def finish_seconds(self, units: float, run_seconds: float) -> float:
-        """Return when one more request is probably through, counted from now.
+        """Return the estimated time from now until one more request has finished.
 
         Parameters
         ----------
         units : float
-            Its work: 1 for a usual request, or the pieces of a text.
+            Its work: 1 for a typical request, or the number of pieces of a text.
         run_seconds : float
-            How long the requests before it usually take at pace 1.
+            Typical time of the requests ahead of it at pace 1.
         """
         work_seconds = units * self.unit_seconds * self.pace
         return self.arrival_seconds + self.wait_seconds(run_seconds) + work_seconds
--- a/rackswitch/routing/targets.py
+++ b/rackswitch/routing/targets.py
@@ -1,4 +1,4 @@
-"""What one daemon knows about one target: load, speed, health, cached prefixes."""
+"""One daemon's state of a target: load, speed, health, cached prefixes."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -12,14 +12,14 @@
 FAILURES_TO_OPEN = 3
 OPEN_SECONDS = 2.0
 MAX_OPEN_SECONDS = 30.0
-PREFIXES_REMEMBERED = 4096
+MAX_PREFIXES = 4096
 WARM_UP_SECONDS = 1.0
 MIN_CLOSED_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """An engine's own word about itself, late by an unknown lag."""
+    """An engine's report of its own load, received with an unknown delay."""
 
     queued_tokens: float
     version: int | None
@@ -34,17 +34,17 @@
     Attributes
     ----------
     one_way_seconds : float
-        Network distance from this daemon.
+        Network delay from this daemon.
     speed_tokens_per_second : float
-        Smoothed rate at which one request's tokens arrived lately.
+        Moving average of the rate at which one request's tokens arrive.
     open_until_seconds : float
-        Until when the circuit breaker keeps ordinary requests away.
+        Until when the circuit breaker is open.
     at_hand_until_seconds : float
-        Until when a connection that served a call in its usual time stays open.
+        Until when a connection that served a call in its typical time stays open.
     start : str
-        Which start of the target all this is about.
+        The start of the target that this state belongs to.
     place : TargetEstimate or None
-        What a place there was worth at the last choice; None if its service tells no pace.
+        Its estimate at the last choice; None if its service reports no pace.
     """
 
     name: str
@@ -58,8 +58,8 @@
     speed_tokens_per_second: float = 200.0
     failures: int = 0
     open_until_seconds: float = 0.0
-    opened_times: int = 0
-    warm_until_seconds: float = 0.0
+    open_count: int = 0
+    warming_up_until_seconds: float = 0.0
     at_hand_until_seconds: float = 0.0
     prefixes: OrderedDict[int, None] = field(default_factory=OrderedDict)
     start: str = ""
@@ -67,19 +67,19 @@
 
     @property
     def version(self) -> int | None:
-        """The version the engine last named, or None if it is not known."""
+        """The version that the engine last reported, or None if it is unknown."""
         return self.report.version if self.report is not None else None
 
     def take_report(self, report: LoadReport) -> None:
-        """Take in a load report and note a version change as a warm-up."""
+        """Record a load report; a new version starts a warm-up."""
         if self.version is not None and report.version != self.version:
-            self.warm_until_seconds = report.received_at_seconds + WARM_UP_SECONDS
+            self.warming_up_until_seconds = report.received_at_seconds + WARM_UP_SECONDS
             self.prefixes.clear()
         self.report = report
         self.own_tokens_at_report = self.own_tokens
 
     def saw_chunk(self, chunk: StreamChunk, now_seconds: float) -> None:
-        """Learn the version, and the load if it is told, from a piece of an answer."""
+        """Record the version, and the load if reported, that a chunk of an answer carries."""
         queued_tokens = chunk.queued_tokens
         if queued_tokens is None:
             if self.report is not None and self.report.version == chunk.version:
@@ -88,67 +88,66 @@
         self.take_report(LoadReport(queued_tokens, chunk.version, False, now_seconds))
 
     def outstanding_tokens(self) -> float:
-        """Return the work believed to be queued or running, in tokens.
+        """Return the estimated work that is queued or running, in tokens.
 
-        A report counts this daemon's own work too; what this daemon has added or seen
-        finish since the report is corrected for.
+        A report includes this daemon's own work. The estimate adds what this daemon has sent since
+        the report and subtracts what has ended.
         """
         reported = self.report.queued_tokens if self.report is not None else 0.0
         return max(self.own_tokens, reported + self.own_tokens - self.own_tokens_at_report)
 
     def begin(self, cost_tokens: float, prefixes: tuple[int, ...]) -> None:
-        """Count a request in."""
+        """Record the start of a request."""
         self.own_requests += 1
         self.own_tokens += cost_tokens
         for prefix in prefixes:
             self.prefixes[prefix] = None
             self.prefixes.move_to_end(prefix)
-        while len(self.prefixes) > PREFIXES_REMEMBERED:
+        while len(self.prefixes) > MAX_PREFIXES:
             self.prefixes.popitem(last=False)
 
     def end(self, cost_tokens: float) -> None:
-        """Count a request out."""
+        """Record the end of a request."""
         self.own_requests -= 1
         self.own_tokens = max(0.0, self.own_tokens - cost_tokens)
 
     def succeeded(self, tokens: int, elapsed_seconds: float) -> None:
-        """Note a whole answer, and the time from its first token to its last.
+        """Record a complete answer and the time from its first token to its last.
 
-        Its rate feeds the speed estimate; an engine that is slow, though it answers, shows
-        here.
+        The token rate updates the speed estimate, which reveals an engine that answers but is slow.
         """
         self.failures = 0
-        self.opened_times = 0
+        self.open_count = 0
         self.open_until_seconds = 0.0
         if tokens > 1 and elapsed_seconds > 0:
             rate = tokens / elapsed_seconds
             self.speed_tokens_per_second += SPEED_SMOOTHING * (rate - self.speed_tokens_per_second)
 
     def failed(self, now_seconds: float) -> None:
-        """Note a failed attempt; enough of them in a row open the breaker for a while."""
+        """Record a failed attempt; several in a row open the circuit breaker."""
         self.failures += 1
         if self.failures >= FAILURES_TO_OPEN:
-            life_seconds = backoff_seconds(OPEN_SECONDS, MAX_OPEN_SECONDS, self.opened_times)
-            self.open_until_seconds = now_seconds + life_seconds
-            self.opened_times += 1
-            # One further failure, of the probe that follows, opens it again.
+            open_seconds = backoff_seconds(OPEN_SECONDS, MAX_OPEN_SECONDS, self.open_count)
+            self.open_until_seconds = now_seconds + open_seconds
+            self.open_count += 1
+            # One more failure, of the probe that follows, opens it again.
             self.failures = FAILURES_TO_OPEN - 1
 
     def went_silent(self, now_seconds: float) -> None:
-        """Note that the target did not take a connection or stopped answering.
+        """Record that the target accepted no connection or stopped answering.
 
-        Unlike a failed answer, which may concern one request, this opens the breaker at
-        once: whatever is sent next would most likely wait in vain too.
+        A failed answer may concern one request only. Silence most likely affects the next request
+        too, so it opens the circuit breaker at once.
         """
         self.failures = FAILURES_TO_OPEN
         self.failed(now_seconds)
 
     def is_at_hand(self, now_seconds: float) -> bool:
-        """Return whether an open connection rests that a call can take."""
+        """Return whether an idle open connection exists that a call can use."""
         return self.own_requests == 0 and now_seconds < self.at_hand_until_seconds
 
     def cached_share(self, prefixes: tuple[int, ...]) -> float:
-        """Return which share of the prompt's prefix chunks this daemon sent here lately."""
+        """Return the share of the prompt's prefix chunks that this daemon sent here recently."""
         if not prefixes:
             return 0.0
         hits = 0
@@ -160,10 +159,10 @@
 
 
 def usable_targets(targets: list[Target], now_seconds: float) -> list[Target]:
-    """Return the targets whose breaker is closed, or all if that would leave too few.
+    """Return the targets whose circuit breaker is closed, or all if those are too few.
 
-    When most targets seem broken the cause is more likely here or in the network, so
-    the breakers never take more than half of the set away.
+    When most targets fail, the cause is more likely this daemon or the network, so the breakers
+    never exclude more than half of the targets.
     """
     closed = [target for target in targets if now_seconds >= target.open_until_seconds]
     if len(closed) < MIN_CLOSED_SHARE * len(targets):
--- a/rackswitch/routing/tests/test_directory.py
+++ b/rackswitch/routing/tests/test_directory.py
@@ -1,7 +1,7 @@
 from rackswitch.routing import ListedTarget, TargetDirectory
 from rackswitch.routing.directory import LAPSE_GRACE_SECONDS
 
-NEVER_AWAY = float("-inf")
+NEVER_UNREACHABLE = float("-inf")
 
 
 def target(name: str, **fields) -> ListedTarget:
@@ -12,32 +12,32 @@
     return [entry.instance for entry in directory.usable("s", now_seconds)]
 
 
-def test_an_entry_that_goes_means_that_the_target_has_left():
+def test_removed_entry_makes_the_target_unusable():
     directory = TargetDirectory()
     directory.put(target("a"))
-    directory.remove("a", 10.0, NEVER_AWAY)
+    directory.remove("a", 10.0, NEVER_UNREACHABLE)
     assert names(directory, 10.0) == []
 
 
-def test_a_draining_target_gets_nothing_new():
+def test_draining_target_is_not_usable():
     directory = TargetDirectory()
     directory.put(target("a"))
     directory.put(target("a", draining=True))
     assert names(directory, 0.0) == []
 
 
-def test_entries_that_lapsed_with_the_service_are_used_until_they_had_time_to_come_back():
+def test_entries_that_expire_in_an_outage_stay_usable_for_a_grace_period():
     directory = TargetDirectory()
     directory.put(target("a"))
     directory.put(target("b"))
     for name in ("a", "b"):
-        directory.remove(name, 10.2, service_back_seconds=10.0)
+        directory.remove(name, 10.2, service_reachable_seconds=10.0)
     assert names(directory, 10.5) == ["a", "b"]
     directory.put(target("a"))
     assert names(directory, 10.0 + LAPSE_GRACE_SECONDS) == ["a"]
 
 
-def test_a_target_whose_address_has_another_is_forgotten():
+def test_disowned_target_is_removed():
     directory = TargetDirectory()
     directory.put(target("a"))
     directory.disown("a")
--- a/rackswitch/routing/tests/test_load_estimator.py
+++ b/rackswitch/routing/tests/test_load_estimator.py
@@ -1,4 +1,4 @@
-"""How words, sends and times become a belief, and how that ages."""
+"""How load reports, sends and observed times update the load estimates, and how these decay."""
 
 import math
 
@@ -13,239 +13,246 @@
     return ListedTarget(name, "s", "h", 1, "z", 6, started_at_unix_ms=started_at_unix_ms)
 
 
-def word(running=0, waiting=0, pace: float | None = 1.0, at=0.0, slots=6) -> ReportedLoad:
-    return ReportedLoad(running, waiting, slots, pace, at)
+def report(running=0, waiting=0, pace: float | None = 1.0, at_seconds=0.0, slots=6) -> ReportedLoad:
+    return ReportedLoad(running, waiting, slots, pace, at_seconds)
 
 
-def place(picture, target, at, kind=CALL, units=1.0):
-    return picture.place(target, kind, units, at)
+def estimate(estimator, target, at_seconds, kind=CALL, units=1.0):
+    return estimator.place(target, kind, units, at_seconds)
 
 
-def serve(picture, target, at, took, kind=CALL):
-    """Send a call and let it be served after a time."""
-    sent = picture.sent(target, kind, place(picture, target, at, kind), at)
-    picture.done(sent)
-    picture.worked(sent, 1.0, at + took)
+def serve(estimator, target, at_seconds, took_seconds, kind=CALL):
+    """Send a call that is served after `took_seconds`."""
+    sent = estimator.sent(target, kind, estimate(estimator, target, at_seconds, kind), at_seconds)
+    estimator.done(sent)
+    estimator.worked(sent, 1.0, at_seconds + took_seconds)
 
 
-def test_only_a_service_whose_targets_tell_their_pace_counts_as_one():
-    picture = LoadEstimator()
-    assert not picture.tells_pace("s")
-    picture.heard("a@0", "s", word(pace=None))
-    assert not picture.tells_pace("s")
-    picture.heard("a@0", "s", word())
-    assert picture.tells_pace("s")
-    assert not picture.tells_pace("t")
+def test_a_service_reports_its_pace_once_one_target_has():
+    estimator = LoadEstimator()
+    assert not estimator.tells_pace("s")
+    estimator.heard("a@0", "s", report(pace=None))
+    assert not estimator.tells_pace("s")
+    estimator.heard("a@0", "s", report())
+    assert estimator.tells_pace("s")
+    assert not estimator.tells_pace("t")
 
 
-def test_own_sends_since_a_word_are_added_and_own_ends_taken_off():
-    picture, target = LoadEstimator(), engine("a")
-    before = picture.sent(target, CALL, place(picture, target, 0.0), 0.0)
-    picture.heard(target.start, "s", word(running=3))
-    assert place(picture, target, 0.0).running == 3
-    after = picture.sent(target, CALL, place(picture, target, 0.0), 0.0)
-    assert place(picture, target, 0.0).running == 4
-    picture.done(after)
-    picture.done(before)
-    assert place(picture, target, 0.0).running == 2
+def test_own_requests_since_a_report_adjust_the_estimate():
+    estimator, target = LoadEstimator(), engine("a")
+    first = estimator.sent(target, CALL, estimate(estimator, target, 0.0), 0.0)
+    estimator.heard(target.start, "s", report(running=3))
+    assert estimate(estimator, target, 0.0).running == 3
+    second = estimator.sent(target, CALL, estimate(estimator, target, 0.0), 0.0)
+    assert estimate(estimator, target, 0.0).running == 4
+    estimator.done(second)
+    estimator.done(first)
+    assert estimate(estimator, target, 0.0).running == 2
 
 
-def test_a_stream_that_goes_on_unseen_counts_as_others():
-    picture, target = LoadEstimator(), engine("a")
-    sent = picture.sent(target, CALL, place(picture, target, 0.0), 0.0)
-    picture.heard(target.start, "s", word(running=1))
-    picture.done(sent, goes_on=True)
-    assert place(picture, target, 0.0).running == 1
-    assert place(picture, target, 20.0).running == pytest.approx(0.0, abs=1e-6)
+def test_an_unobserved_stream_counts_as_another_daemons_request():
+    estimator, target = LoadEstimator(), engine("a")
+    sent = estimator.sent(target, CALL, estimate(estimator, target, 0.0), 0.0)
+    estimator.heard(target.start, "s", report(running=1))
+    estimator.done(sent, goes_on=True)
+    assert estimate(estimator, target, 0.0).running == 1
+    assert estimate(estimator, target, 20.0).running == pytest.approx(0.0, abs=1e-6)
 
 
-def test_an_idle_target_ages_into_probably_free_but_for_own_requests():
-    """A cut stops its words as well: both look alike, and neither keeps the last word alive."""
-    picture, target = LoadEstimator(), engine("a")
-    picture.heard(target.start, "s", word(running=6, waiting=9, pace=2.5))
-    picture.sent(target, CALL, place(picture, target, 0.0), 0.0)
-    waits = [place(picture, target, at).wait_seconds(0.05) for at in (0.0, 0.2, 0.5, 2.0)]
+def test_an_old_report_decays_to_own_requests_only():
+    """Idle and unreachable targets send no reports; their last report must not persist."""
+    estimator, target = LoadEstimator(), engine("a")
+    estimator.heard(target.start, "s", report(running=6, waiting=9, pace=2.5))
+    estimator.sent(target, CALL, estimate(estimator, target, 0.0), 0.0)
+    waits = [
+        estimate(estimator, target, at_seconds).wait_seconds(0.05)
+        for at_seconds in (0.0, 0.2, 0.5, 2.0)
+    ]
     assert waits == sorted(waits, reverse=True)
     assert waits[0] > 0.1
-    late = place(picture, target, 20.0)
-    assert late.running == pytest.approx(1.0, abs=1e-6)
-    assert late.wait_seconds(0.05) == 0.0
-    assert late.word_age_seconds == 20.0
+    aged = estimate(estimator, target, 20.0)
+    assert aged.running == pytest.approx(1.0, abs=1e-6)
+    assert aged.wait_seconds(0.05) == 0.0
+    assert aged.word_age_seconds == 20.0
 
 
-def test_a_target_without_a_word_is_free_and_as_good_as_the_best():
-    picture = LoadEstimator()
-    picture.heard("a@0", "s", word(pace=0.6))
-    picture.heard("b@0", "s", word(pace=1.2))
-    unheard = place(picture, engine("c"), 0.0)
-    assert unheard.pace == 0.6
-    assert unheard.free_slots == 6
-    assert math.isinf(unheard.word_age_seconds)
+def test_a_target_without_a_report_is_assumed_idle_with_the_best_pace():
+    estimator = LoadEstimator()
+    estimator.heard("a@0", "s", report(pace=0.6))
+    estimator.heard("b@0", "s", report(pace=1.2))
+    without_report = estimate(estimator, engine("c"), 0.0)
+    assert without_report.pace == 0.6
+    assert without_report.free_slots == 6
+    assert math.isinf(without_report.word_age_seconds)
 
 
-def test_a_steady_pace_is_kept_while_words_pause():
-    picture, slow, fast = LoadEstimator(), engine("slow"), engine("fast")
+def test_a_steady_pace_is_remembered_between_reports():
+    estimator, slow, fast = LoadEstimator(), engine("slow"), engine("fast")
     for step in range(50):
-        picture.heard(slow.start, "s", word(pace=1.2, at=step * 0.1))
-        picture.heard(fast.start, "s", word(pace=0.6, at=step * 0.1))
-    assert place(picture, slow, 6.0).pace > 1.7 * place(picture, fast, 6.0).pace
+        estimator.heard(slow.start, "s", report(pace=1.2, at_seconds=step * 0.1))
+        estimator.heard(fast.start, "s", report(pace=0.6, at_seconds=step * 0.1))
+    assert estimate(estimator, slow, 6.0).pace > 1.7 * estimate(estimator, fast, 6.0).pace
 
 
-def test_noise_of_some_tenths_of_a_second_counts_at_once_and_not_for_long():
-    picture, target = LoadEstimator(), engine("a")
+def test_pace_noise_takes_effect_at_once_and_decays_quickly():
+    estimator, target = LoadEstimator(), engine("a")
     for step in range(51):
-        picture.heard(target.start, "s", word(pace=1.0, at=step * 0.1))
-    picture.heard(target.start, "s", word(pace=2.5, at=5.1))
-    assert place(picture, target, 5.1).pace > 2.2
-    assert place(picture, target, 6.1).pace < 1.2
-    # A text of a second outlasts the noise.
-    text = place(picture, target, 5.1, WorkKind.TEXT, units=25.0)
-    assert 1.2 < text.pace < 1.7
-
-
-def test_an_older_word_does_not_replace_a_newer_one():
-    picture, target = LoadEstimator(), engine("a")
-    picture.heard(target.start, "s", word(running=5, at=1.0))
-    picture.heard(target.start, "s", word(running=0, at=0.5))
-    assert place(picture, target, 1.0).running == 5
-
-
-def test_a_refusal_is_newer_than_the_word_that_says_free():
-    picture, target = LoadEstimator(), engine("a")
-    picture.heard(target.start, "s", word(running=0))
-    picture.refused(target.start, 0.0)
-    assert place(picture, target, 0.0).wait_seconds(0.05) > 0.0
-    assert place(picture, target, 2.0).wait_seconds(0.05) == 0.0
-    picture.refused(target.start, 3.0)
-    picture.heard(target.start, "s", word(running=0, at=3.1))
-    assert place(picture, target, 3.1).wait_seconds(0.05) == 0.0
-
-
-def test_nothing_of_an_old_word_counts_for_another_start_of_an_engine():
-    picture, before, again = LoadEstimator(), engine("a", 1), engine("a", 2)
-    picture.heard(before.start, "s", word(running=6, waiting=9, pace=3.0))
-    picture.refused(before.start, 0.0)
+        estimator.heard(target.start, "s", report(pace=1.0, at_seconds=step * 0.1))
+    estimator.heard(target.start, "s", report(pace=2.5, at_seconds=5.1))
+    assert estimate(estimator, target, 5.1).pace > 2.2
+    assert estimate(estimator, target, 6.1).pace < 1.2
+    # A text of one second takes longer than the noise lasts.
+    text_estimate = estimate(estimator, target, 5.1, WorkKind.TEXT, units=25.0)
+    assert 1.2 < text_estimate.pace < 1.7
+
+
+def test_an_older_report_does_not_replace_a_newer_one():
+    estimator, target = LoadEstimator(), engine("a")
+    estimator.heard(target.start, "s", report(running=5, at_seconds=1.0))
+    estimator.heard(target.start, "s", report(running=0, at_seconds=0.5))
+    assert estimate(estimator, target, 1.0).running == 5
+
+
+def test_a_refusal_overrides_earlier_reports_only():
+    estimator, target = LoadEstimator(), engine("a")
+    estimator.heard(target.start, "s", report(running=0))
+    estimator.refused(target.start, 0.0)
+    assert estimate(estimator, target, 0.0).wait_seconds(0.05) > 0.0
+    assert estimate(estimator, target, 2.0).wait_seconds(0.05) == 0.0
+    estimator.refused(target.start, 3.0)
+    estimator.heard(target.start, "s", report(running=0, at_seconds=3.1))
+    assert estimate(estimator, target, 3.1).wait_seconds(0.05) == 0.0
+
+
+def test_a_restarted_engine_inherits_nothing():
+    estimator, first, restarted = LoadEstimator(), engine("a", 1), engine("a", 2)
+    estimator.heard(first.start, "s", report(running=6, waiting=9, pace=3.0))
+    estimator.refused(first.start, 0.0)
     for _ in range(5):
-        picture.failed(before.start, 0.0)
-    picture.heard("b@0", "s", word(pace=1.0))
-    new = place(picture, again, 0.0)
-    assert (new.running, new.waiting, new.pace) == (0, 0, 1.0)
-    assert math.isinf(new.word_age_seconds)
-    # What still ends of the old one, or is said late in its name, does not touch the new one.
-    picture.done(picture.sent(before, CALL, place(picture, before, 0.1), 0.1))
-    picture.heard(before.start, "s", word(running=6, waiting=9, at=0.2))
-    assert place(picture, again, 0.2).running == 0
-    picture.forget(before.start)
-    assert place(picture, again, 0.2).pace == 1.0
-
-
-def test_a_target_that_says_good_and_is_slow_is_believed_slow_after_a_few_calls():
-    picture, liar, honest = LoadEstimator(), engine("liar"), engine("honest")
+        estimator.failed(first.start, 0.0)
+    estimator.heard("b@0", "s", report(pace=1.0))
+    new_estimate = estimate(estimator, restarted, 0.0)
+    assert (new_estimate.running, new_estimate.waiting, new_estimate.pace) == (0, 0, 1.0)
+    assert math.isinf(new_estimate.word_age_seconds)
+    # Late ends and reports of the previous start do not affect the new one.
+    estimator.done(estimator.sent(first, CALL, estimate(estimator, first, 0.1), 0.1))
+    estimator.heard(first.start, "s", report(running=6, waiting=9, at_seconds=0.2))
+    assert estimate(estimator, restarted, 0.2).running == 0
+    estimator.forget(first.start)
+    assert estimate(estimator, restarted, 0.2).pace == 1.0
+
+
+def test_observed_calls_correct_a_pace_reported_too_fast():
+    estimator, misreporting, accurate = LoadEstimator(), engine("misreporting"), engine("accurate")
     for step in range(20):
-        at = step * 0.2
-        for target, took in ((liar, 0.3), (honest, 0.05)):
-            picture.heard(target.start, "s", word(pace=1.0, at=at))
-            serve(picture, target, at, took)
-    assert place(picture, liar, 4.0).pace > 2.5 * place(picture, honest, 4.0).pace
-
-
-def test_a_target_that_says_busy_and_is_free_is_believed_less_busy():
-    picture, liar = LoadEstimator(), engine("liar")
-    picture.heard(liar.start, "s", word(running=6, waiting=9))
-    first = place(picture, liar, 0.0).finish_seconds(1.0, 0.05)
+        at_seconds = step * 0.2
+        for target, took_seconds in ((misreporting, 0.3), (accurate, 0.05)):
+            estimator.heard(target.start, "s", report(pace=1.0, at_seconds=at_seconds))
+            serve(estimator, target, at_seconds, took_seconds)
+    assert (
+        estimate(estimator, misreporting, 4.0).pace > 2.5 * estimate(estimator, accurate, 4.0).pace
+    )
+
+
+def test_observed_calls_correct_a_load_reported_too_high():
+    estimator, misreporting = LoadEstimator(), engine("misreporting")
+    estimator.heard(misreporting.start, "s", report(running=6, waiting=9))
+    initial_seconds = estimate(estimator, misreporting, 0.0).finish_seconds(1.0, 0.05)
     for step in range(1, 20):
-        at = step * 0.2
-        picture.heard(liar.start, "s", word(running=6, waiting=9, at=at))
-        serve(picture, liar, at, 0.05)
-    assert place(picture, liar, 3.8).finish_seconds(1.0, 0.05) < first / 1.5
+        at_seconds = step * 0.2
+        estimator.heard(
+            misreporting.start, "s", report(running=6, waiting=9, at_seconds=at_seconds)
+        )
+        serve(estimator, misreporting, at_seconds, 0.05)
+    assert estimate(estimator, misreporting, 3.8).finish_seconds(1.0, 0.05) < initial_seconds / 1.5
 
 
-def test_a_target_that_fails_fast_does_not_look_fast():
-    picture, target = LoadEstimator(), engine("a")
-    picture.heard(target.start, "s", word())
+def test_fast_failures_do_not_make_a_target_look_fast():
+    estimator, target = LoadEstimator(), engine("a")
+    estimator.heard(target.start, "s", report())
     for step in range(10):
-        picture.failed(target.start, step * 0.2)
-    assert place(picture, target, 2.0).pace > 3.0
-    assert place(picture, target, 20.0).pace == pytest.approx(1.0, rel=0.05)
-
-
-def test_a_call_that_is_overdue_shows_a_target_that_stands_still():
-    picture, target = LoadEstimator(), engine("a")
-    picture.heard(target.start, "s", word())
-    sent = picture.sent(target, CALL, place(picture, target, 0.0), 0.0)
-    assert place(picture, target, 0.04).pace == 1.0
-    assert place(picture, target, 0.25).pace == pytest.approx(5.0, rel=0.05)
-    # A newer word does not make its answer come.
-    picture.heard(target.start, "s", word(at=0.25))
-    assert place(picture, target, 0.25).pace > 4.5
-    picture.done(sent)
-    assert place(picture, target, 0.25).pace == 1.0
-
-
-def test_pieces_show_a_pace_that_words_do_not_tell():
-    picture, target = LoadEstimator(), engine("a")
-    picture.heard(target.start, "s", word(pace=1.0))
+        estimator.failed(target.start, step * 0.2)
+    assert estimate(estimator, target, 2.0).pace > 3.0
+    assert estimate(estimator, target, 20.0).pace == pytest.approx(1.0, rel=0.05)
+
+
+def test_an_overdue_call_reveals_a_stalled_target():
+    estimator, target = LoadEstimator(), engine("a")
+    estimator.heard(target.start, "s", report())
+    sent = estimator.sent(target, CALL, estimate(estimator, target, 0.0), 0.0)
+    assert estimate(estimator, target, 0.04).pace == 1.0
+    assert estimate(estimator, target, 0.25).pace == pytest.approx(5.0, rel=0.05)
+    # A newer report does not clear an overdue call.
+    estimator.heard(target.start, "s", report(at_seconds=0.25))
+    assert estimate(estimator, target, 0.25).pace > 4.5
+    estimator.done(sent)
+    assert estimate(estimator, target, 0.25).pace == 1.0
+
+
+def test_piece_intervals_correct_the_reported_pace():
+    estimator, target = LoadEstimator(), engine("a")
+    estimator.heard(target.start, "s", report(pace=1.0))
     for step in range(1, 20):
-        picture.piece(target.start, "s", 0.12, step * 0.12)
-    text = place(picture, target, 2.3, WorkKind.TEXT, units=20.0)
-    assert text.unit_seconds * text.pace == pytest.approx(0.12, rel=0.3)
+        estimator.piece(target.start, "s", 0.12, step * 0.12)
+    text_estimate = estimate(estimator, target, 2.3, WorkKind.TEXT, units=20.0)
+    assert text_estimate.unit_seconds * text_estimate.pace == pytest.approx(0.12, rel=0.3)
 
 
-def test_a_slow_pace_that_is_seen_and_then_told_counts_once():
-    picture, target = LoadEstimator(), engine("a")
+def test_a_slow_pace_observed_and_then_reported_counts_once():
+    estimator, target = LoadEstimator(), engine("a")
     for step in range(20):
-        picture.heard(target.start, "s", word(pace=1.0, at=step * 0.1))
-        serve(picture, target, step * 0.1, 0.125)
-    seen = place(picture, target, 2.0).pace
-    picture.heard(target.start, "s", word(pace=2.5, at=2.0))
-    assert place(picture, target, 2.0).pace < 1.4 * max(seen, 2.5)
-
-
-def test_an_engine_that_queues_with_free_slots_is_as_good_as_full():
-    picture, target = LoadEstimator(), engine("a")
-    picture.heard(target.start, "s", word(running=3, waiting=2))
-    assert place(picture, target, 0.0).free_slots == 0
-    assert place(picture, target, 0.0).waiting == 2
-
-
-def test_a_call_sent_while_another_is_overdue_is_measured_against_words():
-    picture, target = LoadEstimator(), engine("a")
-    picture.heard(target.start, "s", word())
-    stuck = picture.sent(target, CALL, place(picture, target, 0.0), 0.0)
-    second = picture.sent(target, CALL, place(picture, target, 0.25), 0.25)
-    picture.done(second)
-    picture.worked(second, 1.0, 0.3)
-    picture.done(stuck)
-    # It took what words promise: the target is as fast as it says, and no faster.
-    assert place(picture, target, 0.3).pace == pytest.approx(1.0, rel=0.02)
-
-
-def test_words_without_a_pace_do_not_keep_a_learnt_pace_alive():
-    picture, slow = LoadEstimator(), engine("slow")
-    picture.heard("fast@0", "s", word(pace=0.5))
-    picture.heard(slow.start, "s", word(pace=2.0))
+        estimator.heard(target.start, "s", report(pace=1.0, at_seconds=step * 0.1))
+        serve(estimator, target, step * 0.1, 0.125)
+    observed_pace = estimate(estimator, target, 2.0).pace
+    estimator.heard(target.start, "s", report(pace=2.5, at_seconds=2.0))
+    assert estimate(estimator, target, 2.0).pace < 1.4 * max(observed_pace, 2.5)
+
+
+def test_an_engine_that_queues_with_free_slots_counts_as_full():
+    estimator, target = LoadEstimator(), engine("a")
+    estimator.heard(target.start, "s", report(running=3, waiting=2))
+    assert estimate(estimator, target, 0.0).free_slots == 0
+    assert estimate(estimator, target, 0.0).waiting == 2
+
+
+def test_a_call_sent_while_another_is_overdue_is_compared_with_reports():
+    estimator, target = LoadEstimator(), engine("a")
+    estimator.heard(target.start, "s", report())
+    stuck = estimator.sent(target, CALL, estimate(estimator, target, 0.0), 0.0)
+    second = estimator.sent(target, CALL, estimate(estimator, target, 0.25), 0.25)
+    estimator.done(second)
+    estimator.worked(second, 1.0, 0.3)
+    estimator.done(stuck)
+    # It took as long as reported: the estimate is neither slower nor faster than the report.
+    assert estimate(estimator, target, 0.3).pace == pytest.approx(1.0, rel=0.02)
+
+
+def test_reports_without_a_pace_do_not_stop_the_decay_of_an_average_pace():
+    estimator, slow = LoadEstimator(), engine("slow")
+    estimator.heard("fast@0", "s", report(pace=0.5))
+    estimator.heard(slow.start, "s", report(pace=2.0))
     for second in range(1, 61):
-        picture.heard(slow.start, "s", word(pace=None, at=float(second)))
-    assert place(picture, slow, 60.0).pace == pytest.approx(0.5, rel=0.05)
+        estimator.heard(slow.start, "s", report(pace=None, at_seconds=float(second)))
+    assert estimate(estimator, slow, 60.0).pace == pytest.approx(0.5, rel=0.05)
 
 
-def test_words_without_a_pace_do_not_shorten_what_a_word_with_one_stands_for():
-    picture, target = LoadEstimator(), engine("a")
-    picture.heard(target.start, "s", word(pace=2.0))
+def test_reports_without_a_pace_do_not_reduce_the_next_pace_weight():
+    estimator, target = LoadEstimator(), engine("a")
+    estimator.heard(target.start, "s", report(pace=2.0))
     for step in range(1, 100):
-        picture.heard(target.start, "s", word(pace=None, at=step * 0.1))
-    picture.heard(target.start, "s", word(pace=1.0, at=10.0))
-    assert place(picture, target, 11.0).pace == pytest.approx(1.0, rel=0.05)
-
-
-def test_only_starts_that_are_kept_count_in_the_best_pace():
-    picture = LoadEstimator()
-    picture.heard("a@0", "s", word(pace=1.5))
-    picture.heard("gone@0", "s", word(pace=0.5))
-    picture.forget("gone@0")
-    # An answer that was under way as its target went.
-    picture.heard("gone@0", "s", word(pace=0.5, at=0.1))
-    picture.failed("gone@0", 0.1)
-    picture.keep_only({"a@0"})
-    assert picture.starts() == {"a@0"}
-    assert place(picture, engine("new"), 0.1).pace == 1.5
+        estimator.heard(target.start, "s", report(pace=None, at_seconds=step * 0.1))
+    estimator.heard(target.start, "s", report(pace=1.0, at_seconds=10.0))
+    assert estimate(estimator, target, 11.0).pace == pytest.approx(1.0, rel=0.05)
+
+
+def test_the_best_pace_ignores_removed_starts():
+    estimator = LoadEstimator()
+    estimator.heard("a@0", "s", report(pace=1.5))
+    estimator.heard("gone@0", "s", report(pace=0.5))
+    estimator.forget("gone@0")
+    # A report that arrives after its target was removed.
+    estimator.heard("gone@0", "s", report(pace=0.5, at_seconds=0.1))
+    estimator.failed("gone@0", 0.1)
+    estimator.keep_only({"a@0"})
+    assert estimator.starts() == {"a@0"}
+    assert estimate(estimator, engine("new"), 0.1).pace == 1.5
