--- a/rackswitch/quarantine/__init__.py
+++ b/rackswitch/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests under which targets end: knowing them again, proving the ends, holding them back."""
+"""Detects requests that end their targets, and holds them back."""
 
 from rackswitch.quarantine.end_investigations import *  # noqa: F403
 from rackswitch.quarantine.end_investigations import __all__ as _end_investigations_all
--- a/rackswitch/quarantine/end_investigations.py
+++ b/rackswitch/quarantine/end_investigations.py
@@ -1,33 +1,38 @@
-"""Finding out whether a target has ended under the runs that broke off there.
+"""Determines whether a target has ended after runs were interrupted there.
 
-A broken run alone says little: its connection may have been reset, or the way to the target
-cut. A target whose process has ended refuses connections, or is listed no more, or as another
-start.
+An interrupted run alone is no proof: its connection may have been reset, or the network path to the
+target may have failed. A target whose process has ended refuses connections, is no longer listed,
+or is listed as another start.
 """
 
 from dataclasses import dataclass, field
 from enum import Enum
 
-__all__ = ["LOOK_PAUSE_SECONDS", "EndEvidence", "EndInvestigations", "ProbeOutcome", "TargetEnd"]
+__all__ = [
+    "LOOK_PAUSE_SECONDS",
+    "EndEvidence",
+    "EndInvestigations",
+    "ProbeOutcome",
+    "TargetEnd",
+]
 
 LOOK_PAUSE_SECONDS = 0.2
-"""Between two looks at a target that refused a connection or did not answer."""
+"""Interval between two probes of a target that refused a connection or did not answer."""
 
-REFUSALS_TO_TELL = 3
-"""So many refused connections in a row, over 0.4 s, on top of a broken run: a target that is only
-full refuses too, but goes on with what it runs. Targets that ended took 1.4 s and more until they
-were back (40 ends of a recorded day)."""
+REFUSALS_TO_CONFIRM = 3
+"""Consecutive refused connections that prove an end after an interrupted run. A target that is only
+full refuses connections too, but does not interrupt its runs."""
 
-INQUIRY_SECONDS = 5.0
-"""How long a target that neither answers nor refuses is asked after: an entry goes from the
-platform's list after three heartbeats of silence, 2.6 to 3.5 s on the recorded day."""
+INVESTIGATION_SECONDS = 5.0
+"""How long a target that neither answers nor refuses is probed: longer than the platform's list
+takes to drop the entry of a target that has ended."""
 
 MAX_RUNS = 64
-"""Broken runs that are kept of one target: more than an engine's slots and its queue's head."""
+"""Maximum number of interrupted runs stored for one target."""
 
 
 class ProbeOutcome(Enum):
-    """What one try to connect to a target showed."""
+    """Result of one attempt to connect to a target."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -35,7 +40,7 @@
 
 
 class EndEvidence(Enum):
-    """How it is known that a target's process has ended."""
+    """What proves that a target's process has ended."""
 
     REFUSED = "refuses connections"
     REPLACED = "another start has its place"
@@ -44,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetEnd:
-    """A target that ended, and what broke off there.
+    """A target that ended, and the requests that it interrupted.
 
     Attributes
     ----------
     target : str
         The start of the target that ended.
     fingerprints : tuple of str
-        Of the requests whose runs broke, each once.
+        The requests whose runs were interrupted, each once.
     """
 
     target: str
@@ -60,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class _Inquiry:
+class _Investigation:
     fingerprints: dict[str, float]
     until_seconds: float
     refusals: int = 0
@@ -68,74 +73,86 @@
 
 @dataclass(slots=True)
 class EndInvestigations:
-    """The targets whose runs broke and of which it is not known yet whether they ended."""
+    """The targets with interrupted runs of which it is not yet known whether they ended."""
 
-    _open: dict[str, _Inquiry] = field(default_factory=dict)
+    _open: dict[str, _Investigation] = field(default_factory=dict)
 
     def broke(self, target: str, fingerprint: str, now_seconds: float) -> bool:
-        """Note a broken run; return whether this opens an inquiry, so that a first look is due."""
-        inquiry = self._open.get(target)
-        is_new = inquiry is None
-        if inquiry is None:
-            inquiry = _Inquiry({}, now_seconds + INQUIRY_SECONDS)
-            self._open[target] = inquiry
-        if len(inquiry.fingerprints) < MAX_RUNS:
-            inquiry.fingerprints.setdefault(fingerprint, now_seconds)
+        """Record an interrupted run; return whether it opens an investigation."""
+        investigation = self._open.get(target)
+        is_new = investigation is None
+        if investigation is None:
+            investigation = _Investigation({}, now_seconds + INVESTIGATION_SECONDS)
+            self._open[target] = investigation
+        if len(investigation.fingerprints) < MAX_RUNS:
+            investigation.fingerprints.setdefault(fingerprint, now_seconds)
         return is_new
 
     def looked(
-        self, target: str, look: ProbeOutcome, looked_at_seconds: float, now_seconds: float
+        self, target: str, outcome: ProbeOutcome, probed_at_seconds: float, now_seconds: float
     ) -> TargetEnd | None:
-        """Take in a look; return the target's end if it shows one.
+        """Record a probe; return the target's end if the probe proves one.
 
         Parameters
         ----------
         target : str
             The target.
-        look : ProbeOutcome
-            What was seen.
-        looked_at_seconds, now_seconds : float
-            When the look began, and when it ended (same clock).
+        outcome : ProbeOutcome
+            The probe's result.
+        probed_at_seconds, now_seconds : float
+            When the probe began, and when it ended (same clock).
         """
-        inquiry = self._open.get(target)
-        if inquiry is None:
+        investigation = self._open.get(target)
+        if investigation is None:
             return None
-        if look is ProbeOutcome.ANSWERED:
-            # What broke while the look was under way may have to do with a later end.
-            later = {fp: at for fp, at in inquiry.fingerprints.items() if at > looked_at_seconds}
-            inquiry.fingerprints = later
-            inquiry.refusals = 0
-        elif look is ProbeOutcome.REFUSED:
-            inquiry.refusals += 1
-            if inquiry.refusals >= REFUSALS_TO_TELL:
+        if outcome is ProbeOutcome.ANSWERED:
+            # A run interrupted during the probe may belong to a later end.
+            later = {
+                fingerprint: interrupted_at_seconds
+                for fingerprint, interrupted_at_seconds in investigation.fingerprints.items()
+                if interrupted_at_seconds > probed_at_seconds
+            }
+            investigation.fingerprints = later
+            investigation.refusals = 0
+        elif outcome is ProbeOutcome.REFUSED:
+            investigation.refusals += 1
+            if investigation.refusals >= REFUSALS_TO_CONFIRM:
                 return self.ended(target, EndEvidence.REFUSED)
         else:
-            inquiry.refusals = 0
-        if not inquiry.fingerprints or now_seconds >= inquiry.until_seconds:
+            investigation.refusals = 0
+        if not investigation.fingerprints or now_seconds >= investigation.until_seconds:
             del self._open[target]
         return None
 
     def ended(self, target: str, evidence: EndEvidence) -> TargetEnd | None:
-        """Note that a target has ended; return what broke there, None if nothing did."""
-        inquiry = self._open.pop(target, None)
-        if inquiry is None or not inquiry.fingerprints:
+        """Close the investigation of a target that has ended.
+
+        Returns
+        -------
+        TargetEnd or None
+            The end with the interrupted requests; None if there are none.
+        """
+        investigation = self._open.pop(target, None)
+        if investigation is None or not investigation.fingerprints:
             return None
-        return TargetEnd(target, tuple(inquiry.fingerprints), evidence)
+        return TargetEnd(target, tuple(investigation.fingerprints), evidence)
 
     @property
     def any_open(self) -> bool:
-        """Whether any target is inquired after."""
+        """Whether any target is under investigation."""
         return bool(self._open)
 
     def acquit(self, fingerprint: str) -> None:
-        """Note that a request has been answered by a target: it does not end targets."""
-        for inquiry in self._open.values():
-            inquiry.fingerprints.pop(fingerprint, None)
+        """Clear a request of suspicion, since a target has answered it."""
+        for investigation in self._open.values():
+            investigation.fingerprints.pop(fingerprint, None)
 
     def is_open(self, target: str) -> bool:
-        """Return whether a target is still inquired after."""
+        """Return whether a target is still under investigation."""
         return target in self._open
 
     def count(self, fingerprint: str) -> int:
-        """Return at how many targets a request broke whose fate is not known yet."""
-        return sum(fingerprint in inquiry.fingerprints for inquiry in self._open.values())
+        """Return the number of targets under investigation where a request was interrupted."""
+        return sum(
+            fingerprint in investigation.fingerprints for investigation in self._open.values()
+        )
--- a/rackswitch/quarantine/evidence.py
+++ b/rackswitch/quarantine/evidence.py
@@ -1,4 +1,4 @@
-"""The ends that all daemons have told of, by request."""
+"""The target ends that all daemons have reported, by request."""
 
 from dataclasses import dataclass, field
 
@@ -7,87 +7,87 @@
 __all__ = ["Evidence", "LocalEnds"]
 
 MAX_ENDS = 32
-"""Ends that one daemon tells of: a request is held back after three, so that ten requests of that
-kind at one daemon are not lost among others. Full, a record has some 45 KB."""
+"""Maximum number of ends in one daemon's record, which bounds its size in the key-value service."""
 
-MAX_ACQUITTALS = 64
+MAX_CLEARED_REQUESTS = 64
 
-RECORD_LIFE_SECONDS = 3600.0
-"""After so long without another end a request may run freely again: what ended its targets may have
-been mended. Until it is held back again that costs three targets an hour."""
+EVIDENCE_LIFETIME_SECONDS = 3600.0
+"""Ends older than this are dropped, since their cause may have been repaired."""
 
 
 @dataclass(slots=True)
 class LocalEnds:
-    """The ends that this daemon has seen, within bounds."""
+    """The ends that this daemon has seen, bounded in number and age."""
 
     ends: list[EndedTarget] = field(default_factory=list)
     acquittals: list[ClearedRequest] = field(default_factory=list)
 
     def adopt(self, record: EndRecord) -> None:
-        """Go on with the record of an earlier process of this daemon."""
+        """Add the record of an earlier process of this daemon."""
         self.ends = list(record.ends) + self.ends
         self.acquittals = list(record.acquittals) + self.acquittals
 
     def ended(self, target: str, runs: tuple[str, ...], now_unix_seconds: float) -> None:
-        """Note an end."""
+        """Record the end of a target."""
         self.ends.append(EndedTarget(target, runs, now_unix_seconds))
 
     def acquit(self, fingerprint: str, targets: set[str], now_unix_seconds: float) -> None:
-        """Note that a request is not to be blamed for ends, `targets` among those of others."""
-        left = []
+        """Clear a request of suspicion, also for the ends of `targets` that others reported."""
+        remaining = []
         for end in self.ends:
             runs = tuple(run for run in end.runs if run != fingerprint)
             if runs:
-                left.append(EndedTarget(end.target, runs, end.at_unix_seconds))
-        self.ends = left
+                remaining.append(EndedTarget(end.target, runs, end.at_unix_seconds))
+        self.ends = remaining
         if targets:
-            told = ClearedRequest(fingerprint, tuple(sorted(targets)), now_unix_seconds)
-            self.acquittals = [kept for kept in self.acquittals if kept.fingerprint != fingerprint]
-            self.acquittals.append(told)
+            cleared = ClearedRequest(fingerprint, tuple(sorted(targets)), now_unix_seconds)
+            self.acquittals = [
+                other for other in self.acquittals if other.fingerprint != fingerprint
+            ]
+            self.acquittals.append(cleared)
 
     def expire(self, now_unix_seconds: float) -> None:
-        """Drop what is too old or too much."""
-        oldest_seconds = now_unix_seconds - RECORD_LIFE_SECONDS
+        """Drop entries that are too old, and the oldest ones beyond the maximum number."""
+        oldest_seconds = now_unix_seconds - EVIDENCE_LIFETIME_SECONDS
         ends = [end for end in self.ends if end.at_unix_seconds >= oldest_seconds]
-        acquittals = [kept for kept in self.acquittals if kept.at_unix_seconds >= oldest_seconds]
+        cleared = [entry for entry in self.acquittals if entry.at_unix_seconds >= oldest_seconds]
         self.ends = ends[-MAX_ENDS:]
-        self.acquittals = acquittals[-MAX_ACQUITTALS:]
+        self.acquittals = cleared[-MAX_CLEARED_REQUESTS:]
 
     def record(self, number: int, lease_id: int) -> EndRecord:
-        """Return what there is to tell."""
+        """Return the record to publish."""
         return EndRecord(number, lease_id, tuple(self.ends), tuple(self.acquittals))
 
 
 @dataclass(slots=True)
 class Evidence:
-    """What is known of all daemons' ends; the latest record of each daemon counts."""
+    """The ends that all daemons have reported, from the latest record of each daemon."""
 
     _records: dict[str, EndRecord] = field(default_factory=dict)
     _is_stale: bool = False
-    _ends: dict[str, dict[str, float]] = field(default_factory=dict)
-    _present: dict[str, set[str]] = field(default_factory=dict)
+    _end_times: dict[str, dict[str, float]] = field(default_factory=dict)
+    _suspects: dict[str, set[str]] = field(default_factory=dict)
 
     def take(self, daemon: str, record: EndRecord) -> None:
-        """Take in a daemon's record, unless a newer one of it is known."""
+        """Store a daemon's record, unless a newer one of it is known."""
         known = self._records.get(daemon)
         if known is None or record.number >= known.number:
             self._records[daemon] = record
             self._is_stale = True
 
     def drop(self, daemon: str) -> None:
-        """Forget a daemon's record."""
+        """Remove a daemon's record."""
         if self._records.pop(daemon, None) is not None:
             self._is_stale = True
 
     @property
     def is_empty(self) -> bool:
-        """Whether no request is blamed for any end."""
+        """Whether no request is suspected of any end."""
         self._refresh()
-        return not self._ends
+        return not self._end_times
 
     def targets_told_by_others(self, fingerprint: str, daemon: str) -> set[str]:
-        """Return the targets that ended while a request ran there, by all daemons but one."""
+        """Return the targets that ended under a request, as reported by all daemons but one."""
         return {
             end.target
             for name, record in self._records.items()
@@ -96,48 +96,50 @@
         }
 
     def count(self, fingerprint: str) -> int:
-        """Return under how many targets' ends a request was present."""
+        """Return the number of targets that ended while a request ran there."""
         self._refresh()
-        return len(self._ends.get(fingerprint, ()))
+        return len(self._end_times.get(fingerprint, ()))
 
     def newest_unix_seconds(self, fingerprint: str) -> float:
-        """Return when the last of these ends was known."""
+        """Return when the last of these ends was detected; 0 if there is none."""
         self._refresh()
-        return max(self._ends.get(fingerprint, {"": 0.0}).values())
+        return max(self._end_times.get(fingerprint, {"": 0.0}).values())
 
     def is_alone(self, fingerprint: str) -> bool:
-        """Return whether at one of the ends nobody else is left to blame."""
+        """Return whether a request is the only suspect at one of the ends."""
         self._refresh()
-        targets = self._ends.get(fingerprint, ())
-        return any(self._present[target] == {fingerprint} for target in targets)
+        targets = self._end_times.get(fingerprint, ())
+        return any(self._suspects[target] == {fingerprint} for target in targets)
 
     def max_suspected_beside(self, fingerprint: str) -> int:
-        """Return the most ends of any request that was present at an end with this one."""
+        """Return the maximum number of ends of any request that shares an end with this one."""
         self._refresh()
         others = {
-            other for target in self._ends.get(fingerprint, ()) for other in self._present[target]
+            other
+            for target in self._end_times.get(fingerprint, ())
+            for other in self._suspects[target]
         }
-        return max((len(self._ends[other]) for other in others), default=0)
+        return max((len(self._end_times[other]) for other in others), default=0)
 
     def _refresh(self) -> None:
-        """Work out anew who was present where.
+        """Rebuild the indexes of end times and suspects from the records.
 
-        Done when asked and not with each record, as the records of a whole fleet come together.
+        Done on the next query and not for each record, since many daemons' records arrive together.
         """
         if not self._is_stale:
             return
         self._is_stale = False
-        acquitted = {
-            (acquittal.fingerprint, target)
+        cleared = {
+            (entry.fingerprint, target)
             for record in self._records.values()
-            for acquittal in record.acquittals
-            for target in acquittal.targets
+            for entry in record.acquittals
+            for target in entry.targets
         }
-        self._ends = {}
-        self._present = {}
+        self._end_times = {}
+        self._suspects = {}
         for record in self._records.values():
             for end in record.ends:
                 for run in end.runs:
-                    if (run, end.target) not in acquitted:
-                        self._ends.setdefault(run, {})[end.target] = end.at_unix_seconds
-                        self._present.setdefault(end.target, set()).add(run)
+                    if (run, end.target) not in cleared:
+                        self._end_times.setdefault(run, {})[end.target] = end.at_unix_seconds
+                        self._suspects.setdefault(end.target, set()).add(run)
--- a/rackswitch/quarantine/fingerprints.py
+++ b/rackswitch/quarantine/fingerprints.py
@@ -1,33 +1,32 @@
-"""Knowing a request again that comes under another identity."""
+"""Recognises a request that is sent again under another identity."""
 
 import hashlib
 
 __all__ = ["request_fingerprint"]
 
 FINGERPRINT_BYTES = 10
-"""Two different requests of a fleet's day, some 10^8, share 80 bits with a chance of 10^-8."""
 
 
 def request_fingerprint(tenant: str, host: str, method: str, path: str, body: bytes) -> str:
-    """Return what all sends of one request have in common, whatever their identities.
+    """Return a digest that is equal for all sends of one request, whatever their identities.
 
     Parameters
     ----------
     tenant : str
-        Who sends it; empty where callers are not known.
+        The caller; empty if callers are not identified.
     host, method, path : str
-        What it is sent to, the path with its query.
+        Where it is sent; the path includes the query.
     body : bytes
-        Its body, whole.
+        The complete body.
 
     Returns
     -------
     str
-        Hexadecimal digits; nothing of the request can be read from them.
+        Hexadecimal digits that reveal nothing of the request.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (tenant.encode(), host.lower().encode(), method.encode(), path.encode(), body):
-        # With its length before it, no part can pass for the end of the one before.
+        # The length prefix keeps different splits of the same bytes apart.
         digest.update(len(part).to_bytes(8, "big"))
         digest.update(part)
     return digest.hexdigest()
--- a/rackswitch/quarantine/records.py
+++ b/rackswitch/quarantine/records.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of targets that ended, and of requests on trial."""
+"""What daemons report to each other about ended targets and about requests on trial."""
 
 import msgspec
 
@@ -13,10 +13,10 @@
     target : str
         The start that ended.
     runs : tuple of str
-        Fingerprints of the requests whose runs broke there.
+        Fingerprints of the requests whose runs were interrupted there.
     at_unix_seconds : float
-        When that was known, by the daemon's own clock; only its order with other ends of the same
-        daemon, and hours, depend on it.
+        When the end was detected, by the daemon's own clock; small differences between the clocks
+        of daemons are tolerated.
     """
 
     target: str
@@ -25,7 +25,7 @@
 
 
 class ClearedRequest(msgspec.Struct, frozen=True):
-    """A request that a target has answered, so that ends it was present at have other causes."""
+    """A request that a target has answered, so that the ends it was present at had other causes."""
 
     fingerprint: str
     targets: tuple[str, ...]
@@ -33,14 +33,15 @@
 
 
 class EndRecord(msgspec.Struct, frozen=True):
-    """All that one daemon tells of ends.
+    """All that one daemon reports about ends.
 
     Attributes
     ----------
     number : int
-        Rises with the daemon's records, also over its restarts: a higher one replaces a lower one.
+        Increases with each of the daemon's records, also across restarts: a record with a higher
+        number replaces one with a lower number.
     lease_id : int
-        The lease that the record hangs on, so that the daemon's next process can go on with it.
+        The lease that the record is attached to, for the daemon's next process to continue.
     """
 
     number: int = 0
@@ -50,14 +51,14 @@
 
 
 class TrialRecord(msgspec.Struct, frozen=True):
-    """How often a request was sent although it had ended targets.
+    """The trials of a request: its sends after targets had ended under it.
 
     Attributes
     ----------
     trials : int
-        Sends since then, each claimed before it left.
+        Number of trials, each claimed before it is sent.
     next_at_unix_seconds : float
-        From when the next one may be claimed.
+        Earliest time at which the next one may be claimed.
     """
 
     trials: int
