--- a/rackswitch/capacity/__init__.py
+++ b/rackswitch/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""How many engines a service is to have, of which kind and where."""
+"""Plans how many engines a service has, of which kind and in which availability zones."""
 
 from rackswitch.capacity.demand import JobLoad, wanted_slots
 from rackswitch.capacity.engines import Capacity, EngineCounts, EngineKind, EngineLocation
--- a/rackswitch/capacity/demand.py
+++ b/rackswitch/capacity/demand.py
@@ -1,23 +1,23 @@
-"""What the open jobs and the next ones need of a service's engines."""
+"""How many engine slots the recent jobs of a service need."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 __all__ = ["JobLoad", "wanted_slots"]
 
-BEGIN_SHARE = 1 / 3
-"""Part of a job's time within which its last item should begin. A step is whole with its longest
-text, which takes up to two thirds of the 7.5 s that trainers allow on the users' sheets."""
+LAST_START_SHARE = 1 / 3
+"""Share of a job's allowed time within which its last item has to begin. The rest is for the run of
+the longest item."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobLoad:
-    """One job as every daemon knows it.
+    """The work of one job.
 
     Attributes
     ----------
     work_seconds : float
-        How long its texts take, added up over its items.
+        Sum of the run times of its items.
     """
 
     model: str
@@ -26,19 +26,19 @@
 
 
 def wanted_slots(jobs: Iterable[JobLoad], due_seconds: float) -> float:
-    """Return how many runs at once let every trainer's steps be whole in time.
+    """Return how many concurrent runs let each trainer's steps complete in time.
 
-    A trainer asks for a step like its last ones again and again, so that each model's largest
-    recent job stands for the next one, whether it is open at this moment or not.
+    A trainer repeats steps of similar size, so each model's largest recent job stands for its next
+    one, whether or not a job is open at present.
 
     Parameters
     ----------
     jobs : iterable of JobLoad
-        The recent jobs, ended ones included.
+        The recent jobs, including ended ones.
     due_seconds : float
-        Time within which a job is to be whole.
+        Time within which a job has to be complete.
     """
     largest: dict[str, float] = {}
     for job in jobs:
         largest[job.model] = max(largest.get(job.model, 0.0), job.work_seconds)
-    return sum(largest.values()) / (due_seconds * BEGIN_SHARE)
+    return sum(largest.values()) / (due_seconds * LAST_START_SHARE)
--- a/rackswitch/capacity/engines.py
+++ b/rackswitch/capacity/engines.py
@@ -1,4 +1,4 @@
-"""Kinds of engines, where they stand, and on which terms they are had."""
+"""Kinds of engines, their locations, and the bounds and prices that apply to them."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -8,57 +8,57 @@
 
 
 class EngineKind(Enum):
-    """On which terms an engine is had."""
+    """How long the platform provides an engine."""
 
     KEPT = "kept"
-    """Stays until it is given back."""
+    """Runs until it is released."""
 
     RECLAIMABLE = "reclaimable"
-    """Cheaper; the platform may take all of a zone back with a few seconds' notice."""
+    """Cheaper; the platform may reclaim all of a zone at a few seconds' notice."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineLocation:
-    """A kind of engine in an availability zone; each place is ordered by itself."""
+    """A kind of engine in an availability zone; each location is ordered separately."""
 
     zone: str
     kind: EngineKind
 
 
 EngineCounts = Counter[EngineLocation]
-"""How many engines there are, or are ordered, in each place."""
+"""Number of engines, present or ordered, by location."""
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """On which terms a service's engines are had.
+    """Bounds, boot time and prices of a service's engines.
 
     Attributes
     ----------
-    least, most : int
+    min_engines, max_engines : int
         Bounds of a zone's engines, both kinds together.
     boot_seconds : float
-        From an order until a new engine serves.
+        Time from an order until the new engine serves.
     slots : int
-        Runs that an engine works on at once.
+        Maximum number of concurrent runs of an engine.
     zone_prices : dict of str to float
-        Price of a kept engine's second, by zone; only these zones are ordered in.
+        Price of a second of a kept engine, by zone; engines are ordered in these zones only.
     reclaimable_price : float
         Price of a reclaimable engine as a share of a kept one's; over 1 if there are none.
     """
 
-    least: int
-    most: int
+    min_engines: int
+    max_engines: int
     boot_seconds: float
     slots: int
     zone_prices: dict[str, float]
     reclaimable_price: float
 
-    def price(self, place: EngineLocation) -> float:
-        """Return the price of an engine's second in a place."""
-        price = self.zone_prices[place.zone]
-        return price * (self.reclaimable_price if place.kind is EngineKind.RECLAIMABLE else 1.0)
+    def price(self, location: EngineLocation) -> float:
+        """Return the price of a second of an engine in a location."""
+        price = self.zone_prices[location.zone]
+        return price * (self.reclaimable_price if location.kind is EngineKind.RECLAIMABLE else 1.0)
 
-    def room(self, counts: EngineCounts, zone: str) -> int:
+    def remaining(self, counts: EngineCounts, zone: str) -> int:
         """Return how many more engines a zone may have."""
-        return self.most - sum(counts[EngineLocation(zone, kind)] for kind in EngineKind)
+        return self.max_engines - sum(counts[EngineLocation(zone, kind)] for kind in EngineKind)
--- a/rackswitch/capacity/planner.py
+++ b/rackswitch/capacity/planner.py
@@ -1,8 +1,8 @@
-"""Which orders of engines to give now.
+"""Decides which orders of engines to send to the platform.
 
-Orders up follow a lack at once if it is large, else once it has lasted as long as engines that fail
-for a moment are away. Orders down follow a surplus that has lasted, a few engines at a time, and
-never leave fewer engines than are wanted.
+A large shortage is ordered for at once; a small one only after it has lasted longer than a brief
+failure of engines. A lasting surplus is released a few engines at a time, and never below the
+number of engines wanted.
 """
 
 from collections import Counter
@@ -13,32 +13,31 @@
 
 __all__ = ["CapacityPlanner", "EngineOrder", "ServiceState"]
 
-LACK_SECONDS = 3.0
-"""How long a small lack must last before engines are ordered for it. An engine that fails for a
-moment is back after 3.5 to 4.5 s; a new one needs 4 s."""
+SHORTAGE_SECONDS = 3.0
+"""How long a small shortage must last before engines are ordered. An engine that fails briefly is
+back almost as soon as a new one would be ready."""
 
 URGENT_SHARE = 0.75
-"""With less than this part of the wanted engines there, a lack is not waited out."""
+"""If less than this share of the wanted engines is present, orders are sent at once."""
 
 SURPLUS_SECONDS = 12.0
-"""How long a surplus must last before engines are given back: three times a trainer's usual
-pause between two steps, so that each has asked for one since."""
+"""How long a surplus must last before engines are released: longer than a trainer's typical
+interval between two steps."""
 
-SURPLUS_SHARE = 1.25
-"""How many times the wanted engines are no surplus yet: giving an engine back and ordering it again
-costs its boot and the loads of every model."""
+SURPLUS_FACTOR = 1.25
+"""Engines up to this multiple of the wanted number are no surplus. Releasing an engine and ordering
+it again costs its boot time and the loading of every model."""
 
-MAX_GIVEN_BACK = 2
-"""Engines given back by one round of orders: their runs move to others within a second."""
+MAX_RELEASED = 2
+"""Maximum number of engines released at a time; their runs move to other engines."""
 
-REFUSED_SECONDS = 10.0
-"""How long a place is left alone that had none to give: the platform's zones run dry for some
-3.5 s at a time."""
+REFUSAL_COOLDOWN_SECONDS = 10.0
+"""How long no engine is ordered in a location after the platform had none there."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineOrder:
-    """How many engines a place is to have from now on."""
+    """The number of engines that a location is to have."""
 
     place: EngineLocation
     count: int
@@ -46,14 +45,14 @@
 
 @dataclass(slots=True)
 class ServiceState:
-    """What is known of a service's engines.
+    """The engines of a service.
 
     Attributes
     ----------
     present : EngineCounts
-        Engines that serve, by place.
+        Engines that serve, by location.
     ordered : EngineCounts
-        What was last ordered in each place; what stood at first where nothing was.
+        Number last ordered in each location, or the initial number if none was ordered.
     """
 
     present: EngineCounts = field(default_factory=Counter)
@@ -66,81 +65,81 @@
 
     Parameters
     ----------
-    kinds : KindPolicy
+    kind_policy : KindPolicy
         How many engines may be reclaimable.
     """
 
-    kinds: KindPolicy
-    _lack_since_seconds: float | None = None
+    kind_policy: KindPolicy
+    _shortage_since_seconds: float | None = None
     _surplus_since_seconds: float | None = None
     _refused_until_seconds: dict[EngineLocation, float] = field(default_factory=dict)
     _booting_until_seconds: list[float] = field(default_factory=list)
 
-    def refused(self, place: EngineLocation, now_seconds: float) -> None:
-        """Note that the platform has no engine to give in a place now."""
-        self._refused_until_seconds[place] = now_seconds + REFUSED_SECONDS
+    def refused(self, location: EngineLocation, now_seconds: float) -> None:
+        """Record that the platform has no engine available in a location."""
+        self._refused_until_seconds[location] = now_seconds + REFUSAL_COOLDOWN_SECONDS
 
     def taken(self, added: int, capacity: Capacity, now_seconds: float) -> None:
-        """Note that an order was taken that adds engines."""
+        """Record that the platform accepted an order that adds engines."""
         until_seconds = now_seconds + 2 * capacity.boot_seconds
         self._booting_until_seconds.extend([until_seconds] * max(0, added))
 
     def orders(
         self, state: ServiceState, capacity: Capacity, wanted: int, now_seconds: float
     ) -> list[EngineOrder]:
-        """Return the orders to give now, the cheapest place first.
+        """Return the orders to send now, the cheapest location first.
 
         Parameters
         ----------
         state : ServiceState
-            What is known of the engines.
+            The service's engines.
         capacity : Capacity
-            On which terms they are had.
+            Their bounds, boot time and prices.
         wanted : int
-            How many there should be in all.
+            Total number of engines wanted.
         now_seconds : float
             Monotonic clock.
         """
         bounded = self._bounded(wanted, capacity)
         present = sum(state.present.values())
         missing = bounded - present - self._booting(state, now_seconds)
-        if self._lack_lasts(missing, present, bounded, now_seconds):
-            return self._orders_up(state, capacity, bounded, missing, now_seconds)
+        if self._shortage_lasts(missing, present, bounded, now_seconds):
+            return self._scale_up_orders(state, capacity, bounded, missing, now_seconds)
         if self._surplus_lasts(present, bounded, now_seconds):
             self._surplus_since_seconds = now_seconds
-            return self._orders_down(state, capacity, present - bounded)
+            return self._scale_down_orders(state, capacity, present - bounded)
         return []
 
     def _bounded(self, wanted: int, capacity: Capacity) -> int:
         zones = len(capacity.zone_prices)
-        return max(capacity.least * zones, min(wanted, capacity.most * zones))
+        return max(capacity.min_engines * zones, min(wanted, capacity.max_engines * zones))
 
     def _booting(self, state: ServiceState, now_seconds: float) -> int:
         """Return how many engines are ordered and probably still booting."""
         self._booting_until_seconds = [
             until for until in self._booting_until_seconds if now_seconds < until
         ]
-        not_there = sum((state.ordered - state.present).values())
-        return min(len(self._booting_until_seconds), not_there)
+        absent = sum((state.ordered - state.present).values())
+        return min(len(self._booting_until_seconds), absent)
 
-    def _lack_lasts(self, missing: int, present: int, wanted: int, now_seconds: float) -> bool:
+    def _shortage_lasts(self, missing: int, present: int, wanted: int, now_seconds: float) -> bool:
         if missing <= 0:
-            self._lack_since_seconds = None
+            self._shortage_since_seconds = None
             return False
-        if self._lack_since_seconds is None:
-            self._lack_since_seconds = now_seconds
+        if self._shortage_since_seconds is None:
+            self._shortage_since_seconds = now_seconds
         is_urgent = present < URGENT_SHARE * wanted
-        return is_urgent or now_seconds >= self._lack_since_seconds + LACK_SECONDS
+        return is_urgent or now_seconds >= self._shortage_since_seconds + SHORTAGE_SECONDS
 
     def _surplus_lasts(self, present: int, wanted: int, now_seconds: float) -> bool:
-        if present <= SURPLUS_SHARE * wanted:
+        if present <= SURPLUS_FACTOR * wanted:
             self._surplus_since_seconds = None
             return False
         if self._surplus_since_seconds is None:
             self._surplus_since_seconds = now_seconds
         return now_seconds >= self._surplus_since_seconds + SURPLUS_SECONDS
 
-    def _orders_up(
+    def _scale_up_orders(
         self,
         state: ServiceState,
         capacity: Capacity,
@@ -148,66 +147,77 @@
         missing: int,
         now_seconds: float,
     ) -> list[EngineOrder]:
-        """Spread what is missing over the zones that have fewest, the cheaper ones first."""
+        """Distribute the missing engines over the zones with fewest engines, cheaper ones first."""
         counts = Counter(state.ordered)
-        kept = sum(n for place, n in state.present.items() if place.kind is EngineKind.KEPT)
+        kept = sum(
+            count for location, count in state.present.items() if location.kind is EngineKind.KEPT
+        )
         reclaimable = sum(state.present.values()) - kept
-        may_be_reclaimable = max(0, self.kinds(wanted, kept) - reclaimable)
+        max_reclaimable = max(0, self.kind_policy(wanted, kept) - reclaimable)
         changed: set[EngineLocation] = set()
         for number in range(missing):
             kinds = [EngineKind.KEPT]
-            if number < may_be_reclaimable and capacity.reclaimable_price <= 1:
+            if number < max_reclaimable and capacity.reclaimable_price <= 1:
                 kinds = [EngineKind.RECLAIMABLE, EngineKind.KEPT]
-            place = self._place_for_one(counts, capacity, kinds, now_seconds)
-            if place is None:
+            location = self._choose_location(counts, capacity, kinds, now_seconds)
+            if location is None:
                 break
-            counts[place] += 1
-            changed.add(place)
-        ordered = [EngineOrder(place, counts[place]) for place in changed]
-        return sorted(ordered, key=lambda order: (capacity.price(order.place), order.place.zone))
+            counts[location] += 1
+            changed.add(location)
+        orders = [EngineOrder(location, counts[location]) for location in changed]
+        return sorted(orders, key=lambda order: (capacity.price(order.place), order.place.zone))
 
-    def _place_for_one(
+    def _choose_location(
         self,
         counts: EngineCounts,
         capacity: Capacity,
         kinds: list[EngineKind],
         now_seconds: float,
     ) -> EngineLocation | None:
-        """Return where one more engine goes, or None if none can be had."""
+        """Return where to order one more engine, or None if no location is available."""
         for kind in kinds:
-            places = [
+            locations = [
                 EngineLocation(zone, kind)
                 for zone in capacity.zone_prices
-                if capacity.room(counts, zone) > 0
+                if capacity.remaining(counts, zone) > 0
                 and now_seconds >= self._refused_until_seconds.get(EngineLocation(zone, kind), 0.0)
             ]
-            if places:
+            if locations:
                 return min(
-                    places,
-                    key=lambda place: (counts[place], capacity.price(place), place.zone),
+                    locations,
+                    key=lambda location: (
+                        counts[location],
+                        capacity.price(location),
+                        location.zone,
+                    ),
                 )
         return None
 
-    def _orders_down(
+    def _scale_down_orders(
         self, state: ServiceState, capacity: Capacity, surplus: int
     ) -> list[EngineOrder]:
-        """Give back a few engines, the dearest first, where a zone has more than its least."""
+        """Release a few engines, the most expensive first, from zones above their minimum."""
         counts = Counter(state.present)
         changed: set[EngineLocation] = set()
-        for _ in range(min(surplus, MAX_GIVEN_BACK)):
-            places = [
-                place
-                for place, count in counts.items()
+        for _ in range(min(surplus, MAX_RELEASED)):
+            locations = [
+                location
+                for location, count in counts.items()
                 if count > 0
-                and place.zone in capacity.zone_prices
-                and sum(counts[EngineLocation(place.zone, kind)] for kind in EngineKind)
-                > capacity.least
+                and location.zone in capacity.zone_prices
+                and sum(counts[EngineLocation(location.zone, kind)] for kind in EngineKind)
+                > capacity.min_engines
             ]
-            if not places:
+            if not locations:
                 break
-            dearest = max(
-                places, key=lambda place: (capacity.price(place), counts[place], place.zone)
+            most_expensive = max(
+                locations,
+                key=lambda location: (
+                    capacity.price(location),
+                    counts[location],
+                    location.zone,
+                ),
             )
-            counts[dearest] -= 1
-            changed.add(dearest)
-        return [EngineOrder(place, counts[place]) for place in changed]
+            counts[most_expensive] -= 1
+            changed.add(most_expensive)
+        return [EngineOrder(location, counts[location]) for location in changed]
