--- a/rackswitch/admission/__init__.py
+++ b/rackswitch/admission/__init__.py
@@ -1,6 +1,6 @@
-"""Too little room at a service: who waits, who goes first, who is told to come back.
+"""Admission control: which calls a service's targets take now, and which wait or are refused.
 
-Room is what a service's targets can take now; a rank says who goes first, 0 before all others.
+A rank is a priority; 0 is the highest.
 """
 
 from rackswitch.admission.decisions import *  # noqa: F403
--- a/rackswitch/admission/concurrency.py
+++ b/rackswitch/admission/concurrency.py
@@ -1,8 +1,8 @@
-"""How many calls one daemon has at a service at once.
+"""Limit on the number of calls that one daemon has in flight at a service.
 
-Many daemons stand before few targets and do not talk to each other: each one raises its limit
-while targets take its calls without a queue, and lowers it when they tell of queues or refuse. A
-limit below one spaces calls out in time, so that far more daemons than places can share them.
+Many daemons share a few targets without talking to each other. Each daemon raises its limit while
+targets answer without a queue, and lowers it when they report queues or refuse calls. A limit
+below one spaces calls out in time, so that more daemons than slots can share the targets.
 
 References
 ----------
@@ -15,267 +15,282 @@
 
 __all__ = ["ConcurrencyLimit"]
 
-FIRST_LIMIT = 4.0
-"""Calls at once before anything is known of a service."""
+INITIAL_LIMIT = 4.0
+"""Concurrent calls at a service before its first answer."""
 
 MIN_LIMIT = 0.1
-"""Calls at once; above 0, so that a daemon never stops trying."""
+"""Lower bound of the limit; above 0, so that a daemon still sends some calls."""
 
 MAX_LIMIT = 256.0
-"""Calls at once."""
+"""Upper bound of the limit."""
 
-SPACED_BELOW = 1.0
-"""Below it calls are spaced out; from it on they are counted."""
+SPACING_THRESHOLD = 1.0
+"""Below this limit calls are spaced out in time; from it on they are counted."""
 
-QUEUE_SHARE = 0.5
-"""Waiting calls a slot of a target: more count as a queue, fewer only keep its slots busy."""
+QUEUE_CALLS_PER_SLOT = 0.5
+"""Waiting calls per slot above which a target counts as having a queue; fewer only keep its slots
+busy."""
 
-FREE_SHARE = 0.5
-"""A target with at most this share of its slots taken, and no queue, counts as half free."""
+HALF_FREE_BUSY_SHARE = 0.5
+"""A target without a queue and with at most this share of its slots busy counts as half free."""
 
-RAISE_CALLS_PER_SECOND = 1.0
-"""Added to the limit while answers come without a queue. By time and not for each answer, so that
-daemons with low limits rise as fast as others and all come to the same limit."""
+INCREASE_CALLS_PER_SECOND = 1.0
+"""Increase of the limit while answers arrive without a queue. It depends on time and not on the
+number of answers, so that all daemons converge to the same limit."""
 
-MAX_RAISE_SECONDS = 0.5
-"""Most time between two answers that raises the limit; of a longer pause nothing is known."""
+MAX_INCREASE_INTERVAL_SECONDS = 0.5
+"""Longest time between two answers that counts for the increase."""
 
-RAISE_FACTOR = 1.5
-"""The limit is multiplied by it for an answer of a target that is half free."""
+INCREASE_FACTOR = 1.5
+"""Factor on the limit for an answer of a target that is half free."""
 
-LOWER_FACTOR = 0.92
-"""The limit is multiplied by it for an answer of a target that has a queue."""
+QUEUE_DECREASE_FACTOR = 0.92
+"""Factor on the limit for an answer of a target that has a queue."""
 
-REFUSED_FACTOR = 0.5
-"""The limit is multiplied by it for a refusal: the queue behind the slots is full too."""
+REFUSAL_DECREASE_FACTOR = 0.5
+"""Factor on the limit for a refusal: the target's queue is full too."""
 
-IN_USE_SHARE = 0.5
-"""With less than this share of a limit of 1 or more in use, it is not the limit that holds calls
-back, so answers say nothing of whether it may rise."""
+MIN_UTILIZATION = 0.5
+"""While less than this share of a limit of 1 or more is in use, the limit does not rise."""
 
-CLOSED_SHARE = 0.5
-"""After a refusal nothing is sent for this share of a usual call's time, so that some call may have
-ended by then."""
+REFUSAL_DELAY_SHARE = 0.5
+"""Delay after a refusal during which nothing is sent, as a share of a typical call's duration."""
 
-MAX_CLOSED_SECONDS = 0.25
-"""Most of that pause: where calls take long, one of another daemon may end sooner."""
+MAX_REFUSAL_DELAY_SECONDS = 0.25
+"""Upper bound of the delay after a refusal; with long calls, one of another daemon may end
+sooner."""
 
-FADE_SECONDS = 1.0
-"""After so long without a queue or refusal a limit below one goes back to one."""
+SATURATION_EXPIRY_SECONDS = 1.0
+"""After this time without a queue or refusal a limit below one is reset to one."""
 
-CREDIT_SECONDS = 0.1
-"""Most work that may be saved up while calls are spaced out: about one or two usual calls."""
+MAX_CREDIT_SECONDS = 0.1
+"""Most work that can be saved up while calls are spaced out."""
 
-BORROWED_CALLS = 5.0
-"""Calls of the first rank that may go ahead of their spacing; later calls wait longer for that."""
+MAX_BORROWED_CALLS = 5.0
+"""Calls of the top rank that may be sent ahead of the spacing; later calls wait longer for it."""
 
-CROWDING_SMOOTHING = 0.3
-"""Weight of one answer in the crowding: some three count."""
+SATURATION_SMOOTHING = 0.3
+"""Weight of one answer in the saturation."""
 
-CROWDING_LIFE_SECONDS = 0.1
-"""Least time over which the crowding fades: within a few calls' time others may have ended."""
+MIN_SATURATION_DECAY_SECONDS = 0.1
+"""Lower bound of the saturation's decay time."""
 
-CROWDING_LIFE_ANSWERS = 4.0
-"""It fades over at least the time in which so many answers usually come, so that a daemon that
-sends few calls does not forget a crowd between two of them."""
+SATURATION_DECAY_ANSWERS = 4.0
+"""The saturation's decay time is at least this many typical intervals between answers, so that a
+daemon with few calls remembers it from one answer to the next."""
 
-GAP_SMOOTHING = 0.1
-"""Weight of one time between two answers in the usual one."""
+ANSWER_INTERVAL_SMOOTHING = 0.1
+"""Weight of one interval between two answers in the typical interval."""
 
-FIRST_GAP_SECONDS = 0.05
-"""Usual time between two answers before two were heard."""
+INITIAL_ANSWER_INTERVAL_SECONDS = 0.05
+"""Typical interval between answers before two were received."""
 
-MAX_GAP_SECONDS = 0.5
-"""Longer times between two answers count as this much: there was nothing to ask for."""
+MAX_ANSWER_INTERVAL_SECONDS = 0.5
+"""Longer intervals between answers count as this much: the daemon had no calls to send."""
 
 
 @dataclass(slots=True)
 class ConcurrencyLimit:
-    """One daemon's limit for one service.
+    """One daemon's concurrency limit for one service.
 
     Attributes
     ----------
     limit : float
-        Calls at once; below one, the share of the time in which one may be there.
+        Maximum number of concurrent calls; below one, the share of the time in which one call may
+        be in flight.
     in_flight : int
-        Calls that are there.
-    is_told_free : bool
-        Whether the last target that answered told that it was half free.
+        Calls that were sent and have not ended.
+    is_last_target_half_free : bool
+        Whether the last target that answered reported that it was half free.
     refusals_since_answer : int
-        Calls that targets refused since the last answer of one of them.
+        Calls that targets refused since the last answer of any of them.
     """
 
-    limit: float = FIRST_LIMIT
+    limit: float = INITIAL_LIMIT
     in_flight: int = 0
-    is_told_free: bool = False
+    is_last_target_half_free: bool = False
     refusals_since_answer: int = 0
     _credit_seconds: float = 0.0
     _credited_at_seconds: float = 0.0
-    _crowded_at_seconds: float = float("-inf")
+    _saturated_at_seconds: float = float("-inf")
     _refused_at_seconds: float = float("-inf")
-    _closed_until_seconds: float = float("-inf")
-    _raised_at_seconds: float = float("-inf")
-    _is_lowered_since_answer: bool = False
-    _crowding: float = 0.0
-    _told_at_seconds: float = 0.0
-    _gap_seconds: float = FIRST_GAP_SECONDS
+    _blocked_until_seconds: float = float("-inf")
+    _increased_at_seconds: float = float("-inf")
+    _is_decreased_since_answer: bool = False
+    _saturation: float = 0.0
+    _reported_at_seconds: float = 0.0
+    _answer_interval_seconds: float = INITIAL_ANSWER_INTERVAL_SECONDS
 
     def may_send(
         self,
         work_seconds: float,
-        is_first_rank: bool,
+        is_top_rank: bool,
         now_seconds: float,
-        ahead_calls: float = 0.0,
+        extra_calls: float = 0.0,
     ) -> bool:
-        """Return whether a call may go now.
+        """Return whether a call may be sent now.
 
         Parameters
         ----------
         work_seconds : float
-            Its usual time at a target.
-        is_first_rank : bool
-            Whether no other rank goes before its own.
+            Its typical duration at a target.
+        is_top_rank : bool
+            Whether no rank with a higher priority is active.
         now_seconds : float
             Monotonic clock.
-        ahead_calls : float
-            Calls that it may go beyond a limit of one or more.
+        extra_calls : float
+            Calls allowed beyond a limit of one or more.
         """
-        self._pass_time(now_seconds)
-        if now_seconds < self._closed_until_seconds:
+        self._advance_clock(now_seconds)
+        if now_seconds < self._blocked_until_seconds:
             return False
-        if self.limit >= SPACED_BELOW:
-            return self.in_flight + 1 <= self.calls_at_once(is_first_rank) + ahead_calls
-        borrowed_seconds = BORROWED_CALLS * work_seconds if is_first_rank else 0.0
-        return self._credit_seconds + borrowed_seconds >= min(work_seconds, CREDIT_SECONDS)
+        if self.limit >= SPACING_THRESHOLD:
+            return self.in_flight + 1 <= self.max_calls(is_top_rank) + extra_calls
+        borrowed_seconds = MAX_BORROWED_CALLS * work_seconds if is_top_rank else 0.0
+        return self._credit_seconds + borrowed_seconds >= min(work_seconds, MAX_CREDIT_SECONDS)
 
-    def calls_at_once(self, is_first_rank: bool) -> float:
-        """Return how many calls may be there at once; one more where no rank goes before them."""
-        is_spaced = self.limit < SPACED_BELOW
-        return self.limit if is_spaced or not is_first_rank else self.limit + 1
+    def max_calls(self, is_top_rank: bool) -> float:
+        """Return the maximum number of concurrent calls; one more for the top rank."""
+        is_spaced = self.limit < SPACING_THRESHOLD
+        return self.limit if is_spaced or not is_top_rank else self.limit + 1
 
     @property
-    def is_idle(self) -> bool:
+    def is_underused(self) -> bool:
         """Whether less than half of a limit of one or more is in use."""
-        return self.limit >= SPACED_BELOW and self.in_flight < IN_USE_SHARE * self.limit
+        return self.limit >= SPACING_THRESHOLD and self.in_flight < MIN_UTILIZATION * self.limit
 
     def _was_in_use(self) -> bool:
-        """Return whether half of the limit was in use, with the call that has just ended."""
-        return self.limit < SPACED_BELOW or self.in_flight + 1 >= IN_USE_SHARE * self.limit
-
-    def free_at_seconds(self, work_seconds: float, now_seconds: float) -> float:
-        """Return when spacing lets a call go; infinite if an answer has to come first."""
-        self._pass_time(now_seconds)
-        if now_seconds < self._closed_until_seconds:
-            return self._closed_until_seconds
-        if self.limit >= SPACED_BELOW:
+        """Return whether half of the limit was in use before the last call ended."""
+        return self.limit < SPACING_THRESHOLD or self.in_flight + 1 >= MIN_UTILIZATION * self.limit
+
+    def next_send_at_seconds(self, work_seconds: float, now_seconds: float) -> float:
+        """Return when the next call may be sent; infinite if an answer has to come first."""
+        self._advance_clock(now_seconds)
+        if now_seconds < self._blocked_until_seconds:
+            return self._blocked_until_seconds
+        if self.limit >= SPACING_THRESHOLD:
             return now_seconds if self.in_flight + 1 <= self.limit else float("inf")
-        missing_seconds = min(work_seconds, CREDIT_SECONDS) - self._credit_seconds
+        missing_seconds = min(work_seconds, MAX_CREDIT_SECONDS) - self._credit_seconds
         return now_seconds + max(0.0, missing_seconds) / self.limit
 
-    def sent(self, work_seconds: float, now_seconds: float) -> None:
-        """Count a call in."""
-        self._pass_time(now_seconds)
+    def record_send(self, work_seconds: float, now_seconds: float) -> None:
+        """Count a call that was sent."""
+        self._advance_clock(now_seconds)
         self.in_flight += 1
-        if self.limit < SPACED_BELOW:
+        if self.limit < SPACING_THRESHOLD:
             self._credit_seconds -= work_seconds
 
-    def ended(self) -> None:
-        """Count a call out, however it ended."""
+    def record_end(self) -> None:
+        """Count a call that has ended, with or without an answer."""
         self.in_flight = max(0, self.in_flight - 1)
 
     def answered(self, running: float, waiting: float, slots: int, now_seconds: float) -> None:
-        """Take in how full a target was that answered."""
-        self._pass_time(now_seconds)
-        self._note_answer()
+        """Adjust the limit to the load that a target reported with its answer."""
+        self._advance_clock(now_seconds)
+        self._clear_refusals()
         if slots <= 0:
             return
-        self._note_word(waiting > 0 or running >= slots, now_seconds)
-        self.is_told_free = waiting == 0 and running <= FREE_SHARE * slots
-        if waiting > QUEUE_SHARE * slots:
-            self._crowded_at_seconds = now_seconds
-            self.limit = max(MIN_LIMIT, self.limit * LOWER_FACTOR)
-        elif self.limit > SPACED_BELOW and not self._was_in_use():
-            # What is not used shows nothing, and would let a sudden crowd of calls go at once.
+        self._record_load_report(waiting > 0 or running >= slots, now_seconds)
+        self.is_last_target_half_free = waiting == 0 and running <= HALF_FREE_BUSY_SHARE * slots
+        if waiting > QUEUE_CALLS_PER_SLOT * slots:
+            self._saturated_at_seconds = now_seconds
+            self.limit = max(MIN_LIMIT, self.limit * QUEUE_DECREASE_FACTOR)
+        elif self.limit > SPACING_THRESHOLD and not self._was_in_use():
+            # An unused limit says nothing of capacity; raising it would admit a sudden burst.
             return
-        elif self.is_told_free:
-            self.limit = min(MAX_LIMIT, self.limit * RAISE_FACTOR)
+        elif self.is_last_target_half_free:
+            self.limit = min(MAX_LIMIT, self.limit * INCREASE_FACTOR)
         else:
-            self._raise(now_seconds)
+            self._increase_limit(now_seconds)
 
     def answered_untold(self, now_seconds: float) -> None:
-        """Take in that a target answered that does not tell how full it is."""
-        self._note_answer()
+        """Adjust the limit to an answer without a load report."""
+        self._clear_refusals()
         if not self._was_in_use():
             return
-        if now_seconds >= self._crowded_at_seconds + FADE_SECONDS:
-            self.limit = min(MAX_LIMIT, self.limit * RAISE_FACTOR)
+        if now_seconds >= self._saturated_at_seconds + SATURATION_EXPIRY_SECONDS:
+            self.limit = min(MAX_LIMIT, self.limit * INCREASE_FACTOR)
         else:
-            self._raise(now_seconds)
+            self._increase_limit(now_seconds)
 
-    def refused(self, usual_seconds: float, now_seconds: float) -> None:
-        """Take in that a target refused; several refusals of one moment count once.
+    def record_refusal(self, typical_seconds: float, now_seconds: float) -> None:
+        """Lower the limit after a target refused a call.
 
-        Without an answer between them all count once: targets that take nothing tell nothing of
-        how many calls they have room for once they do.
+        Refusals within a typical call's duration count once. The limit is lowered only once until a
+        target answers, since targets that refuse everything do not show their capacity.
         """
-        self._pass_time(now_seconds)
-        self._crowded_at_seconds = now_seconds
-        self.is_told_free = False
+        self._advance_clock(now_seconds)
+        self._saturated_at_seconds = now_seconds
+        self.is_last_target_half_free = False
         self.refusals_since_answer += 1
-        if now_seconds < self._refused_at_seconds + usual_seconds:
+        if now_seconds < self._refused_at_seconds + typical_seconds:
             return
         self._refused_at_seconds = now_seconds
-        self._closed_until_seconds = now_seconds + CLOSED_SHARE * usual_seconds
-        if not self._is_lowered_since_answer:
-            self._is_lowered_since_answer = True
-            self.limit = max(MIN_LIMIT, self.limit * REFUSED_FACTOR)
+        self._blocked_until_seconds = now_seconds + REFUSAL_DELAY_SHARE * typical_seconds
+        if not self._is_decreased_since_answer:
+            self._is_decreased_since_answer = True
+            self.limit = max(MIN_LIMIT, self.limit * REFUSAL_DECREASE_FACTOR)
 
     def crowding(self, now_seconds: float) -> float:
-        """Return the share of answers that told lately of a full target, fading with their age.
+        """Return the share of recent answers that reported a full target, in [0, 1].
 
-        Between 0, nobody is known to be full, and 1.
+        It decays with the age of the answers.
         """
-        age_seconds = max(0.0, now_seconds - self._told_at_seconds)
-        life_seconds = max(CROWDING_LIFE_SECONDS, CROWDING_LIFE_ANSWERS * self._gap_seconds)
-        return self._crowding * math.exp(-age_seconds / life_seconds)
+        age_seconds = max(0.0, now_seconds - self._reported_at_seconds)
+        decay_seconds = max(
+            MIN_SATURATION_DECAY_SECONDS, SATURATION_DECAY_ANSWERS * self._answer_interval_seconds
+        )
+        return self._saturation * math.exp(-age_seconds / decay_seconds)
 
     def was_refused_since(self, since_seconds: float) -> bool:
-        """Return whether a target has refused a call since then."""
+        """Return whether a target has refused a call since this time."""
         return self._refused_at_seconds >= since_seconds
 
     def restart(self) -> None:
-        """Begin anew after targets were gone: one call tries what there is."""
-        self.limit = min(self.limit, SPACED_BELOW)
+        """Lower the limit to one call at most, after no target was available."""
+        self.limit = min(self.limit, SPACING_THRESHOLD)
 
-    def _note_answer(self) -> None:
+    def _clear_refusals(self) -> None:
         self.refusals_since_answer = 0
-        self._is_lowered_since_answer = False
-
-    def _note_word(self, is_full: bool, now_seconds: float) -> None:
-        """Take in whether a target that answered had no free slot."""
-        crowding = self.crowding(now_seconds)
-        gap_seconds = max(0.0, min(MAX_GAP_SECONDS, now_seconds - self._told_at_seconds))
-        self._gap_seconds += GAP_SMOOTHING * (gap_seconds - self._gap_seconds)
-        self._told_at_seconds = now_seconds
-        self._crowding = crowding + CROWDING_SMOOTHING * (is_full - crowding)
-
-    def _raise(self, now_seconds: float) -> None:
-        """Add what the time since the last answer without a queue allows."""
-        since_seconds = max(0.0, now_seconds - self._raised_at_seconds)
-        self._raised_at_seconds = now_seconds
-        raise_calls = RAISE_CALLS_PER_SECOND * min(MAX_RAISE_SECONDS, since_seconds)
-        self.limit = min(MAX_LIMIT, self.limit + raise_calls)
-
-    def _pass_time(self, now_seconds: float) -> None:
-        """Let time pass; a clock that steps back or far ahead neither takes nor gives credit."""
-        passed_seconds = max(0.0, now_seconds - self._credited_at_seconds)
+        self._is_decreased_since_answer = False
+
+    def _record_load_report(self, is_full: bool, now_seconds: float) -> None:
+        """Update the saturation with one answer's load report."""
+        saturation = self.crowding(now_seconds)
+        interval_seconds = max(
+            0.0, min(MAX_ANSWER_INTERVAL_SECONDS, now_seconds - self._reported_at_seconds)
+        )
+        self._answer_interval_seconds += ANSWER_INTERVAL_SMOOTHING * (
+            interval_seconds - self._answer_interval_seconds
+        )
+        self._reported_at_seconds = now_seconds
+        self._saturation = saturation + SATURATION_SMOOTHING * (is_full - saturation)
+
+    def _increase_limit(self, now_seconds: float) -> None:
+        """Increase the limit by the time since the last increase."""
+        elapsed_seconds = max(0.0, now_seconds - self._increased_at_seconds)
+        self._increased_at_seconds = now_seconds
+        increase_calls = INCREASE_CALLS_PER_SECOND * min(
+            MAX_INCREASE_INTERVAL_SECONDS, elapsed_seconds
+        )
+        self.limit = min(MAX_LIMIT, self.limit + increase_calls)
+
+    def _advance_clock(self, now_seconds: float) -> None:
+        """Add credit for the time passed, and let saturation expire.
+
+        A clock that jumps removes no credit and adds no more than `MAX_CREDIT_SECONDS`.
+        """
+        elapsed_seconds = max(0.0, now_seconds - self._credited_at_seconds)
         self._credited_at_seconds = now_seconds
-        gained_seconds = self.limit * passed_seconds
-        self._credit_seconds = min(CREDIT_SECONDS, self._credit_seconds + gained_seconds)
-        self._crowded_at_seconds = min(self._crowded_at_seconds, now_seconds)
+        earned_seconds = self.limit * elapsed_seconds
+        self._credit_seconds = min(MAX_CREDIT_SECONDS, self._credit_seconds + earned_seconds)
+        self._saturated_at_seconds = min(self._saturated_at_seconds, now_seconds)
         self._refused_at_seconds = min(self._refused_at_seconds, now_seconds)
-        self._told_at_seconds = min(self._told_at_seconds, now_seconds)
-        max_closed_seconds = now_seconds + MAX_CLOSED_SECONDS
-        self._closed_until_seconds = min(self._closed_until_seconds, max_closed_seconds)
-        if self.limit < SPACED_BELOW and now_seconds >= self._crowded_at_seconds + FADE_SECONDS:
-            self.limit = SPACED_BELOW
+        self._reported_at_seconds = min(self._reported_at_seconds, now_seconds)
+        max_blocked_until_seconds = now_seconds + MAX_REFUSAL_DELAY_SECONDS
+        self._blocked_until_seconds = min(self._blocked_until_seconds, max_blocked_until_seconds)
+        if (
+            self.limit < SPACING_THRESHOLD
+            and now_seconds >= self._saturated_at_seconds + SATURATION_EXPIRY_SECONDS
+        ):
+            self.limit = SPACING_THRESHOLD
--- a/rackswitch/admission/decisions.py
+++ b/rackswitch/admission/decisions.py
@@ -1,4 +1,4 @@
-"""A call that asks for room at a service, and what is decided about it."""
+"""A call's admission request, and the decision about it."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -15,34 +15,34 @@
 ]
 
 LEAST_URGENT_RANK = 9
-"""Ranks of callers beyond this one count as this one."""
+"""Lowest rank of callers; higher numbers count as this one."""
 
 REWARD_RANK = LEAST_URGENT_RANK + 1
-"""Reward calls go behind all callers: nobody waits for a single one, but for a whole step."""
+"""Rank of reward calls, behind all callers: their results are needed only as a complete step."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """A call that asks for room.
+    """A call that asks to be admitted to a service.
 
     Attributes
     ----------
     request_id : str
-        The caller's own identity of it.
+        The caller's identity of the call.
     kind : str
-        Calls of one kind (a route) take about the same work.
+        Calls of one kind (a route) take about the same time.
     tenant : str
-        Whose call it is, for fair shares; empty where that is not known.
+        The tenant, for fair shares; empty if it is not known.
     rank : int
-        0 goes first.
+        Priority; 0 is the highest.
     body_bytes : int
-        What it holds in memory while it waits.
+        Memory that it takes while it waits.
     arrived_seconds : float
-        When it came (monotonic).
+        When it arrived (monotonic).
     aim_seconds, deadline_seconds : float
-        Until when the answer is wanted, and until when it is of any use (monotonic).
+        Latency target and deadline of the answer (monotonic).
     is_back : bool
-        Whether it probably was refused before and has come back.
+        Whether it is probably a retry of a refused call.
     """
 
     request_id: str
@@ -59,26 +59,26 @@
 class RefusalCause(Enum):
     """Why a call is refused."""
 
-    ROOM_FULL = "room full"
+    QUEUE_FULL = "room full"
     WAIT_TOO_LONG = "wait too long"
     OVER_SHARE = "over its share"
     OUT_OF_TIME = "out of time"
-    ALL_REFUSE = "all targets refuse"
+    ALL_TARGETS_REFUSE = "all targets refuse"
 
 
 @dataclass(frozen=True, slots=True)
 class SendCall:
-    """The call goes to a target now."""
+    """The call is sent to a target now."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """What a waiting call is known by.
+    """Identity of a waiting call.
 
     Attributes
     ----------
     rank : int
-        Its rank, 0 first.
+        Its rank; 0 is the highest.
     number : int
         Its number among the calls of that rank.
     """
@@ -89,14 +89,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitInQueue:
-    """The call waits; it is told when it may go or is refused.
+    """The call waits until it is sent or refused.
 
     Attributes
     ----------
     ticket : Ticket
-        What it is known by until then.
+        Its identity in the queue.
     wait_seconds : float
-        How long that probably takes.
+        Expected wait.
     """
 
     ticket: Ticket
@@ -105,14 +105,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseCall:
-    """The call has not run and will not.
+    """The call was not sent and will not be.
 
     Attributes
     ----------
     cause : RefusalCause
-        Why.
+        Why it was refused.
     wait_seconds : float
-        How long it would probably have waited.
+        Expected wait, had it been queued.
     """
 
     cause: RefusalCause
--- a/rackswitch/admission/fair_queue.py
+++ b/rackswitch/admission/fair_queue.py
@@ -1,4 +1,4 @@
-"""Calls of one rank that wait, in fair turns between tenants.
+"""Wait queue of one rank, fair between tenants.
 
 References
 ----------
@@ -13,127 +13,131 @@
 
 __all__ = ["FairQueue"]
 
-TURN_SECONDS = 0.05
-"""Work that each tenant may have done in its turn: about one call's."""
+QUANTUM_SECONDS = 0.05
+"""Work that each tenant earns per turn: about one call's."""
 
 
 @dataclass(slots=True)
 class _TenantQueue:
-    """One tenant's calls, those with the least time left first.
+    """One tenant's requests, earliest deadline first.
 
     Attributes
     ----------
-    calls : list of (bool, float, int, AdmissionRequest)
-        A heap: whether it is new (not back), its deadline, its number, the call.
+    requests : list of (bool, float, int, AdmissionRequest)
+        A heap: whether it is a first try (not a retry), its deadline, its number, the request.
     deficit_seconds : float
-        Work that its turns have earned and its calls not yet used.
+        Work that the tenant has earned and not yet used.
     """
 
-    calls: list[tuple[bool, float, int, AdmissionRequest]] = field(default_factory=list)
+    requests: list[tuple[bool, float, int, AdmissionRequest]] = field(default_factory=list)
     deficit_seconds: float = 0.0
 
 
 @dataclass(slots=True)
 class FairQueue:
-    """Calls of one rank.
+    """Admission requests of one rank, in deficit round robin between tenants by work.
 
-    Tenants take turns; in each one a tenant may have as much work done as any other. A tenant
-    without waiting calls loses what its turns had earned.
+    A tenant without waiting requests loses its deficit.
     """
 
     _tenants: dict[str, _TenantQueue] = field(default_factory=dict)
-    _turns: deque[str] = field(default_factory=deque)
-    _gone: set[int] = field(default_factory=set)
-    _number: int = 0
-    _count: int = 0
+    _active_tenants: deque[str] = field(default_factory=deque)
+    _removed_numbers: set[int] = field(default_factory=set)
+    _last_number: int = 0
+    _request_count: int = 0
 
     def __len__(self) -> int:
-        return self._count
+        return self._request_count
 
-    def add(self, want: AdmissionRequest) -> int:
-        """Add a call; return the number by which it is taken out."""
-        queue = self._tenants.get(want.tenant)
+    def add(self, request: AdmissionRequest) -> int:
+        """Add a request; return the number by which it can be removed."""
+        queue = self._tenants.get(request.tenant)
         if queue is None:
-            queue = self._tenants[want.tenant] = _TenantQueue()
-            self._turns.append(want.tenant)
-        self._number += 1
-        # Who was refused before has waited longer than it shows here.
-        heapq.heappush(queue.calls, (not want.is_back, want.deadline_seconds, self._number, want))
-        self._count += 1
-        return self._number
+            queue = self._tenants[request.tenant] = _TenantQueue()
+            self._active_tenants.append(request.tenant)
+        self._last_number += 1
+        # Retries go first: their callers have waited before.
+        heapq.heappush(
+            queue.requests,
+            (not request.is_back, request.deadline_seconds, self._last_number, request),
+        )
+        self._request_count += 1
+        return self._last_number
 
     def remove(self, number: int) -> None:
-        """Take a call out that was added and not taken yet."""
-        self._gone.add(number)
-        self._count -= 1
+        """Remove a request that was added and not popped yet."""
+        self._removed_numbers.add(number)
+        self._request_count -= 1
 
-    def ahead_of(self, want: AdmissionRequest) -> int:
-        """Return how many waiting calls would go before a new one.
+    def count_ahead_of(self, request: AdmissionRequest) -> int:
+        """Return how many waiting requests would be sent before a new one.
 
-        Of its own tenant, all that have less time left. Of each other tenant at most as many as
-        that and one more, as tenants take turns. Calls that are back all go before a newcomer.
+        These are the tenant's own requests with an earlier deadline and, as tenants take turns, at
+        most one more than that of each other tenant. Retries all go before first tries.
         """
-        place = (not want.is_back, want.deadline_seconds)
-        own = sum(entry[:2] <= place for entry in self._alive(want.tenant))
-        others = 0
+        sort_key = (not request.is_back, request.deadline_seconds)
+        own_count = sum(entry[:2] <= sort_key for entry in self._pending_entries(request.tenant))
+        other_count = 0
         for tenant in self._tenants:
-            if tenant != want.tenant:
-                others += self._ahead_in(tenant, want.is_back, own + 1)
-        return own + others
-
-    def _ahead_in(self, tenant: str, is_back: bool, turns: int) -> int:
-        """Return how many of another tenant's calls go before one that goes after some turns."""
-        alive = self._alive(tenant)
-        back_count = sum(entry[3].is_back for entry in alive)
-        if is_back:
-            return min(back_count, turns)
-        return back_count + min(len(alive) - back_count, turns)
-
-    def take(self, work_seconds_of: dict[str, float], usual_seconds: float) -> int | None:
-        """Take the next call out and return its number; None if none waits.
+            if tenant != request.tenant:
+                other_count += self._count_ahead_in(tenant, request.is_back, own_count + 1)
+        return own_count + other_count
+
+    def _count_ahead_in(self, tenant: str, is_retry: bool, max_turns: int) -> int:
+        """Return how many of another tenant's requests go before a tenant's own."""
+        pending = self._pending_entries(tenant)
+        retry_count = sum(entry[3].is_back for entry in pending)
+        if is_retry:
+            return min(retry_count, max_turns)
+        return retry_count + min(len(pending) - retry_count, max_turns)
+
+    def pop(
+        self, work_seconds_by_kind: dict[str, float], default_work_seconds: float
+    ) -> int | None:
+        """Pop the next request and return its number; None if none waits.
 
         Parameters
         ----------
-        work_seconds_of : dict of str to float
-            Usual work by kind of call.
-        usual_seconds : float
-            That of kinds that are not known yet.
+        work_seconds_by_kind : dict of str to float
+            Typical duration by kind of call.
+        default_work_seconds : float
+            Typical duration of kinds that are not in it.
         """
-        self._drop_empty()
-        # Nobody who was refused before is put behind newcomers, of whatever tenant.
-        is_back = any(queue.calls[0][3].is_back for queue in self._tenants.values())
-        while self._turns:
-            tenant = self._turns[0]
+        self._drop_idle_tenants()
+        # Retries of any tenant go before first tries.
+        is_retry = any(queue.requests[0][3].is_back for queue in self._tenants.values())
+        while self._active_tenants:
+            tenant = self._active_tenants[0]
             queue = self._tenants[tenant]
-            number, want = queue.calls[0][2:]
-            if want.is_back != is_back:
-                self._turns.rotate(-1)
+            number, request = queue.requests[0][2:]
+            if request.is_back != is_retry:
+                self._active_tenants.rotate(-1)
                 continue
-            cost_seconds = work_seconds_of.get(want.kind, usual_seconds)
+            cost_seconds = work_seconds_by_kind.get(request.kind, default_work_seconds)
             if queue.deficit_seconds < cost_seconds:
-                queue.deficit_seconds += TURN_SECONDS
-                self._turns.rotate(-1)
+                queue.deficit_seconds += QUANTUM_SECONDS
+                self._active_tenants.rotate(-1)
                 continue
-            heapq.heappop(queue.calls)
+            heapq.heappop(queue.requests)
             queue.deficit_seconds -= cost_seconds
-            self._count -= 1
+            self._request_count -= 1
             return number
         return None
 
-    def _alive(self, tenant: str) -> list[tuple[bool, float, int, AdmissionRequest]]:
+    def _pending_entries(self, tenant: str) -> list[tuple[bool, float, int, AdmissionRequest]]:
         queue = self._tenants.get(tenant)
-        calls = queue.calls if queue is not None else []
-        return [entry for entry in calls if entry[2] not in self._gone]
+        requests = queue.requests if queue is not None else []
+        return [entry for entry in requests if entry[2] not in self._removed_numbers]
 
-    def _drop_empty(self) -> None:
-        """Forget tenants without waiting calls, and with them what their turns had earned."""
-        for tenant in list(self._turns):
+    def _drop_idle_tenants(self) -> None:
+        """Remove tenants without waiting requests, and their deficits."""
+        for tenant in list(self._active_tenants):
             queue = self._tenants[tenant]
-            self._drop_gone(queue)
-            if not queue.calls:
-                self._turns.remove(tenant)
+            self._drop_removed(queue)
+            if not queue.requests:
+                self._active_tenants.remove(tenant)
                 del self._tenants[tenant]
 
-    def _drop_gone(self, queue: _TenantQueue) -> None:
-        while queue.calls and queue.calls[0][2] in self._gone:
-            self._gone.discard(heapq.heappop(queue.calls)[2])
+    def _drop_removed(self, queue: _TenantQueue) -> None:
+        while queue.requests and queue.requests[0][2] in self._removed_numbers:
+            self._removed_numbers.discard(heapq.heappop(queue.requests)[2])
--- a/rackswitch/admission/patience.py
+++ b/rackswitch/admission/patience.py
@@ -1,32 +1,32 @@
-"""Telling a caller that was refused and has come back from a newcomer, at any daemon.
+"""Recognition of callers' retries, at any daemon.
 
-A caller that comes back has less time left than its like had at first. That needs no memory of who
-was refused, and none shared between daemons.
+A retry has less time left than first tries of its kind. This needs no record of refused callers
+and no state shared between daemons.
 """
 
 from dataclasses import dataclass, field
 
 __all__ = ["PatienceEstimate"]
 
-BACK_SHARE = 0.9
-"""A caller with less left than this share of the usual time at first has been refused before."""
+RETRY_TIMEOUT_SHARE = 0.9
+"""A request with less time left than this share of the typical timeout counts as a retry."""
 
-PATIENCE_SMOOTHING = 0.02
-"""Weight of one shorter time in the usual one, which so follows callers that begin to wait less."""
+TIMEOUT_SMOOTHING = 0.02
+"""Weight of one shorter timeout in the typical one, which follows callers that wait less."""
 
 
 @dataclass(slots=True)
 class PatienceEstimate:
-    """How long callers wait at first, by kind of call."""
+    """Typical timeout of callers' first tries, by kind of call."""
 
-    _left_seconds: dict[str, float] = field(default_factory=dict)
+    _timeout_seconds: dict[str, float] = field(default_factory=dict)
 
-    def is_back(self, kind: str, left_seconds: float) -> bool:
-        """Take in how long a caller waits; return whether it has probably been here before."""
-        usual_seconds = self._left_seconds.get(kind, left_seconds)
-        if left_seconds >= usual_seconds:
-            self._left_seconds[kind] = left_seconds
+    def is_back(self, kind: str, remaining_seconds: float) -> bool:
+        """Record how long a caller waits; return whether it is probably a retry."""
+        typical_seconds = self._timeout_seconds.get(kind, remaining_seconds)
+        if remaining_seconds >= typical_seconds:
+            self._timeout_seconds[kind] = remaining_seconds
             return False
-        shorter_seconds = PATIENCE_SMOOTHING * (usual_seconds - left_seconds)
-        self._left_seconds[kind] = usual_seconds - shorter_seconds
-        return left_seconds < BACK_SHARE * usual_seconds
+        decrease_seconds = TIMEOUT_SMOOTHING * (typical_seconds - remaining_seconds)
+        self._timeout_seconds[kind] = typical_seconds - decrease_seconds
+        return remaining_seconds < RETRY_TIMEOUT_SHARE * typical_seconds
--- a/rackswitch/admission/refusals.py
+++ b/rackswitch/admission/refusals.py
@@ -1,4 +1,4 @@
-"""When a refused caller should come back."""
+"""When a refused caller should retry."""
 
 from rackswitch.admission.decisions import LEAST_URGENT_RANK, AdmissionRequest, RefuseCall
 from rackswitch.requests import retry_delay_seconds
@@ -6,33 +6,34 @@
 __all__ = ["next_retry_at_seconds"]
 
 MIN_RETRY_AFTER_SECONDS = 0.1
-"""Room does not change in less: some calls have to end first."""
+"""Lower bound: some calls have to end before there is capacity."""
 
-RETURN_SHARE = 0.25
-"""Part of the time that a caller has left in which it comes back, so that it can be served then."""
+RETRY_TIME_SHARE = 0.25
+"""Part of a caller's remaining time within which it is told to retry, so that it can still be
+served."""
 
 
 def next_retry_at_seconds(
-    want: AdmissionRequest, refusal: RefuseCall, draw: float, now_seconds: float
+    request: AdmissionRequest, refusal: RefuseCall, draw: float, now_seconds: float
 ) -> float:
-    """Return when a refused caller should come back (monotonic).
+    """Return when a refused caller should retry (monotonic).
 
-    That is when it would probably have gone had it waited; callers of one rank come back one after
-    the other, more urgent ones first.
+    That is when the request would probably have been sent had it waited. The times of callers are
+    spread, higher ranks first.
 
     Parameters
     ----------
-    want : AdmissionRequest
-        What it asked for.
+    request : AdmissionRequest
+        The request.
     refusal : RefuseCall
-        How it was refused.
+        Its refusal.
     draw : float
-        Random, in [0, 1).
+        Random number in [0, 1).
     now_seconds : float
         Monotonic clock.
     """
-    left_seconds = max(0.0, want.deadline_seconds - now_seconds)
-    max_seconds = max(MIN_RETRY_AFTER_SECONDS, RETURN_SHARE * left_seconds)
+    remaining_seconds = max(0.0, request.deadline_seconds - now_seconds)
+    max_seconds = max(MIN_RETRY_AFTER_SECONDS, RETRY_TIME_SHARE * remaining_seconds)
     base_seconds = min(max_seconds, max(MIN_RETRY_AFTER_SECONDS, refusal.wait_seconds))
-    rank = min(want.rank, LEAST_URGENT_RANK)
+    rank = min(request.rank, LEAST_URGENT_RANK)
     return now_seconds + retry_delay_seconds(base_seconds, rank, draw)
--- a/rackswitch/admission/tests/simulated_load.py
+++ b/rackswitch/admission/tests/simulated_load.py
@@ -1,7 +1,7 @@
-"""A played load: many daemons before four targets, by three ways to share them.
+"""Simulated load: many daemons before four targets, with three ways to share them.
 
-Calls come at random daemons; targets have slots and a short queue, and tell with each answer how
-full they are. The decisions are the shipped code; time is a number.
+Calls arrive at random daemons; targets have slots and a short queue, and report their load with
+each answer. The decisions are those of the product code, on a simulated clock.
 """
 
 import heapq
@@ -20,7 +20,7 @@
     WaitInQueue,
 )
 from rackswitch.admission.patience import PatienceEstimate
-from rackswitch.admission.service_admission import has_room_to_spare
+from rackswitch.admission.service_admission import has_spare_capacity
 from rackswitch.admission.shares import fair_rate
 from rackswitch.requests import retry_delay_seconds
 from rackswitch.routing import TargetEstimate
@@ -29,21 +29,21 @@
 REWARD_WORK_SECONDS = 0.107
 WORK_SIGMA = 0.5
 NETWORK_SECONDS = 0.001
-AIM_SECONDS = 0.179
+LATENCY_TARGET_SECONDS = 0.179
 DEADLINE_SECONDS = 0.804
 REWARD_DEADLINE_SECONDS = 2.0
 REWARD_BURST = 56
 REWARD_BURST_PERIOD_SECONDS = 4.0
-REWARD_PAUSE_SECONDS = 0.1
+REWARD_RETRY_SECONDS = 0.1
 RANKS = (0, 1, 2)
 RANK_WEIGHTS = (0.3, 0.4, 0.3)
-LARGE_WEIGHTS = (10, 10, 20, 20, 30, 40, 40, 70)
+LARGE_TENANT_WEIGHTS = (10, 10, 20, 20, 30, 40, 40, 70)
 """How many times a small tenant's calls the first tenants send."""
-WORD_FADE_SECONDS = 0.2
-POLL_SECONDS = 0.02
-POLLS = 11
-AT_ONCE_SECONDS = 0.02
-SHORT_SHARE = 0.05
+LOAD_REPORT_DECAY_SECONDS = 0.2
+POLL_INTERVAL_SECONDS = 0.02
+MAX_POLL_ATTEMPTS = 11
+IMMEDIATE_SECONDS = 0.02
+SHORTAGE_SHARE = 0.05
 
 
 @dataclass(slots=True)
@@ -60,411 +60,458 @@
 
 
 @dataclass(slots=True)
-class Caller:
-    """One call over all of its attempts."""
+class SimulatedCall:
+    """One caller's call with all of its attempts."""
 
     number: int
     kind: str
     tenant: str
     rank: int
     work_seconds: float
-    first_seconds: float
+    first_arrival_seconds: float
     deadline_seconds: float
     attempts: int = 0
     arrived_seconds: float = 0.0
-    ran: int = 0
+    run_count: int = 0
 
 
 @dataclass(slots=True)
 class Target:
-    """Slots and a queue behind them; `pace` stretches work."""
+    """A target; `pace` is how many times longer than typical its calls take."""
 
     sizes: Sizes
     pace: float = 1.0
     running: int = 0
-    is_gone: bool = False
-    queue: list[tuple[Caller, Callable[[], None]]] = field(default_factory=list)
+    is_unavailable: bool = False
+    queue: list[tuple[SimulatedCall, Callable[[], None]]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Seen:
-    """What a daemon last heard of a target."""
+class TargetReport:
+    """A daemon's last load report of a target."""
 
     running: int = 0
     waiting: int = 0
     pace: float = 1.0
     at_seconds: float = float("-inf")
-    sent_since: int = 0
+    sent_since_report: int = 0
 
 
 @dataclass(slots=True)
-class Tally:
-    """What came of the load."""
+class Results:
+    """Outcomes of the simulated calls."""
 
-    served: list[tuple[Caller, float]] = field(default_factory=list)
+    served: list[tuple[SimulatedCall, float]] = field(default_factory=list)
     refused_after_seconds: list[float] = field(default_factory=list)
     refused_while_half_free: int = 0
     refused_while_shown_free: int = 0
-    lost: list[Caller] = field(default_factory=list)
+    failed: list[SimulatedCall] = field(default_factory=list)
     run_twice: int = 0
     burst_seconds: list[float] = field(default_factory=list)
 
 
-class Play:
-    """One run of the load by one way; subclasses say how a daemon treats a call."""
+class Simulation:
+    """One run of the load; subclasses define how a daemon handles a call."""
 
     def __init__(self, load: float, seed: int, seconds: float, sizes: Sizes | None = None):
         self.sizes = sizes or Sizes()
         self.rng = random.Random(seed)
-        self.now = 0.0
-        self.end = seconds
+        self.now_seconds = 0.0
+        self.end_seconds = seconds
         self.load = load
         self.targets = [Target(self.sizes) for _ in range(self.sizes.targets)]
-        self.tally = Tally()
+        self.results = Results()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._number = 0
+        self._last_number = 0
         self.tenants = [f"t{n}" for n in range(self.sizes.tenants)]
         self.tenant_weights = [1] * self.sizes.tenants
-        self.tenant_weights[: len(LARGE_WEIGHTS)] = LARGE_WEIGHTS
-        self.bursts = True
+        self.tenant_weights[: len(LARGE_TENANT_WEIGHTS)] = LARGE_TENANT_WEIGHTS
+        self.has_reward_bursts = True
         self.rank_weights = RANK_WEIGHTS
 
-    def at(self, seconds: float, what: Callable[[], None]) -> None:
-        self._number += 1
-        heapq.heappush(self._events, (seconds, self._number, what))
+    def schedule(self, seconds: float, action: Callable[[], None]) -> None:
+        self._last_number += 1
+        heapq.heappush(self._events, (seconds, self._last_number, action))
 
-    def run(self) -> Tally:
-        self._next_call()
-        if self.bursts:
-            self.at(REWARD_BURST_PERIOD_SECONDS / 2, self._burst)
+    def run(self) -> Results:
+        self._schedule_next_call()
+        if self.has_reward_bursts:
+            self.schedule(REWARD_BURST_PERIOD_SECONDS / 2, self._start_reward_burst)
         while self._events:
-            self.now, _, what = heapq.heappop(self._events)
-            if self.now > self.end + REWARD_DEADLINE_SECONDS:
+            self.now_seconds, _, action = heapq.heappop(self._events)
+            if self.now_seconds > self.end_seconds + REWARD_DEADLINE_SECONDS:
                 break
-            what()
-        return self.tally
+            action()
+        return self.results
 
-    def work(self, mean_seconds: float) -> float:
+    def draw_work_seconds(self, mean_seconds: float) -> float:
         return mean_seconds * math.exp(self.rng.gauss(-(WORK_SIGMA**2) / 2, WORK_SIGMA))
 
-    def _next_call(self) -> None:
-        reward = REWARD_BURST * REWARD_WORK_SECONDS / REWARD_BURST_PERIOD_SECONDS
-        wanted = self.load * self.sizes.work_per_second - reward * self.bursts
-        self.at(self.now + self.rng.expovariate(wanted / WORK_SECONDS), self._call)
+    def _schedule_next_call(self) -> None:
+        reward_work_per_second = REWARD_BURST * REWARD_WORK_SECONDS / REWARD_BURST_PERIOD_SECONDS
+        work_per_second = (
+            self.load * self.sizes.work_per_second - reward_work_per_second * self.has_reward_bursts
+        )
+        self.schedule(
+            self.now_seconds + self.rng.expovariate(work_per_second / WORK_SECONDS),
+            self._start_call,
+        )
 
-    def _call(self) -> None:
-        if self.now > self.end:
+    def _start_call(self) -> None:
+        if self.now_seconds > self.end_seconds:
             return
-        self._next_call()
+        self._schedule_next_call()
         tenant = self.rng.choices(self.tenants, self.tenant_weights)[0]
         rank = self.rng.choices(RANKS, self.rank_weights)[0]
-        caller = Caller(
-            self._number,
+        call = SimulatedCall(
+            self._last_number,
             f"check-{rank}",
             tenant,
             rank,
-            self.work(WORK_SECONDS),
-            self.now,
-            self.now + DEADLINE_SECONDS,
+            self.draw_work_seconds(WORK_SECONDS),
+            self.now_seconds,
+            self.now_seconds + DEADLINE_SECONDS,
         )
-        self._attempt(caller, self.rng.randrange(self.sizes.daemons))
+        self._attempt(call, self.rng.randrange(self.sizes.daemons))
 
-    def _burst(self) -> None:
-        if self.now > self.end:
+    def _start_reward_burst(self) -> None:
+        if self.now_seconds > self.end_seconds:
             return
-        self.at(self.now + REWARD_BURST_PERIOD_SECONDS, self._burst)
+        self.schedule(self.now_seconds + REWARD_BURST_PERIOD_SECONDS, self._start_reward_burst)
         daemon = self.rng.randrange(self.sizes.daemons)
-        left = [REWARD_BURST]
-        began = self.now
+        remaining_calls = [REWARD_BURST]
+        began_at_seconds = self.now_seconds
         for _ in range(REWARD_BURST):
-            self._number += 1
-            caller = Caller(
-                self._number,
+            self._last_number += 1
+            call = SimulatedCall(
+                self._last_number,
                 "reward",
                 "",
                 REWARD_RANK,
-                self.work(REWARD_WORK_SECONDS),
-                self.now,
+                self.draw_work_seconds(REWARD_WORK_SECONDS),
+                self.now_seconds,
                 float("inf"),
             )
-            self._reward(caller, daemon, left, began)
-
-    def _reward(self, caller: Caller, daemon: int, left: list[int], began: float) -> None:
-        caller.deadline_seconds = self.now + REWARD_DEADLINE_SECONDS
-        caller.arrived_seconds = self.now
-
-        def served() -> None:
-            left[0] -= 1
-            if left[0] == 0:
-                self.tally.burst_seconds.append(self.now - began)
-
-        def refused(_: float) -> None:
-            self.at(
-                self.now + REWARD_PAUSE_SECONDS, lambda: self._reward(caller, daemon, left, began)
+            self._try_reward_call(call, daemon, remaining_calls, began_at_seconds)
+
+    def _try_reward_call(
+        self, call: SimulatedCall, daemon: int, remaining_calls: list[int], began_at_seconds: float
+    ) -> None:
+        call.deadline_seconds = self.now_seconds + REWARD_DEADLINE_SECONDS
+        call.arrived_seconds = self.now_seconds
+
+        def on_served() -> None:
+            remaining_calls[0] -= 1
+            if remaining_calls[0] == 0:
+                self.results.burst_seconds.append(self.now_seconds - began_at_seconds)
+
+        def on_refused(_: float) -> None:
+            self.schedule(
+                self.now_seconds + REWARD_RETRY_SECONDS,
+                lambda: self._try_reward_call(call, daemon, remaining_calls, began_at_seconds),
             )
 
-        self.serve(caller, daemon, served, refused)
+        self.serve(call, daemon, on_served, on_refused)
 
-    def _attempt(self, caller: Caller, daemon: int) -> None:
-        caller.attempts += 1
-        caller.arrived_seconds = self.now
+    def _attempt(self, call: SimulatedCall, daemon: int) -> None:
+        call.attempts += 1
+        call.arrived_seconds = self.now_seconds
 
-        def served() -> None:
-            self.tally.served.append((caller, self.now))
+        def on_served() -> None:
+            self.results.served.append((call, self.now_seconds))
 
-        def refused(retry_after_seconds: float) -> None:
-            self.tally.refused_after_seconds.append(self.now - caller.arrived_seconds)
-            taken = sum(target.running for target in self.targets)
-            waits = any(target.queue for target in self.targets)
-            there = sum(not target.is_gone for target in self.targets) * self.sizes.slots
-            self.tally.refused_while_half_free += (
-                there > 0 and not waits and taken < there / 2 and self.now < self.end
+        def on_refused(retry_after_seconds: float) -> None:
+            self.results.refused_after_seconds.append(self.now_seconds - call.arrived_seconds)
+            busy_slots = sum(target.running for target in self.targets)
+            has_queue = any(target.queue for target in self.targets)
+            available_slots = (
+                sum(not target.is_unavailable for target in self.targets) * self.sizes.slots
             )
-            left = caller.deadline_seconds - self.now
-            if caller.attempts >= 2:
-                self.tally.lost.append(caller)
+            self.results.refused_while_half_free += (
+                available_slots > 0
+                and not has_queue
+                and busy_slots < available_slots / 2
+                and self.now_seconds < self.end_seconds
+            )
+            remaining_seconds = call.deadline_seconds - self.now_seconds
+            if call.attempts >= 2:
+                self.results.failed.append(call)
                 return
-            back = self.now + min(retry_after_seconds, left / 3) + 2 * NETWORK_SECONDS
-            other = self.rng.randrange(self.sizes.daemons)
-            self.at(back, lambda: self._attempt(caller, other))
+            retry_at_seconds = (
+                self.now_seconds
+                + min(retry_after_seconds, remaining_seconds / 3)
+                + 2 * NETWORK_SECONDS
+            )
+            other_daemon = self.rng.randrange(self.sizes.daemons)
+            self.schedule(retry_at_seconds, lambda: self._attempt(call, other_daemon))
 
-        self.serve(caller, daemon, served, refused)
+        self.serve(call, daemon, on_served, on_refused)
 
-    def serve(self, caller, daemon, served, refused) -> None:
+    def serve(self, call, daemon, on_served, on_refused) -> None:
         raise NotImplementedError
 
-    def begin_at(self, number: int, caller: Caller, answered, not_begun) -> None:
+    def send_to_target(
+        self, target_index: int, call: SimulatedCall, on_answer, on_not_begun
+    ) -> None:
         """Let a call arrive at a target."""
-        target = self.targets[number]
+        target = self.targets[target_index]
 
         def arrive() -> None:
-            if target.is_gone or (
+            if target.is_unavailable or (
                 target.running >= self.sizes.slots and len(target.queue) >= self.sizes.queue
             ):
-                self.at(self.now + NETWORK_SECONDS, not_begun)
+                self.schedule(self.now_seconds + NETWORK_SECONDS, on_not_begun)
                 return
-            caller.ran += 1
-            self.tally.run_twice += caller.ran > 1
+            call.run_count += 1
+            self.results.run_twice += call.run_count > 1
             if target.running < self.sizes.slots:
-                self._work_on(target, caller, answered)
+                self._run_on_target(target, call, on_answer)
             else:
-                target.queue.append((caller, answered))
+                target.queue.append((call, on_answer))
 
-        self.at(self.now + NETWORK_SECONDS, arrive)
+        self.schedule(self.now_seconds + NETWORK_SECONDS, arrive)
 
-    def _work_on(self, target: Target, caller: Caller, answered) -> None:
+    def _run_on_target(self, target: Target, call: SimulatedCall, on_answer) -> None:
         target.running += 1
 
-        def done() -> None:
+        def on_done() -> None:
             target.running -= 1
             if target.queue:
-                self._work_on(target, *target.queue.pop(0))
-            word = (target.running, len(target.queue), target.pace)
-            self.at(self.now + NETWORK_SECONDS, lambda: answered(*word))
+                self._run_on_target(target, *target.queue.pop(0))
+            load_report = (target.running, len(target.queue), target.pace)
+            self.schedule(self.now_seconds + NETWORK_SECONDS, lambda: on_answer(*load_report))
 
-        self.at(self.now + caller.work_seconds * target.pace, done)
+        self.schedule(self.now_seconds + call.work_seconds * target.pace, on_done)
 
 
-class PolledPlay(Play):
-    """Without a queue: a refused call is sent again after a pause, in no order."""
+class PolledPlay(Simulation):
+    """Without a queue: a refused call is sent again after an interval, in no order."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        self.own = [[0] * self.sizes.targets for _ in range(self.sizes.daemons)]
+        self.in_flight = [[0] * self.sizes.targets for _ in range(self.sizes.daemons)]
 
-    def serve(self, caller, daemon, served, refused) -> None:
-        own = self.own[daemon]
-        tries = [0]
+    def serve(self, call, daemon, on_served, on_refused) -> None:
+        in_flight = self.in_flight[daemon]
+        attempt_count = [0]
 
         def send() -> None:
-            pair = self.rng.sample(range(self.sizes.targets), 2)
-            number = min(pair, key=own.__getitem__)
-            own[number] += 1
-            tries[0] += 1
-
-            def answered(running, waiting, pace) -> None:
-                own[number] -= 1
-                served()
-
-            def not_begun() -> None:
-                own[number] -= 1
-                if tries[0] >= POLLS or self.now >= caller.deadline_seconds:
-                    refused(retry_delay_seconds(WORK_SECONDS, caller.rank, self.rng.random()))
+            candidates = self.rng.sample(range(self.sizes.targets), 2)
+            target_index = min(candidates, key=in_flight.__getitem__)
+            in_flight[target_index] += 1
+            attempt_count[0] += 1
+
+            def on_answer(running, waiting, pace) -> None:
+                in_flight[target_index] -= 1
+                on_served()
+
+            def on_not_begun() -> None:
+                in_flight[target_index] -= 1
+                if (
+                    attempt_count[0] >= MAX_POLL_ATTEMPTS
+                    or self.now_seconds >= call.deadline_seconds
+                ):
+                    on_refused(retry_delay_seconds(WORK_SECONDS, call.rank, self.rng.random()))
                 else:
-                    self.at(self.now + POLL_SECONDS, send)
+                    self.schedule(self.now_seconds + POLL_INTERVAL_SECONDS, send)
 
-            self.begin_at(number, caller, answered, not_begun)
+            self.send_to_target(target_index, call, on_answer, on_not_begun)
 
         send()
 
 
-class IdealPlay(Play):
-    """One queue for all that knows all: rank, then time left; a call that is late is refused."""
+class IdealPlay(Simulation):
+    """One queue for all daemons with complete knowledge: by rank, then by deadline."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
         self.waiting: list = []
 
-    def serve(self, caller, daemon, served, refused) -> None:
+    def serve(self, call, daemon, on_served, on_refused) -> None:
         heapq.heappush(
             self.waiting,
-            (caller.rank, caller.deadline_seconds, self._number, caller, served, refused),
+            (call.rank, call.deadline_seconds, self._last_number, call, on_served, on_refused),
         )
-        self._number += 1
+        self._last_number += 1
         self._fill()
-        entry = next((e for e in self.waiting if e[3] is caller), None)
+        entry = next((other for other in self.waiting if other[3] is call), None)
         if entry is None:
             return
-        ahead = sum(e < entry for e in self.waiting) + 1
-        wait = ahead * WORK_SECONDS / self.sizes.work_per_second
-        aim = AIM_SECONDS if caller.rank != REWARD_RANK else REWARD_DEADLINE_SECONDS
-        if wait > aim - WORK_SECONDS:
+        ahead_count = sum(other < entry for other in self.waiting) + 1
+        wait_seconds = ahead_count * WORK_SECONDS / self.sizes.work_per_second
+        latency_target_seconds = (
+            LATENCY_TARGET_SECONDS if call.rank != REWARD_RANK else REWARD_DEADLINE_SECONDS
+        )
+        if wait_seconds > latency_target_seconds - WORK_SECONDS:
             self.waiting.remove(entry)
             heapq.heapify(self.waiting)
-            refused(retry_delay_seconds(0.1, caller.rank, self.rng.random()))
+            on_refused(retry_delay_seconds(0.1, call.rank, self.rng.random()))
 
     def _fill(self) -> None:
         while self.waiting:
-            free = [n for n, t in enumerate(self.targets) if t.running < self.sizes.slots]
-            if not free:
+            free_indices = [n for n, t in enumerate(self.targets) if t.running < self.sizes.slots]
+            if not free_indices:
                 return
-            _, _, _, caller, served, refused = heapq.heappop(self.waiting)
-            aim = AIM_SECONDS if caller.rank != REWARD_RANK else REWARD_DEADLINE_SECONDS
-            if self.now + WORK_SECONDS > caller.arrived_seconds + aim:
-                refused(retry_delay_seconds(0.1, caller.rank, self.rng.random()))
+            _, _, _, call, on_served, on_refused = heapq.heappop(self.waiting)
+            latency_target_seconds = (
+                LATENCY_TARGET_SECONDS if call.rank != REWARD_RANK else REWARD_DEADLINE_SECONDS
+            )
+            if self.now_seconds + WORK_SECONDS > call.arrived_seconds + latency_target_seconds:
+                on_refused(retry_delay_seconds(0.1, call.rank, self.rng.random()))
                 continue
 
-            def answered(running, waiting, pace, served=served) -> None:
-                served()
+            def on_answer(running, waiting, pace, on_served=on_served) -> None:
+                on_served()
                 self._fill()
 
-            target = self.targets[min(free, key=lambda n: self.targets[n].running)]
-            self._work_on(target, caller, answered)
+            target = self.targets[min(free_indices, key=lambda n: self.targets[n].running)]
+            self._run_on_target(target, call, on_answer)
 
 
-class AdmissionPlay(Play):
-    """The shipped decisions, one `ServiceAdmission` a daemon."""
+class AdmissionPlay(Simulation):
+    """The product code's decisions, one `ServiceAdmission` per daemon."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        self.rooms = [ServiceAdmission() for _ in range(self.sizes.daemons)]
-        self.patience = [PatienceEstimate() for _ in range(self.sizes.daemons)]
-        self.waits: list[dict[Ticket, tuple]] = [{} for _ in range(self.sizes.daemons)]
-        self.looks = [float("inf")] * self.sizes.daemons
-        self.seen = [[Seen() for _ in range(self.sizes.targets)] for _ in range(self.sizes.daemons)]
-
-    def places(self, daemon: int) -> list[TargetEstimate]:
-        return [self._place(number, seen) for number, seen in enumerate(self.seen[daemon])]
-
-    def _place(self, number: int, seen: Seen) -> TargetEstimate:
-        age = self.now - seen.at_seconds
-        fade = math.exp(-age / WORD_FADE_SECONDS)
-        running = min(float(self.sizes.slots), seen.running * fade + seen.sent_since)
+        self.admissions = [ServiceAdmission() for _ in range(self.sizes.daemons)]
+        self.patience_estimates = [PatienceEstimate() for _ in range(self.sizes.daemons)]
+        self.waiting_calls: list[dict[Ticket, tuple]] = [{} for _ in range(self.sizes.daemons)]
+        self.next_check_seconds = [float("inf")] * self.sizes.daemons
+        self.reports = [
+            [TargetReport() for _ in range(self.sizes.targets)] for _ in range(self.sizes.daemons)
+        ]
+
+    def estimates(self, daemon: int) -> list[TargetEstimate]:
+        return [
+            self._estimate(target_index, report)
+            for target_index, report in enumerate(self.reports[daemon])
+        ]
+
+    def _estimate(self, target_index: int, report: TargetReport) -> TargetEstimate:
+        age_seconds = self.now_seconds - report.at_seconds
+        decay = math.exp(-age_seconds / LOAD_REPORT_DECAY_SECONDS)
+        running = min(float(self.sizes.slots), report.running * decay + report.sent_since_report)
         return TargetEstimate(
-            str(number),
+            str(target_index),
             self.sizes.slots,
             running,
-            seen.waiting * fade,
-            seen.pace,
+            report.waiting * decay,
+            report.pace,
             WORK_SECONDS,
-            age,
+            age_seconds,
             2 * NETWORK_SECONDS,
         )
 
-    def serve(self, caller, daemon, served, refused) -> None:
-        room = self.rooms[daemon]
-        left = caller.deadline_seconds - self.now
-        aim = AIM_SECONDS if caller.rank != REWARD_RANK else REWARD_DEADLINE_SECONDS
-        want = AdmissionRequest(
-            str(caller.number),
-            caller.kind,
-            caller.tenant,
-            caller.rank,
+    def serve(self, call, daemon, on_served, on_refused) -> None:
+        admission = self.admissions[daemon]
+        remaining_seconds = call.deadline_seconds - self.now_seconds
+        latency_target_seconds = (
+            LATENCY_TARGET_SECONDS if call.rank != REWARD_RANK else REWARD_DEADLINE_SECONDS
+        )
+        request = AdmissionRequest(
+            str(call.number),
+            call.kind,
+            call.tenant,
+            call.rank,
             1000,
-            self.now,
-            min(self.now + aim, caller.deadline_seconds),
-            caller.deadline_seconds,
-            self.patience[daemon].is_back(caller.kind, left),
+            self.now_seconds,
+            min(self.now_seconds + latency_target_seconds, call.deadline_seconds),
+            call.deadline_seconds,
+            self.patience_estimates[daemon].is_back(call.kind, remaining_seconds),
         )
-        places = self.places(daemon)
-        decision = room.ask(want, places, self.rng.random(), self.now)
-        self._carry_out(daemon, caller, want, decision, served, refused)
+        estimates = self.estimates(daemon)
+        decision = admission.ask(request, estimates, self.rng.random(), self.now_seconds)
+        self._apply_decision(daemon, call, request, decision, on_served, on_refused)
 
-    def _carry_out(self, daemon, caller, want, decision, served, refused) -> None:
+    def _apply_decision(self, daemon, call, request, decision, on_served, on_refused) -> None:
         if isinstance(decision, SendCall):
-            self._send(daemon, caller, want, served, refused)
+            self._send(daemon, call, request, on_served, on_refused)
         elif isinstance(decision, WaitInQueue):
-            self.waits[daemon][decision.ticket] = (caller, want, served, refused)
-            self._look_later(daemon)
+            self.waiting_calls[daemon][decision.ticket] = (call, request, on_served, on_refused)
+            self._schedule_check(daemon)
         else:
-            self._refuse(daemon, caller, decision, refused)
-
-    def _refuse(self, daemon, caller, decision: RefuseCall, refused) -> None:
-        self.tally.refused_while_shown_free += has_room_to_spare(self.places(daemon))
-        base = max(0.1, decision.wait_seconds)
-        refused(retry_delay_seconds(base, min(caller.rank, 9), self.rng.random()))
-
-    def _send(self, daemon, caller, want, served, refused) -> None:
-        room = self.rooms[daemon]
-        pair = self.rng.sample(self.places(daemon), 2)
-        place = min(pair, key=lambda place: place.finish_seconds(1.0, WORK_SECONDS))
-        number = int(place.instance)
-        seen = self.seen[daemon][number]
-        seen.sent_since += 1
-        began = self.now
-
-        def answered(running, waiting, pace) -> None:
-            self.seen[daemon][number] = Seen(running, waiting, pace, self.now)
-            room.ended(want, self.now - began)
-            room.limit.answered(running, waiting, self.sizes.slots, self.now)
-            served()
-            self._look(daemon)
-
-        def not_begun() -> None:
-            self.seen[daemon][number] = Seen(6, self.sizes.queue, seen.pace, self.now)
-            room.ended(want, None)
-            room.target_refused(self.now)
-            self._carry_out(daemon, caller, want, room.ask_again(want, self.now), served, refused)
-            self._look(daemon)
-
-        self.begin_at(number, caller, answered, not_begun)
-
-    def _look(self, daemon: int) -> None:
-        room = self.rooms[daemon]
-        for ticket, decision in room.due(self.places(daemon), self.now):
-            caller, want, served, refused = self.waits[daemon].pop(ticket)
-            self._carry_out(daemon, caller, want, decision, served, refused)
-        self._look_later(daemon)
-
-    def _look_later(self, daemon: int) -> None:
-        at = self.rooms[daemon].next_look_seconds(self.now)
-        if at == float("inf") or self.now < self.looks[daemon] <= at:
+            self._refuse(daemon, call, decision, on_refused)
+
+    def _refuse(self, daemon, call, decision: RefuseCall, on_refused) -> None:
+        self.results.refused_while_shown_free += has_spare_capacity(self.estimates(daemon))
+        base_seconds = max(0.1, decision.wait_seconds)
+        on_refused(retry_delay_seconds(base_seconds, min(call.rank, 9), self.rng.random()))
+
+    def _send(self, daemon, call, request, on_served, on_refused) -> None:
+        admission = self.admissions[daemon]
+        candidates = self.rng.sample(self.estimates(daemon), 2)
+        estimate = min(candidates, key=lambda estimate: estimate.finish_seconds(1.0, WORK_SECONDS))
+        target_index = int(estimate.instance)
+        report = self.reports[daemon][target_index]
+        report.sent_since_report += 1
+        began_at_seconds = self.now_seconds
+
+        def on_answer(running, waiting, pace) -> None:
+            self.reports[daemon][target_index] = TargetReport(
+                running, waiting, pace, self.now_seconds
+            )
+            admission.ended(request, self.now_seconds - began_at_seconds)
+            admission.limit.answered(running, waiting, self.sizes.slots, self.now_seconds)
+            on_served()
+            self._apply_due_decisions(daemon)
+
+        def on_not_begun() -> None:
+            self.reports[daemon][target_index] = TargetReport(
+                6, self.sizes.queue, report.pace, self.now_seconds
+            )
+            admission.ended(request, None)
+            admission.target_refused(self.now_seconds)
+            self._apply_decision(
+                daemon,
+                call,
+                request,
+                admission.ask_again(request, self.now_seconds),
+                on_served,
+                on_refused,
+            )
+            self._apply_due_decisions(daemon)
+
+        self.send_to_target(target_index, call, on_answer, on_not_begun)
+
+    def _apply_due_decisions(self, daemon: int) -> None:
+        admission = self.admissions[daemon]
+        for ticket, decision in admission.due(self.estimates(daemon), self.now_seconds):
+            call, request, on_served, on_refused = self.waiting_calls[daemon].pop(ticket)
+            self._apply_decision(daemon, call, request, decision, on_served, on_refused)
+        self._schedule_check(daemon)
+
+    def _schedule_check(self, daemon: int) -> None:
+        check_at_seconds = self.admissions[daemon].next_look_seconds(self.now_seconds)
+        if (
+            check_at_seconds == float("inf")
+            or self.now_seconds < self.next_check_seconds[daemon] <= check_at_seconds
+        ):
             return
-        at = max(at, self.now + 1e-4)
-        self.looks[daemon] = at
+        check_at_seconds = max(check_at_seconds, self.now_seconds + 1e-4)
+        self.next_check_seconds[daemon] = check_at_seconds
 
-        def look() -> None:
-            if self.looks[daemon] == at:
-                self.looks[daemon] = float("inf")
-                self._look(daemon)
+        def check() -> None:
+            if self.next_check_seconds[daemon] == check_at_seconds:
+                self.next_check_seconds[daemon] = float("inf")
+                self._apply_due_decisions(daemon)
 
-        self.at(at, look)
+        self.schedule(check_at_seconds, check)
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What callers got, of a run without its first seconds.
+    """Results of a run without its warm-up.
 
     Attributes
     ----------
     goodput : float
-        Work answered within its aim, counted from the attempt that was served, over capacity.
-    in_time : dict of int to float
-        Share of each rank's calls answered within their aim from the first attempt.
+        Work answered within its latency target, counted from the served attempt, over capacity.
     served : dict of int to float
-        Share of each rank's calls answered at all.
+        Share of each rank's calls that were answered.
+    in_time : dict of int to float
+        Share of each rank's calls answered within the latency target from the first attempt.
     jain : float
-        Fairness of the work done for the tenants that wanted more than their share.
+        Fairness of the work done for the tenants that asked for more than their share.
     """
 
     goodput: float
@@ -479,38 +526,65 @@
     longest_burst_seconds: float
 
 
-def figures(play: Play, warm_seconds: float = 3.0) -> Figures:
-    tally = play.tally
-    done = [(c, at) for c, at in tally.served if warm_seconds <= c.first_seconds]
-    lost = [c for c in tally.lost if warm_seconds <= c.first_seconds]
-    seconds = play.end - warm_seconds
-    capacity = play.sizes.work_per_second * seconds
-    good = sum(c.work_seconds for c, at in done if at - c.arrived_seconds <= AIM_SECONDS)
-    rewards = REWARD_WORK_SECONDS * REWARD_BURST * len(tally.burst_seconds) * (seconds / play.end)
-    ranks = sorted({c.rank for c, _ in done} | {c.rank for c in lost})
-    in_time, served = {}, {}
+def figures(simulation: Simulation, warm_seconds: float = 3.0) -> Figures:
+    results = simulation.results
+    served_calls = [
+        (call, served_at_seconds)
+        for call, served_at_seconds in results.served
+        if warm_seconds <= call.first_arrival_seconds
+    ]
+    failed_calls = [call for call in results.failed if warm_seconds <= call.first_arrival_seconds]
+    duration_seconds = simulation.end_seconds - warm_seconds
+    capacity_work = simulation.sizes.work_per_second * duration_seconds
+    good_work = sum(
+        call.work_seconds
+        for call, served_at_seconds in served_calls
+        if served_at_seconds - call.arrived_seconds <= LATENCY_TARGET_SECONDS
+    )
+    reward_work = (
+        REWARD_WORK_SECONDS
+        * REWARD_BURST
+        * len(results.burst_seconds)
+        * (duration_seconds / simulation.end_seconds)
+    )
+    ranks = sorted({call.rank for call, _ in served_calls} | {call.rank for call in failed_calls})
+    in_time_shares, served_shares = {}, {}
     for rank in ranks:
-        own = [(c, at) for c, at in done if c.rank == rank]
-        all_count = len(own) + sum(c.rank == rank for c in lost)
-        served[rank] = len(own) / all_count
-        in_time[rank] = sum(at - c.first_seconds <= AIM_SECONDS for c, at in own) / all_count
-    first = [at - c.arrived_seconds for c, at in done if c.rank == 0]
+        rank_calls = [
+            (call, served_at_seconds)
+            for call, served_at_seconds in served_calls
+            if call.rank == rank
+        ]
+        rank_count = len(rank_calls) + sum(call.rank == rank for call in failed_calls)
+        served_shares[rank] = len(rank_calls) / rank_count
+        in_time_shares[rank] = (
+            sum(
+                served_at_seconds - call.first_arrival_seconds <= LATENCY_TARGET_SECONDS
+                for call, served_at_seconds in rank_calls
+            )
+            / rank_count
+        )
+    first_rank_seconds = [
+        served_at_seconds - call.arrived_seconds
+        for call, served_at_seconds in served_calls
+        if call.rank == 0
+    ]
     return Figures(
-        (good + rewards) / capacity,
-        served,
-        in_time,
-        percentile(first, 0.99),
-        _jain(done, lost),
-        _share(tally.refused_after_seconds, AT_ONCE_SECONDS),
-        tally.refused_while_half_free,
-        tally.refused_while_shown_free,
-        tally.run_twice,
-        max(tally.burst_seconds, default=0.0),
+        (good_work + reward_work) / capacity_work,
+        served_shares,
+        in_time_shares,
+        percentile(first_rank_seconds, 0.99),
+        _jain(served_calls, failed_calls),
+        _share(results.refused_after_seconds, IMMEDIATE_SECONDS),
+        results.refused_while_half_free,
+        results.refused_while_shown_free,
+        results.run_twice,
+        max(results.burst_seconds, default=0.0),
     )
 
 
-def _share(values: list[float], most: float) -> float:
-    return sum(value <= most for value in values) / len(values) if values else 1.0
+def _share(values: list[float], max_value: float) -> float:
+    return sum(value <= max_value for value in values) / len(values) if values else 1.0
 
 
 def percentile(values: list[float], share: float) -> float:
@@ -519,29 +593,31 @@
     return sorted(values)[min(len(values) - 1, int(share * len(values)))]
 
 
-def _jain(done: list[tuple[Caller, float]], lost: list[Caller]) -> float:
-    """Return Jain's index of the work done for tenants that wanted more than their share.
+def _jain(
+    served_calls: list[tuple[SimulatedCall, float]], failed_calls: list[SimulatedCall]
+) -> float:
+    """Return Jain's index of the work done for tenants that asked for more than their share.
 
-    Ranks go before shares, so that it is taken by rank: the least of those with too little room.
+    Ranks have priority over shares, so this is the lowest index of the ranks with a shortage.
     """
-    ranks = {caller.rank for caller in lost}
-    found = [1.0]
+    ranks = {call.rank for call in failed_calls}
+    indices = [1.0]
     for rank in ranks:
-        own_done = [caller for caller, _ in done if caller.rank == rank]
-        own_lost = [caller for caller in lost if caller.rank == rank]
-        if len(own_lost) > SHORT_SHARE * (len(own_done) + len(own_lost)):
-            found.append(_jain_of(own_done, own_lost))
-    return min(found)
-
-
-def _jain_of(done: list[Caller], lost: list[Caller]) -> float:
-    got: dict[str, float] = {caller.tenant: 0.0 for caller in (*done, *lost)}
-    wanted = dict(got)
-    for caller in done:
-        got[caller.tenant] += caller.work_seconds
-    for caller in (*done, *lost):
-        wanted[caller.tenant] += caller.work_seconds
-    share = fair_rate(list(wanted.values()), sum(got.values()))
-    more = [got[tenant] for tenant, work in wanted.items() if work > share]
-    squares = sum(value**2 for value in more)
-    return sum(more) ** 2 / (len(more) * squares) if squares > 0 else 1.0
+        rank_served = [call for call, _ in served_calls if call.rank == rank]
+        rank_failed = [call for call in failed_calls if call.rank == rank]
+        if len(rank_failed) > SHORTAGE_SHARE * (len(rank_served) + len(rank_failed)):
+            indices.append(_jain_of(rank_served, rank_failed))
+    return min(indices)
+
+
+def _jain_of(served_calls: list[SimulatedCall], failed_calls: list[SimulatedCall]) -> float:
+    served_work: dict[str, float] = {call.tenant: 0.0 for call in (*served_calls, *failed_calls)}
+    demand = dict(served_work)
+    for call in served_calls:
+        served_work[call.tenant] += call.work_seconds
+    for call in (*served_calls, *failed_calls):
+        demand[call.tenant] += call.work_seconds
+    fair_share = fair_rate(list(demand.values()), sum(served_work.values()))
+    limited_work = [served_work[tenant] for tenant, work in demand.items() if work > fair_share]
+    squares = sum(value**2 for value in limited_work)
+    return sum(limited_work) ** 2 / (len(limited_work) * squares) if squares > 0 else 1.0
--- a/rackswitch/admission/tests/test_simulated_load.py
+++ b/rackswitch/admission/tests/test_simulated_load.py
@@ -1,4 +1,4 @@
-"""What callers get of four targets when many daemons press on them."""
+"""What callers get of four targets under load from many daemons."""
 
 import pytest
 
@@ -15,160 +15,178 @@
 WARM_SECONDS = 2.0
 
 
-def played(load: float, way=AdmissionPlay, **changes) -> tuple[AdmissionPlay, object]:
-    play = way(load, 5, SECONDS, SMALL)
-    play.bursts = False
-    for name, value in changes.items():
-        setattr(play, name, value)
-    play.run()
-    return play, figures(play, WARM_SECONDS)
+def simulate(
+    load: float, simulation_class=AdmissionPlay, **attributes
+) -> tuple[AdmissionPlay, object]:
+    simulation = simulation_class(load, 5, SECONDS, SMALL)
+    simulation.has_reward_bursts = False
+    for name, value in attributes.items():
+        setattr(simulation, name, value)
+    simulation.run()
+    return simulation, figures(simulation, WARM_SECONDS)
 
 
-def gone_and_back(played_load: float, way=AdmissionPlay, seed: int = 5) -> AdmissionPlay:
-    """Return a play whose targets are all gone from its second to its third second."""
-    play = way(played_load, seed, SECONDS, SMALL)
-    play.bursts = False
+def with_outage(load: float, simulation_class=AdmissionPlay, seed: int = 5) -> AdmissionPlay:
+    """Return a simulation whose targets are all unavailable from second 2 to second 3."""
+    simulation = simulation_class(load, seed, SECONDS, SMALL)
+    simulation.has_reward_bursts = False
 
-    def turn(is_gone: bool) -> None:
-        for target in play.targets:
-            target.is_gone = is_gone
+    def set_unavailable(is_unavailable: bool) -> None:
+        for target in simulation.targets:
+            target.is_unavailable = is_unavailable
 
-    play.at(2.0, lambda: turn(True))
-    play.at(3.0, lambda: turn(False))
-    return play
+    simulation.schedule(2.0, lambda: set_unavailable(True))
+    simulation.schedule(3.0, lambda: set_unavailable(False))
+    return simulation
 
 
-def test_twice_the_load_is_answered_as_far_as_there_is_room():
-    _, shipped = played(2.0)
-    _, polled = played(2.0, PolledPlay)
-    assert shipped.goodput >= 0.9
+def test_serves_up_to_capacity_under_twice_the_load():
+    _, product = simulate(2.0)
+    _, polled = simulate(2.0, PolledPlay)
+    assert product.goodput >= 0.9
     assert polled.goodput < 0.5
-    assert shipped.refused_at_once_share >= 0.95
-    assert shipped.refused_while_half_free == 0
-    assert shipped.refused_while_shown_free == 0
-    assert shipped.run_twice == 0
+    assert product.refused_at_once_share >= 0.95
+    assert product.refused_while_half_free == 0
+    assert product.refused_while_shown_free == 0
+    assert product.run_twice == 0
 
 
-def test_all_refusals_come_at_once():
-    _, shipped = played(2.0)
-    assert shipped.refused_at_once_share == 1.0
+def test_refuses_calls_without_delay():
+    _, product = simulate(2.0)
+    assert product.refused_at_once_share == 1.0
 
 
 def test_an_overload_keeps_the_first_rank_waiting_little_longer():
-    _, light = played(0.7)
-    _, heavy = played(2.0)
-    assert heavy.first_rank_p99_seconds <= 1.3 * light.first_rank_p99_seconds
+    _, light_load = simulate(0.7)
+    _, overload = simulate(2.0)
+    assert overload.first_rank_p99_seconds <= 1.3 * light_load.first_rank_p99_seconds
 
 
-def test_tenants_of_one_rank_that_want_more_than_their_share_get_alike():
-    _, shipped = played(2.0, rank_weights=(0.0, 1.0, 0.0))
-    assert shipped.jain > 0.95
+def test_shares_one_rank_fairly_between_large_tenants():
+    _, product = simulate(2.0, rank_weights=(0.0, 1.0, 0.0))
+    assert product.jain > 0.95
 
 
 def test_tenants_of_each_rank_that_want_more_than_their_share_get_alike():
-    play = AdmissionPlay(2.0, 5, 10.0, SMALL)
-    play.bursts = False
-    play.run()
-    assert figures(play, WARM_SECONDS).jain > 0.95
+    simulation = AdmissionPlay(2.0, 5, 10.0, SMALL)
+    simulation.has_reward_bursts = False
+    simulation.run()
+    assert figures(simulation, WARM_SECONDS).jain > 0.95
 
 
 def test_as_an_overload_ends_nobody_is_refused_while_places_are_free():
-    play = AdmissionPlay(3.0, 5, SECONDS, SMALL)
-    play.bursts = False
-    play.at(SECONDS / 2, lambda: setattr(play, "load", 0.3))
-    play.run()
-    assert play.tally.refused_after_seconds
-    assert play.tally.refused_while_half_free == 0
+    simulation = AdmissionPlay(3.0, 5, SECONDS, SMALL)
+    simulation.has_reward_bursts = False
+    simulation.schedule(SECONDS / 2, lambda: setattr(simulation, "load", 0.3))
+    simulation.run()
+    assert simulation.results.refused_after_seconds
+    assert simulation.results.refused_while_half_free == 0
 
 
 def test_as_targets_come_back_nobody_is_refused_while_places_are_free():
-    play = gone_and_back(played_load=0.9)
-    play.run()
-    assert play.tally.refused_after_seconds
-    assert play.tally.refused_while_half_free == 0
+    simulation = with_outage(load=0.9)
+    simulation.run()
+    assert simulation.results.refused_after_seconds
+    assert simulation.results.refused_while_half_free == 0
 
 
-class ReturnPlay(AdmissionPlay):
-    """Counts refusals that an answer sent after the targets' return could have prevented."""
+class RecoverySimulation(AdmissionPlay):
+    """Counts only refusals that an answer sent after the targets' recovery could have prevented."""
 
-    def _refuse(self, daemon, caller, decision, refused):
-        counted = self.tally.refused_while_half_free
-        super()._refuse(daemon, caller, decision, refused)
-        if self.now <= 3.0 + NETWORK_SECONDS:
-            self.tally.refused_while_half_free = counted
+    def _refuse(self, daemon, call, decision, on_refused):
+        previous_count = self.results.refused_while_half_free
+        super()._refuse(daemon, call, decision, on_refused)
+        if self.now_seconds <= 3.0 + NETWORK_SECONDS:
+            self.results.refused_while_half_free = previous_count
 
 
 @pytest.mark.parametrize("seed", [5, 31, 32, 33])
-def test_a_network_delay_after_targets_are_back_nobody_is_refused_while_places_are_free(seed):
-    # Guards against refusing calls by anything that was heard before the targets came back.
-    play = gone_and_back(0.9, ReturnPlay, seed)
-    play.run()
-    assert play.tally.refused_after_seconds
-    assert play.tally.refused_while_half_free == 0
+def test_refuses_no_call_while_slots_are_free_once_targets_recovered(seed):
+    # Guards against refusing calls because of reports from before the targets recovered.
+    simulation = with_outage(0.9, RecoverySimulation, seed)
+    simulation.run()
+    assert simulation.results.refused_after_seconds
+    assert simulation.results.refused_while_half_free == 0
 
 
-def test_the_first_rank_is_served_through_an_overload():
-    _, shipped = played(2.0)
-    assert shipped.served[0] >= 0.9
-    assert shipped.served[0] > shipped.served[1] >= shipped.served[2] - 0.05
+def test_serves_the_top_rank_under_overload():
+    _, product = simulate(2.0)
+    assert product.served[0] >= 0.9
+    assert product.served[0] > product.served[1] >= product.served[2] - 0.05
 
 
-def test_an_urgent_burst_leaves_the_last_rank_its_part():
-    _, shipped = played(2.0, rank_weights=(0.8, 0.0, 0.2))
-    assert shipped.served[2] > 0
+def test_does_not_starve_the_lowest_rank_under_an_urgent_burst():
+    _, product = simulate(2.0, rank_weights=(0.8, 0.0, 0.2))
+    assert product.served[2] > 0
 
 
-def test_without_pressure_nobody_is_refused():
-    play, shipped = played(0.5)
-    assert min(shipped.served.values()) == 1.0
-    assert len(play.tally.refused_after_seconds) <= 0.001 * len(play.tally.served)
+def test_refuses_no_call_at_half_load():
+    simulation, product = simulate(0.5)
+    assert min(product.served.values()) == 1.0
+    assert len(simulation.results.refused_after_seconds) <= 0.001 * len(simulation.results.served)
 
 
-def test_a_tenant_with_twenty_times_its_share_does_not_crowd_others_out():
+def test_a_tenant_with_twenty_times_its_share_does_not_displace_others():
     weights = [1.0] * SMALL.tenants
     weights[0] = 20.0
-    play, _ = played(1.5, rank_weights=(0.0, 1.0, 0.0), tenant_weights=weights)
-    lost = [c.tenant for c in play.tally.lost if c.first_seconds > WARM_SECONDS]
-    got = [c.tenant for c, _ in play.tally.served if c.first_seconds > WARM_SECONDS]
-    others_lost = sum(tenant != "t0" for tenant in lost)
-    others_got = sum(tenant != "t0" for tenant in got)
-    large_lost = lost.count("t0")
-    large_got = got.count("t0")
-    assert large_lost / (large_lost + large_got) > 2 * others_lost / (others_lost + others_got)
-
-
-def test_a_quarter_of_the_targets_slow_leaves_most_of_the_rest():
-    play = AdmissionPlay(1.2, 5, SECONDS, SMALL)
-    play.bursts = False
-    play.at(1.0, lambda: setattr(play.targets[0], "pace", 6.0))
-    play.run()
-    found = figures(play, WARM_SECONDS)
-    assert found.served[0] >= 0.9
-    assert found.goodput >= 0.5
-    assert found.run_twice == 0
-
-
-def test_all_targets_gone_and_back_at_once_are_not_overrun():
-    play = gone_and_back(played_load=0.9)
-    longest = [0]
-
-    def watch() -> None:
-        longest[0] = max(longest[0], *(len(target.queue) for target in play.targets))
-        if play.now < 3.5:
-            play.at(play.now + 0.005, watch)
-
-    play.at(3.0, watch)
-    play.run()
-    after = [(c, at) for c, at in play.tally.served if c.first_seconds > 4.0]
-    lost = [c for c in play.tally.lost if c.first_seconds > 4.0]
-    assert longest[0] < SMALL.queue
-    assert len(after) / (len(after) + len(lost)) >= 0.9
+    simulation, _ = simulate(1.5, rank_weights=(0.0, 1.0, 0.0), tenant_weights=weights)
+    failed = [
+        call.tenant
+        for call in simulation.results.failed
+        if call.first_arrival_seconds > WARM_SECONDS
+    ]
+    served = [
+        call.tenant
+        for call, _ in simulation.results.served
+        if call.first_arrival_seconds > WARM_SECONDS
+    ]
+    other_failed = sum(tenant != "t0" for tenant in failed)
+    other_served = sum(tenant != "t0" for tenant in served)
+    large_failed = failed.count("t0")
+    large_served = served.count("t0")
+    assert large_failed / (large_failed + large_served) > 2 * other_failed / (
+        other_failed + other_served
+    )
+
+
+def test_one_slow_target_of_four_keeps_most_of_the_goodput():
+    simulation = AdmissionPlay(1.2, 5, SECONDS, SMALL)
+    simulation.has_reward_bursts = False
+    simulation.schedule(1.0, lambda: setattr(simulation.targets[0], "pace", 6.0))
+    simulation.run()
+    result = figures(simulation, WARM_SECONDS)
+    assert result.served[0] >= 0.9
+    assert result.goodput >= 0.5
+    assert result.run_twice == 0
+
+
+def test_does_not_overload_targets_that_recover_at_once():
+    simulation = with_outage(load=0.9)
+    max_queue_length = [0]
+
+    def check_queues() -> None:
+        max_queue_length[0] = max(
+            max_queue_length[0], *(len(target.queue) for target in simulation.targets)
+        )
+        if simulation.now_seconds < 3.5:
+            simulation.schedule(simulation.now_seconds + 0.005, check_queues)
+
+    simulation.schedule(3.0, check_queues)
+    simulation.run()
+    served = [
+        (call, served_at_seconds)
+        for call, served_at_seconds in simulation.results.served
+        if call.first_arrival_seconds > 4.0
+    ]
+    failed = [call for call in simulation.results.failed if call.first_arrival_seconds > 4.0]
+    assert max_queue_length[0] < SMALL.queue
+    assert len(served) / (len(served) + len(failed)) >= 0.9
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_daemon_whose_neighbours_are_idle_has_all_there_is(seed):
-    play = AdmissionPlay(0.6, seed, 4.0, Sizes(daemons=1, tenants=8))
-    play.bursts = False
-    play.run()
-    found = figures(play, 1.0)
-    assert min(found.served.values()) >= 0.99
+def test_a_single_active_daemon_uses_the_complete_capacity(seed):
+    simulation = AdmissionPlay(0.6, seed, 4.0, Sizes(daemons=1, tenants=8))
+    simulation.has_reward_bursts = False
+    simulation.run()
+    result = figures(simulation, 1.0)
+    assert min(result.served.values()) >= 0.99
