--- a/rackswitch/admission/service_admission.py
+++ b/rackswitch/admission/service_admission.py
@@ -225,7 +225,7 @@
 
     def may_repeat(self, now_seconds: float) -> bool:
         """Return whether a failed call may be retried, and spend that retry."""
-        self.retries.pass_time(now_seconds)
+        self.retries.refill(now_seconds)
         return self.retries.try_spend()
 
     def repeat(self, request: AdmissionRequest, now_seconds: float) -> None:
--- a/rackswitch/requests/__init__.py
+++ b/rackswitch/requests/__init__.py
@@ -1,4 +1,4 @@
-"""A request's life: claims, attempts, retries and the check of its answer."""
+"""Handling of a request: claims, attempts, retries and the check of its answer."""
 
 from rackswitch.requests.attempts import *  # noqa: F403
 from rackswitch.requests.attempts import __all__ as _attempts_all
--- a/rackswitch/requests/calls.py
+++ b/rackswitch/requests/calls.py
@@ -1,4 +1,4 @@
-"""A caller's call that is passed through, and what a target made of it."""
+"""A caller's call that is forwarded to a target, and the target's answer."""
 
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass
@@ -11,18 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call to be passed through as it came.
+    """A call to be forwarded unchanged.
 
     Attributes
     ----------
     request_id : str
-        The caller's own identity of this call.
+        The caller's identity of this call.
     path : str
         Path and query, byte for byte.
     headers : tuple of (str, str)
         All of the caller's headers.
     caller : Caller
-        Who sent it, by the table in force when it came.
+        Who sent it, by the table in force when it arrived.
     """
 
     request_id: str
@@ -34,14 +34,14 @@
     caller: Caller = ANONYMOUS
 
     def fingerprint(self) -> str:
-        """Return what this call has in common with other sends of the same request."""
+        """Return the fingerprint that all sends of the same request share."""
         tenant = self.caller.tenant
         return request_fingerprint(tenant, self.host, self.method, self.path, self.body)
 
 
 @dataclass(frozen=True, slots=True)
 class TargetAnswer:
-    """A target's whole answer, checked to belong to the call."""
+    """A target's complete answer, checked to belong to the call."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetStream:
-    """The head of an answer whose body is still to come.
+    """The head of a streamed answer.
 
     Attributes
     ----------
     pieces : async iterator of bytes
-        The body; raises ConnectionError if it breaks off.
+        The body; raises ConnectionError if the stream is interrupted.
     close : callable
-        Ends the call and the target's work.
+        Ends the call and the target's work on it.
     """
 
     status: int
@@ -68,15 +68,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetFailed:
-    """No usable answer.
+    """A call that got no usable answer.
 
     Attributes
     ----------
     may_have_run : bool
         False only if no byte of the call can have reached the target, or the target itself
-        said that it did not begin.
+        reported that it did not begin.
     silent : bool
-        Whether the target took no connection or did not answer in time.
+        Whether the target accepted no connection or did not answer in time.
     not_there : bool
         Whether another target answered at the address.
     """
--- a/rackswitch/requests/claims.py
+++ b/rackswitch/requests/claims.py
@@ -1,8 +1,8 @@
-"""Requests that run at most once: a claim before the run, the answer after it.
+"""Claims, by which a request with an idempotency key runs at most once.
 
-A claim is a key in the key-value service, made only where it is absent, with
-the identity of the attempt that made it. Whoever made it may run the request;
-everybody else gets its stored answer or its honest state.
+A claim is a key in the key-value service, created only if it is absent, with the identity of the
+attempt that created it. That attempt may run the request and then stores the answer; all others
+get the stored answer or the claim's state.
 """
 
 import hashlib
@@ -26,7 +26,7 @@
 
 
 class ClaimState(Enum):
-    """How far the claimed request has come, as far as was written."""
+    """Last recorded state of a claimed request."""
 
     CLAIMED = "claimed"
     ANSWERED = "answered"
@@ -39,9 +39,9 @@
     Attributes
     ----------
     owner : str
-        Unique identity of the attempt at claiming (daemon, start and counter).
+        Unique identity of the claiming attempt (daemon, start and counter).
     digest : str
-        Digest of the request, so that a key used for two requests is caught.
+        Digest of the request, to detect a key that is used for two requests.
     """
 
     owner: str
@@ -53,7 +53,7 @@
 
 
 class ClaimDecision(Enum):
-    """What a claim found in the service means for one attempt."""
+    """What a claim found in the key-value service means for one attempt."""
 
     RUN = "run"
     TAKE_OVER = "take over"
@@ -62,9 +62,9 @@
     KEY_REUSED = "key reused"
 
 
-def claim_bucket(unix_seconds: float, life_seconds: float) -> int:
+def claim_bucket(unix_seconds: float, period_seconds: float) -> int:
     """Return the number of the period that a claim made now belongs to."""
-    return int(unix_seconds // life_seconds)
+    return int(unix_seconds // period_seconds)
 
 
 def bucket_prefix(bucket: int) -> str:
@@ -73,32 +73,34 @@
 
 
 def claim_keys(tenant: str, idempotency_key: str, bucket: int) -> tuple[str, str, str]:
-    """Return the keys under which a claim may stand: this period, the one before, the next.
+    """Return the possible keys of a claim: in the current, the previous and the next period.
 
-    A claim is written to the first, and holds if none of the three is there. The next
-    period counts since another daemon's clock may be ahead. Tenants cannot meet each
-    other's claims.
+    A claim is written to the first, if none of the three exists. The next period is included
+    since another daemon's clock may be ahead. The claims of different tenants have different
+    keys.
     """
     digest = hashlib.blake2b(f"{tenant}\n{idempotency_key}".encode(), digest_size=16)
-    name = digest.hexdigest()
-    this, before, after = (bucket_prefix(bucket + offset) + name for offset in (0, -1, 1))
-    return this, before, after
+    key_name = digest.hexdigest()
+    current, previous, following = (
+        bucket_prefix(bucket + offset) + key_name for offset in (0, -1, 1)
+    )
+    return current, previous, following
 
 
 def request_digest(route: str, method: str, body: bytes) -> str:
-    """Return a digest by which a repeated request is known to be the same."""
+    """Return a digest that is equal for repeats of the same request."""
     digest = hashlib.blake2b(f"{method} {route}\n".encode(), digest_size=16)
     digest.update(body)
     return digest.hexdigest()
 
 
 def decide_claim(present: Claim, owner: str, digest: str) -> ClaimDecision:
-    """Decide from the claim that stands in the service.
+    """Decide what an attempt does, from the claim in the key-value service.
 
     Parameters
     ----------
     present : Claim
-        What the service holds, after this attempt's write or in its place.
+        The stored claim: this attempt's own, or the one found in its place.
     owner : str
         This attempt's identity.
     digest : str
@@ -107,8 +109,8 @@
     Returns
     -------
     ClaimDecision
-        RUN only if this very attempt made the claim; TAKE_OVER if its maker has given it
-        up without running, which must be settled by a compare-and-swap.
+        RUN only if this attempt created the claim; TAKE_OVER if its owner released it without
+        running the request; the claim must then be replaced by compare-and-swap.
     """
     if present.state is ClaimState.RELEASED:
         return ClaimDecision.TAKE_OVER
--- a/rackswitch/requests/outages.py
+++ b/rackswitch/requests/outages.py
@@ -1,85 +1,84 @@
-"""How much longer something that is missing will probably be missing.
-
-A refused caller is told when to come back. That should be about when what it needs is there
-again: sooner only costs a second refusal, later costs its time.
-"""
+"""Estimate of an outage's remaining time, and the time when a refused caller should retry."""
 
 from dataclasses import dataclass
 
 __all__ = ["OutageTracker", "retry_delay_seconds"]
 
 MIN_RETRY_AFTER_SECONDS = 0.1
-"""A caller's way here and back takes some milliseconds; nothing returns faster than it can be
-noticed."""
+"""Shortest time after which a caller is told to retry."""
 
 MAX_RETRY_AFTER_SECONDS = 2.0
-"""Outages end without warning; nobody should be away for long after one has."""
+"""Longest time after which a caller is told to retry, as outages end without notice."""
 
-BEYOND_USUAL_SHARE = 0.15
-"""Part of its length so far that an outage is taken to last on, once it is longer than known
-ones: a caller comes back at most so much later than the end."""
+OVERDUE_OUTAGE_SHARE = 0.15
+"""Expected remaining time of an outage that is longer than typical ones, as a share of its duration
+so far."""
 
 OUTAGE_SMOOTHING = 0.5
-"""Weight of the last outage against those before: they are few and differ much."""
+"""Weight of the last outage in the typical duration."""
 
-SPREAD_SHARE = 0.25
-"""By how much the times of callers who were refused together differ, so that they do not come
-back together; the same again lies between the most and the least urgent ones."""
+RETRY_SPREAD_SHARE = 0.25
+"""Random spread of the retry times of callers that are refused together, as a share of the delay;
+the least urgent ones are delayed by the same share again."""
 
 LEAST_URGENT_CLASS = 9
 
 
 @dataclass(slots=True)
 class OutageTracker:
-    """The outages of one service that were seen, and the present one.
+    """The outages of one service, and the current one.
 
     Attributes
     ----------
     since_seconds : float or None
-        When the present outage was first seen (monotonic); None while there is none.
-    usual_seconds : float or None
-        Smoothed length of past outages; None before the first has ended.
+        When the current outage was first seen (monotonic); None while there is none.
+    typical_seconds : float or None
+        Smoothed duration of past outages; None before the first has ended.
     """
 
     since_seconds: float | None = None
-    usual_seconds: float | None = None
+    typical_seconds: float | None = None
 
     def missing(self, now_seconds: float) -> None:
-        """Note that the service is not to be had."""
+        """Record that the service is unavailable."""
         if self.since_seconds is None:
             self.since_seconds = now_seconds
 
     def there(self, now_seconds: float) -> None:
-        """Note that the service is there."""
+        """Record that the service is available."""
         if self.since_seconds is None:
             return
-        lasted_seconds = now_seconds - self.since_seconds
+        duration_seconds = now_seconds - self.since_seconds
         self.since_seconds = None
-        before_seconds = self.usual_seconds if self.usual_seconds is not None else lasted_seconds
-        self.usual_seconds = before_seconds + OUTAGE_SMOOTHING * (lasted_seconds - before_seconds)
+        previous_seconds = (
+            self.typical_seconds if self.typical_seconds is not None else duration_seconds
+        )
+        self.typical_seconds = previous_seconds + OUTAGE_SMOOTHING * (
+            duration_seconds - previous_seconds
+        )
 
     def remaining_seconds(self, now_seconds: float) -> float:
-        """Return how much longer the present outage will probably last."""
+        """Return the expected remaining time of the current outage, within the bounds."""
         elapsed_seconds = now_seconds - (self.since_seconds or now_seconds)
-        usual_seconds = self.usual_seconds or 0.0
-        if elapsed_seconds < usual_seconds:
-            left_seconds = usual_seconds - elapsed_seconds
+        typical_seconds = self.typical_seconds or 0.0
+        if elapsed_seconds < typical_seconds:
+            expected_seconds = typical_seconds - elapsed_seconds
         else:
-            left_seconds = elapsed_seconds * BEYOND_USUAL_SHARE
-        return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, left_seconds))
+            expected_seconds = elapsed_seconds * OVERDUE_OUTAGE_SHARE
+        return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, expected_seconds))
 
 
 def retry_delay_seconds(base_seconds: float, caller_class: int, draw: float) -> float:
-    """Return when a refused caller should come back, counted from now.
+    """Return after how long a refused caller should retry.
 
     Parameters
     ----------
     base_seconds : float
-        When it can probably be served.
+        Expected time until it can be served.
     caller_class : int
-        Rank of its requests, 0 first: more urgent ones come back first.
+        Rank of its requests; 0 is the most urgent and retries first.
     draw : float
-        Random, in [0, 1): callers of one class come back one after the other.
+        Random number in [0, 1), which spreads the callers of one class.
     """
     rank = min(caller_class, LEAST_URGENT_CLASS) / LEAST_URGENT_CLASS
-    return base_seconds * (1 + SPREAD_SHARE * (rank + draw))
+    return base_seconds * (1 + RETRY_SPREAD_SHARE * (rank + draw))
--- a/rackswitch/requests/tests/test_attempts.py
+++ b/rackswitch/requests/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The truth about attempts, and a retry budget that causes no storm."""
+"""Outcomes reported after attempts, and the retry budget."""
 
 import pytest
 from hypothesis import given
@@ -9,13 +9,13 @@
 
 
 @given(st.lists(st.booleans(), max_size=6), st.booleans())
-def test_not_run_is_said_only_if_no_attempt_may_have_begun(may_have_run, repeatable):
+def test_reports_not_run_only_if_no_attempt_may_have_begun(may_have_run, repeatable):
     log = AttemptLog(repeatable)
-    for index, began in enumerate(may_have_run):
+    for index, may_have_begun in enumerate(may_have_run):
         if not log.may_begin():
             break
         log.begin()
-        log.note(AttemptEnd(f"t{index}", began, ""))
+        log.note(AttemptEnd(f"t{index}", may_have_begun, ""))
     outcome = log.give_up(0.0)
     assert isinstance(outcome, MayHaveRun) == any(end.may_have_run for end in log.ends)
     assert isinstance(outcome, NotRun | MayHaveRun)
@@ -23,83 +23,85 @@
         assert sum(end.may_have_run for end in log.ends) <= 1
 
 
-def test_repeating_what_may_have_run_stops_the_process():
+def test_repeating_a_request_that_may_have_run_breaks_an_invariant():
     log = AttemptLog(repeatable=False)
     log.note(AttemptEnd("t", True, ""))
     with pytest.raises(BrokenInvariant):
         log.begin()
 
 
-def test_retries_stay_a_share_of_requests():
+def test_retries_are_limited_to_a_share_of_requests():
     budget = RetryBudget()
-    spent = 0
+    spent_count = 0
     for _ in range(1000):
         budget.note_request()
         while budget.try_spend():
-            spent += 1
-    assert spent <= 1000 * 0.2 + 10
+            spent_count += 1
+    assert spent_count <= 1000 * 0.2 + 10
 
 
-def ended(log: AttemptLog, count: int, may_have_run: bool) -> AttemptLog:
+def with_ends(log: AttemptLog, count: int, may_have_run: bool) -> AttemptLog:
     for number in range(count):
         log.note(AttemptEnd(f"t{number}", may_have_run, ""))
     return log
 
 
-def test_as_many_targets_may_run_a_request_as_its_route_allows_and_no_more():
-    assert ended(AttemptLog(True, most_attempts=2), 1, True).may_begin()
-    assert not ended(AttemptLog(True, most_attempts=2), 2, True).may_begin()
+def test_allows_attempts_up_to_the_maximum():
+    assert with_ends(AttemptLog(True, most_attempts=2), 1, True).may_begin()
+    assert not with_ends(AttemptLog(True, most_attempts=2), 2, True).may_begin()
 
 
-def test_refusals_count_apart_from_runs():
+def test_refusals_are_counted_apart_from_runs():
     log = AttemptLog(True, most_attempts=2, max_refusals=3)
-    assert ended(log, 4, False).may_begin()
-    assert not ended(log, 1, False).may_begin()
+    assert with_ends(log, 4, False).may_begin()
+    assert not with_ends(log, 1, False).may_begin()
 
 
-def test_a_retry_is_spent_only_whole_and_the_reserve_does_not_grow():
+def test_spends_only_complete_retries_and_bounds_the_balance():
     budget = RetryBudget(balance=0.9)
     assert not budget.try_spend()
     budget.note_request()
     assert budget.try_spend()
-    full = RetryBudget()
+    full_budget = RetryBudget()
     for _ in range(100):
-        full.note_request()
-    assert sum(full.try_spend() for _ in range(100)) == 10
-    exact = RetryBudget(balance=1.0)
-    assert exact.try_spend()
-    assert exact.balance == 0.0
+        full_budget.note_request()
+    assert sum(full_budget.try_spend() for _ in range(100)) == 10
+    exact_budget = RetryBudget(balance=1.0)
+    assert exact_budget.try_spend()
+    assert exact_budget.balance == 0.0
 
 
-def test_time_earns_one_retry_for_a_single_failure_and_no_more():
+def test_time_refills_the_budget_up_to_one_retry():
     budget = RetryBudget(balance=0.0)
-    budget.pass_time(100.0)
+    budget.refill(100.0)
     assert not budget.try_spend()
-    budget.pass_time(200.0)
+    budget.refill(200.0)
     assert budget.try_spend()
     assert not budget.try_spend()
-    budget.pass_time(50.0)
+    budget.refill(50.0)
     assert not budget.try_spend()
 
 
-def test_who_is_refused_is_told_to_come_back_later():
+def test_a_refused_caller_is_told_to_retry_later():
     assert AttemptLog(True).give_up(100.0).retry_at_seconds > 100.0
 
 
 @pytest.mark.parametrize(
-    ("log", "until_seconds"),
+    ("log", "expected_deadline_seconds"),
     [
-        # Another target can follow, so a slow one is left soon after the goal.
+        # Another target can follow, so the attempt ends soon after the latency target.
         (AttemptLog(True, most_attempts=2), 10.3),
-        (ended(AttemptLog(True, most_attempts=2, max_refusals=4), 2, False), 10.3),
-        # The last attempt, and one that may not be repeated, take all the time there is.
-        (ended(AttemptLog(True, most_attempts=2), 1, True), 15.0),
+        (with_ends(AttemptLog(True, most_attempts=2, max_refusals=4), 2, False), 10.3),
+        # The last attempt, and one that may not be repeated, may take until the deadline.
+        (with_ends(AttemptLog(True, most_attempts=2), 1, True), 15.0),
         (AttemptLog(False, most_attempts=2), 15.0),
     ],
 )
-def test_an_attempt_that_another_can_follow_ends_early(log, until_seconds):
-    assert attempt_deadline_seconds(log, 0.2, 15.0, 10.0) == pytest.approx(until_seconds)
+def test_an_attempt_ends_early_if_another_can_follow(log, expected_deadline_seconds):
+    assert attempt_deadline_seconds(log, 0.2, 15.0, 10.0) == pytest.approx(
+        expected_deadline_seconds
+    )
 
 
-def test_no_attempt_outlasts_its_request():
+def test_no_attempt_lasts_beyond_the_requests_deadline():
     assert attempt_deadline_seconds(AttemptLog(True), 0.2, 10.1, 10.0) == 10.1
