--- a/rackswitch/requests/attempts.py
+++ b/rackswitch/requests/attempts.py
@@ -80,7 +80,7 @@
 
     Attributes
     ----------
-    max_attempts : int
+    most_attempts : int
         Maximum number of targets that may run the request.
     max_refusals : int
         Maximum number of further attempts that targets report as not begun.
