--- a/rackswitch/gateway/items/engine_paces.py
+++ b/rackswitch/gateway/items/engine_paces.py
@@ -1,4 +1,4 @@
-"""How fast each engine has brought the pieces of its streams of late."""
+"""The recent pace of each engine: the time between the pieces of its streams."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -7,86 +7,95 @@
 
 __all__ = ["FIRST_PACE_SECONDS", "EnginePaces"]
 
-PACE_SMOOTHING = 0.1
-"""So that some ten events weigh in; a dozen streams bring them within a tenth of a second."""
+PACE_SMOOTHING_FACTOR = 0.1
+"""Weight of a new interval in the exponential moving average."""
 
-PACE_LIFE_SECONDS = 5.0
-"""An engine that was slow is given work again after so long without any: its trouble may be
-over, and only work shows that."""
+PACE_LIFETIME_SECONDS = 5.0
+"""An engine's pace is discarded after this time without new intervals, so that an engine that was
+slow gets work again."""
 
 FIRST_PACE_SECONDS = 0.05
-"""What an engine's time between events is taken for before one has been seen."""
+"""Assumed interval between an engine's events until one has been measured."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Pace:
     seconds_per_piece: float
-    seen_seconds: float
+    measured_at_seconds: float
 
 
 @dataclass(slots=True)
 class EnginePaces:
-    """Smoothed time between the events of a stream, by engine."""
+    """Smoothed interval between the events of a stream, by engine."""
 
     _paces: dict[str, _Pace] = field(default_factory=dict)
 
-    def note(self, start: str, gap_seconds: float, now_seconds: float) -> None:
-        """Take in one gap.
+    def note(self, start: str, interval_seconds: float, now_seconds: float) -> None:
+        """Record the interval between two events of a stream.
 
         Parameters
         ----------
         start : str
-            The start of the engine: another one under its identity may be on another machine.
-        gap_seconds : float
-            Between two events of one stream.
+            The engine's start (`ListedTarget.start`): a restarted engine may run on another VM.
+        interval_seconds : float
+            The interval.
         now_seconds : float
-            When the second of them came (monotonic).
+            Arrival time of the second event (monotonic).
         """
-        known = self._paces.get(start)
-        before = known.seconds_per_piece if known is not None else gap_seconds
-        smoothed = before + PACE_SMOOTHING * (gap_seconds - before)
-        self._paces[start] = _Pace(smoothed, now_seconds)
+        known_pace = self._paces.get(start)
+        previous_seconds = (
+            known_pace.seconds_per_piece if known_pace is not None else interval_seconds
+        )
+        smoothed_seconds = previous_seconds + PACE_SMOOTHING_FACTOR * (
+            interval_seconds - previous_seconds
+        )
+        self._paces[start] = _Pace(smoothed_seconds, now_seconds)
 
     def get(self, start: str, now_seconds: float) -> float:
-        """Return an engine's seconds per piece; what was seen too long ago says nothing any more.
+        """Return an engine's seconds per piece; `FIRST_PACE_SECONDS` without a recent one.
 
         Parameters
         ----------
         start : str
-            The start of the engine: another one under its identity may be on another machine.
+            The engine's start (`ListedTarget.start`): a restarted engine may run on another VM.
         now_seconds : float
-            The present (monotonic).
+            Monotonic clock.
         """
-        known = self._paces.get(start)
-        if known is None or now_seconds >= known.seen_seconds + PACE_LIFE_SECONDS:
+        known_pace = self._paces.get(start)
+        if (
+            known_pace is None
+            or now_seconds >= known_pace.measured_at_seconds + PACE_LIFETIME_SECONDS
+        ):
             return FIRST_PACE_SECONDS
-        return known.seconds_per_piece
+        return known_pace.seconds_per_piece
 
-    def seen_since(self, start: str, at_seconds: float) -> bool:
-        """Return whether an engine has brought pieces of any run after a moment (monotonic)."""
-        known = self._paces.get(start)
-        return known is not None and known.seen_seconds > at_seconds
+    def has_interval_since(self, start: str, since_seconds: float) -> bool:
+        """Return whether an interval was recorded for an engine after a given time (monotonic)."""
+        known_pace = self._paces.get(start)
+        return known_pace is not None and known_pace.measured_at_seconds > since_seconds
 
     def to_tell(self, now_seconds: float) -> list[pb.EnginePace]:
-        """Return the paces that still count, to be told to another daemon."""
+        """Return the paces that have not expired, as sent to other daemons."""
         return [
             pb.EnginePace(
                 instance=start,
                 us_per_piece=round(pace.seconds_per_piece * 1e6),
-                age_ms=round((now_seconds - pace.seen_seconds) * 1e3),
+                age_ms=round((now_seconds - pace.measured_at_seconds) * 1e3),
             )
             for start, pace in self._paces.items()
-            if now_seconds < pace.seen_seconds + PACE_LIFE_SECONDS
+            if now_seconds < pace.measured_at_seconds + PACE_LIFETIME_SECONDS
         ]
 
-    def hear(self, told: Iterable[pb.EnginePace], now_seconds: float) -> None:
-        """Take in what another daemon tells, where that is newer than what is known here.
+    def hear(self, peer_paces: Iterable[pb.EnginePace], now_seconds: float) -> None:
+        """Record paces from another daemon where they are newer than the local ones.
 
-        The owner of a new job has often run nothing for some seconds. Without others' word it
-        takes all engines for equally fast and puts long texts on slow ones.
+        The owner of a new job has often run nothing for some seconds. Without these paces it would
+        consider all engines equally fast and start long texts at slow ones.
         """
-        for pace in told:
-            seen_seconds = now_seconds - pace.age_ms / 1e3
-            known = self._paces.get(pace.instance)
-            if known is None or known.seen_seconds < seen_seconds:
-                self._paces[pace.instance] = _Pace(pace.us_per_piece / 1e6, seen_seconds)
+        for peer_pace in peer_paces:
+            measured_at_seconds = now_seconds - peer_pace.age_ms / 1e3
+            known_pace = self._paces.get(peer_pace.instance)
+            if known_pace is None or known_pace.measured_at_seconds < measured_at_seconds:
+                self._paces[peer_pace.instance] = _Pace(
+                    peer_pace.us_per_piece / 1e6, measured_at_seconds
+                )
--- a/rackswitch/gateway/items/item_runner.py
+++ b/rackswitch/gateway/items/item_runner.py
@@ -11,7 +11,7 @@
 )
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.engine_paces import EnginePaces
-from rackswitch.gateway.items.run_loads import RunLoads
+from rackswitch.gateway.items.run_load_tracker import RunLoadTracker
 from rackswitch.gateway.placement_log import placement_event
 from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
 from rackswitch.jobs import (
@@ -45,76 +45,74 @@
 __all__ = ["ItemRunner"]
 
 FIRST_PIECE_TIMEOUT_SECONDS = 2.0
-"""A full engine queues a run for up to the time of another one, some 0.9 s; twice that is too
-long to wait there. It is a fault of the engine only if other runs there stand still too: of 493
-runs that never began, over 25 days, 442 were at engines that began others meanwhile, and each
-kept all new work away from that engine for 2 s."""
+"""Longer than a full engine usually queues a run. If other runs there still progress, the run is
+only queued and its timeout is not counted as a fault of the engine."""
 
 NEXT_PIECE_TIMEOUT_SECONDS = 1.2
-"""Events come some 40 ms apart, but a load of weights, 0.9 s, may stand between two."""
+"""Longer than the load of new weights, which may delay an event."""
 
-REWARD_PAUSE_SECONDS = 0.1
-"""Between tries of a reward call that found no target; a few times its usual work."""
+REWARD_RETRY_DELAY_SECONDS = 0.1
+"""Minimum delay before a reward call that found no target is retried."""
 
-TIMED_REASONS = (NotRunReason.HELD_BACK, NotRunReason.OVERLOADED)
-"""Refusals that tell when the call is worth another try."""
+REASONS_WITH_RETRY_TIME = (NotRunReason.HELD_BACK, NotRunReason.OVERLOADED)
+"""Refusals that state when to retry the call."""
 
-MOVED = "goes on at a faster engine"
-LEFT = "goes on elsewhere before its engine leaves"
-ENDED_HERE = (MOVED, LEFT)
-"""Why runs were ended that nothing was wrong with."""
+MOVED_DETAIL = "goes on at a faster engine"
+LEFT_DETAIL = "goes on elsewhere before its engine leaves"
+MOVE_DETAILS = (MOVED_DETAIL, LEFT_DETAIL)
+"""Details of runs that were stopped here to continue elsewhere, without any failure."""
 
 ENDS_WITH_ANSWER = (ItemRunEnd.WHOLE, ItemRunEnd.FAILED, ItemRunEnd.IMPOSSIBLE)
-"""Ends of a run that the engine has outlived."""
+"""Ends of a run that show that its engine is still running."""
 
-PROGRESS_SECONDS = 1.0
-"""A run that has brought pieces for so long is not what its engine ended under: a request that
-ends engines does so as it begins, some 0.1 s after it was sent. One that does so later in its text
-begins there at the next engine."""
+MIN_PROGRESS_SECONDS = 1.0
+"""A run that received pieces for at least this long is not suspected when its engine ends: a
+request that crashes engines does so soon after it was sent. One that crashes them later in its text
+does so at the start of its next run."""
 
 ENDS_WITHOUT_RUN = (ItemRunEnd.NOT_RUN, ItemRunEnd.NOT_THERE)
 
 ADMISSION_TIMEOUT_SECONDS = 1.0
-"""How long an item waits to learn what became of engines where it broke; the room at its engine
-is kept for it meanwhile."""
+"""Maximum wait for quarantine to find out whether the engines ended at which the item's runs were
+interrupted."""
 
 
 class ItemRunner:
-    """Carries out what the schedule has decided for single items.
+    """Runs single items at the engines that the schedule has chosen.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    engines : ItemClient
-        Makes the calls.
-    front : RequestDispatcher
-        Serves the reward calls.
+    item_client : ItemClient
+        Sends items to engines.
+    dispatcher : RequestDispatcher
+        Sends the reward calls.
     paces : EnginePaces
-        Told of the pace of each run.
+        Records the intervals between the pieces of each run.
     quarantine : QuarantineManager
-        Told of runs that broke off.
+        Records how runs ended, and decides whether an item may be sent.
 
     Attributes
     ----------
     forecast, occupancy : LengthForecast, EngineOccupancy
-        What the runs have shown of texts, and of how full engines are.
+        Forecast of text lengths from earlier runs, and the number of runs at each engine.
     own_runs, memory : LocalRuns, EngineMemory
-        The runs under way, and what engines have told of their memory.
-    loads : RunLoads
-        What the runs tell the load picture, and what it tells of engines.
+        This daemon's runs in progress, and the memory that engines reported.
+    load_tracker : RunLoadTracker
+        Counts the runs in the load estimates of engines.
     spare : dict of str to SpareCapacity
-        By service, room that nothing waits for, as the starter last saw it.
+        By service, capacity for which no item waits, as of the last planning.
     """
 
     __slots__ = (
         "_context",
-        "_engines",
-        "_front",
-        "_leave_limits",
+        "_item_client",
+        "_dispatcher",
+        "_stop_timeouts",
         "_quarantine",
         "forecast",
-        "loads",
+        "load_tracker",
         "memory",
         "occupancy",
         "own_runs",
@@ -125,23 +123,23 @@
     def __init__(
         self,
         context: GatewayContext,
-        engines: ItemClient,
-        front: RequestDispatcher,
+        item_client: ItemClient,
+        dispatcher: RequestDispatcher,
         paces: EnginePaces,
         quarantine: QuarantineManager,
     ):
         self._quarantine = quarantine
         self._context = context
-        self._engines = engines
-        self._front = front
+        self._item_client = item_client
+        self._dispatcher = dispatcher
         self.paces = paces
         self.spare: dict[str, SpareCapacity] = {}
-        self.loads = RunLoads(context)
+        self.load_tracker = RunLoadTracker(context)
         self.forecast = LengthForecast()
         self.occupancy = EngineOccupancy()
         self.own_runs = LocalRuns()
         self.memory = EngineMemory()
-        self._leave_limits: dict[tuple[str, str], asyncio.Timeout] = {}
+        self._stop_timeouts: dict[tuple[str, str], asyncio.Timeout] = {}
 
     async def run(
         self,
@@ -150,7 +148,7 @@
         target: ListedTarget,
         urgency: int = MIDDLE_URGENCY,
     ) -> ItemRunEnded:
-        """Run an item at an engine and note in the ledger how that ended.
+        """Run an item at an engine and record the end in the ledger.
 
         Parameters
         ----------
@@ -161,26 +159,30 @@
         target : ListedTarget
             The engine.
         urgency : int, optional
-            What the engine is told.
+            The urgency sent to the engine.
         """
         began_seconds = self._context.now_seconds()
-        first_number = progress.last_number + 1
-        gaps = PieceIntervals()
-        sent = self.loads.sent(target, began_seconds)
+        first_piece_number = progress.last_number + 1
+        intervals = PieceIntervals()
+        sent_request = self.load_tracker.record_start(target, began_seconds)
         ended: ItemRunEnded | None = None
         try:
-            ended = await self._run_until_left(ledger, progress, target, gaps, urgency)
+            ended = await self._run_until_stopped(ledger, progress, target, intervals, urgency)
         finally:
-            self.loads.ended(sent, ended, progress.last_number - first_number + 1)
+            self.load_tracker.record_end(
+                sent_request, ended, progress.last_number - first_piece_number + 1
+            )
         now_seconds = self._context.now_seconds()
-        fingerprint = self._tell_quarantine(ledger.job, progress.item, target, ended, gaps)
+        fingerprint = self._report_to_quarantine(
+            ledger.job, progress.item, target, ended, intervals
+        )
         self._context.log.write(
             events.ItemRunEnded(
                 job=ledger.job.job_id,
                 item=progress.item.item_id,
                 run=progress.run_number,
                 target=target.instance,
-                first_piece=first_number,
+                first_piece=first_piece_number,
                 pieces=progress.last_number,
                 versions=list(progress.versions),
                 oldest_version=ledger.job.oldest_version,
@@ -188,29 +190,31 @@
                 list_age_seconds=self._context.list_age_seconds(),
                 outcome=ended.end.value,
                 detail=ended.detail,
-                first_piece_seconds=_first_piece_seconds(gaps, began_seconds),
+                first_piece_seconds=_first_piece_seconds(intervals, began_seconds),
                 fingerprint=fingerprint,
-                place=placement_event(self._context, sent.place, target.service, WorkKind.TEXT),
+                place=placement_event(
+                    self._context, sent_request.place, target.service, WorkKind.TEXT
+                ),
             )
         )
-        may_wait = gaps.first_at_seconds is None or urgency != MIDDLE_URGENCY
-        self._note_end(ledger, progress, target, ended, may_wait)
+        may_be_queued = intervals.first_at_seconds is None or urgency != MIDDLE_URGENCY
+        self._record_end(ledger, progress, target, ended, may_be_queued)
         return ended
 
-    def leave(self, key: tuple[str, str]) -> None:
-        """End a run that goes on elsewhere; nothing if it has ended already.
+    def stop_run(self, key: tuple[str, str]) -> None:
+        """Stop a run that will continue elsewhere; does nothing if it has ended.
 
         Parameters
         ----------
         key : (str, str)
-            The job and the item.
+            The job id and the item id.
         """
-        limit = self._leave_limits.get(key)
-        if limit is not None and not limit.expired():
-            limit.reschedule(asyncio.get_running_loop().time())
+        stop_timeout = self._stop_timeouts.get(key)
+        if stop_timeout is not None and not stop_timeout.expired():
+            stop_timeout.reschedule(asyncio.get_running_loop().time())
 
     def hear_memory(self, target: ListedTarget, report: EngineReport) -> None:
-        """Take in what an engine says of its memory."""
+        """Record the memory in an engine's report."""
         self.memory.keep_only({entry.start for entry in self._context.directory.entries.values()})
         self.memory.heard(
             target.start,
@@ -220,58 +224,60 @@
             self._context.now_seconds(),
         )
 
-    async def _run_until_left(
+    async def _run_until_stopped(
         self,
         ledger: JobLedger,
         progress: ItemProgress,
         target: ListedTarget,
-        gaps: PieceIntervals,
+        intervals: PieceIntervals,
         urgency: int,
     ) -> ItemRunEnded:
-        """Run an item, and count it while it runs."""
+        """Run an item until it ends or `stop_run` stops it, and track it meanwhile."""
         pieces_before = 0 if ledger.single_version else progress.last_number
         now_seconds = self._context.now_seconds()
         run = LocalRun(ledger, progress, target.instance, target.start, now_seconds, pieces_before)
         self.own_runs.began(run)
         try:
-            async with asyncio.timeout(None) as limit:
-                self._leave_limits[run.key] = limit
-                return await self._stream(ledger, progress, target, gaps, urgency)
+            async with asyncio.timeout(None) as stop_timeout:
+                self._stop_timeouts[run.key] = stop_timeout
+                return await self._stream(ledger, progress, target, intervals, urgency)
         except TimeoutError:
-            if not limit.expired():
+            if not stop_timeout.expired():
                 raise
-            return ItemRunEnded(ItemRunEnd.BROKEN, LEFT)
+            return ItemRunEnded(ItemRunEnd.BROKEN, LEFT_DETAIL)
         finally:
             self.own_runs.ended(run)
-            if self._leave_limits.get(run.key) is limit:
-                del self._leave_limits[run.key]
+            if self._stop_timeouts.get(run.key) is stop_timeout:
+                del self._stop_timeouts[run.key]
 
-    async def held_back(self, job: Job, item: JobItem) -> float | None:
-        """Return until when (monotonic) an item must not be sent; None if it may be now."""
+    async def quarantined_until(self, job: Job, item: JobItem) -> float | None:
+        """Return until when quarantine holds an item (monotonic); None if it may be sent now."""
         deadline_seconds = self._context.now_seconds() + ADMISSION_TIMEOUT_SECONDS
         fingerprint_of = partial(item_fingerprint, job, item)
-        held = await self._quarantine.admit(fingerprint_of, deadline_seconds)
-        return held.until_seconds if held is not None else None
+        request_held = await self._quarantine.admit(fingerprint_of, deadline_seconds)
+        return request_held.until_seconds if request_held is not None else None
 
-    def _tell_quarantine(
+    def _report_to_quarantine(
         self,
         job: Job,
         item: JobItem,
         target: ListedTarget,
         ended: ItemRunEnded,
-        gaps: PieceIntervals,
+        intervals: PieceIntervals,
     ) -> str:
-        """Tell how a run ended; return the item's fingerprint if the run broke.
+        """Report a run's end to quarantine; return the item's fingerprint if it is suspected.
 
-        An item that never reached its engine was not present at the engine's end. Counted as
-        present, it would soon be held back for the ends of engines that it was never sent to.
+        An item that never reached its engine cannot have caused the engine's end, and must not be
+        quarantined for it.
         """
         fingerprint_of = partial(item_fingerprint, job, item)
         if ended.end in ENDS_WITH_ANSWER:
             self._quarantine.answered(fingerprint_of)
         elif ended.end in ENDS_WITHOUT_RUN or not ended.was_sent:
             self._quarantine.not_run(fingerprint_of)
-        elif ended.detail not in ENDED_HERE and gaps.brought_seconds() < PROGRESS_SECONDS:
+        elif (
+            ended.detail not in MOVE_DETAILS and intervals.brought_seconds() < MIN_PROGRESS_SECONDS
+        ):
             fingerprint = fingerprint_of()
             self._quarantine.broke(fingerprint, target)
             return fingerprint
@@ -282,7 +288,7 @@
         ledger: JobLedger,
         progress: ItemProgress,
         target: ListedTarget,
-        gaps: PieceIntervals,
+        intervals: PieceIntervals,
         urgency: int,
     ) -> ItemRunEnded:
         if ledger.single_version:
@@ -290,7 +296,7 @@
         job = ledger.job
         caller = self._context.tenants.of_tenant(job.tenant)
         request = ItemRequest(job.host, progress.item, progress.last_number, urgency, caller)
-        pieces = self._engines.run(
+        pieces = self._item_client.run(
             target, request, FIRST_PIECE_TIMEOUT_SECONDS, NEXT_PIECE_TIMEOUT_SECONDS
         )
         async with aclosing(pieces):  # type: ignore[type-var]
@@ -300,43 +306,49 @@
                     continue
                 if isinstance(piece, ItemRunEnded):
                     return piece
-                fault = self._take_piece(ledger, progress, piece)
+                fault = self._accept_piece(ledger, progress, piece)
                 if fault is not None:
                     return ItemRunEnded(ItemRunEnd.BROKEN, fault.detail)
                 now_seconds = self._context.now_seconds()
-                gap_seconds = gaps.piece_came(now_seconds)
-                if gap_seconds is not None:
-                    self.paces.note(target.start, gap_seconds, now_seconds)
+                interval_seconds = intervals.piece_came(now_seconds)
+                if interval_seconds is not None:
+                    self.paces.note(target.start, interval_seconds, now_seconds)
                     self._context.load_estimator.piece(
-                        target.start, target.service, gap_seconds, now_seconds
+                        target.start, target.service, interval_seconds, now_seconds
                     )
-                if not ledger.single_version and self._moves(ledger, progress, target, gaps):
-                    return ItemRunEnded(ItemRunEnd.BROKEN, MOVED)
-        return ItemRunEnded(ItemRunEnd.BROKEN, "the stream told no end")
+                if not ledger.single_version and self._claim_move(
+                    ledger, progress, target, intervals
+                ):
+                    return ItemRunEnded(ItemRunEnd.BROKEN, MOVED_DETAIL)
+        return ItemRunEnded(ItemRunEnd.BROKEN, "the stream ended without an end event")
 
-    def _moves(
+    def _claim_move(
         self,
         ledger: JobLedger,
         progress: ItemProgress,
         target: ListedTarget,
-        gaps: PieceIntervals,
+        intervals: PieceIntervals,
     ) -> bool:
-        """Return whether a run ends here to go on elsewhere, and count that."""
+        """Return whether a run moves to a faster engine; if so, take the spare slot for it."""
         if not self._context.policy.runs_move:
             return False
         spare = self.spare.get(target.service)
         job = ledger.job
         if spare is None or spare.versions.get(job.model, 0) < job.oldest_version:
             return False
-        remaining = self.forecast.remaining_pieces(progress)
-        pace = self.loads.expected_gap_seconds(target, gaps, remaining)
-        if not should_move(pace, spare, target.instance, remaining, progress.moves):
+        remaining_pieces = self.forecast.remaining_pieces(progress)
+        seconds_per_piece = self.load_tracker.expected_interval_seconds(
+            target, intervals, remaining_pieces
+        )
+        if not should_move(
+            seconds_per_piece, spare, target.instance, remaining_pieces, progress.moves
+        ):
             return False
         progress.moves += 1
         spare.free_slots -= 1
         return True
 
-    def _take_piece(
+    def _accept_piece(
         self, ledger: JobLedger, progress: ItemProgress, piece: TextPiece
     ) -> PieceFault | None:
         fault = progress.accept(piece, ledger.job.oldest_version)
@@ -344,28 +356,28 @@
             return PieceFault("the weights changed in the middle of the text")
         return fault
 
-    def _note_end(
+    def _record_end(
         self,
         ledger: JobLedger,
         progress: ItemProgress,
         target: ListedTarget,
         ended: ItemRunEnded,
-        may_wait: bool,
+        may_be_queued: bool,
     ) -> None:
-        """Note in the ledger, and in what is known of the engine, how a run ended.
+        """Record a run's end in the ledger and in the state of its engine.
 
         Parameters
         ----------
         ledger, progress, target, ended : JobLedger, ItemProgress, ListedTarget, ItemRunEnded
             The run and its end.
-        may_wait : bool
-            Whether others at the same engine may have kept it from going on: it never began, or
-            is one that a more urgent one displaces.
+        may_be_queued : bool
+            Whether the engine may have delayed it for other runs: it never began, or a more urgent
+            run may have displaced it.
         """
         now_seconds = self._context.now_seconds()
-        load = self._context.targets[target.instance]
+        target_state = self._context.targets[target.instance]
         if ended.end is ItemRunEnd.WHOLE and progress.pieces:
-            load.succeeded(0, 0.0)
+            target_state.succeeded(0, 0.0)
             self.forecast.note(progress.item.expected_tokens, progress.last_number)
             ledger.whole(progress)
         elif ended.end is ItemRunEnd.IMPOSSIBLE:
@@ -375,29 +387,29 @@
         else:
             if ended.end is ItemRunEnd.SILENT:
                 since_seconds = now_seconds - FIRST_PIECE_TIMEOUT_SECONDS / 2
-                is_alive = self.paces.seen_since(target.start, since_seconds)
-                if not (may_wait and is_alive):
-                    load.went_silent(now_seconds)
+                is_engine_active = self.paces.has_interval_since(target.start, since_seconds)
+                if not (may_be_queued and is_engine_active):
+                    target_state.went_silent(now_seconds)
             elif ended.end is ItemRunEnd.NOT_THERE:
                 self._context.directory.disown(target.instance)
             ledger.broke(progress, target.instance, now_seconds)
 
     async def score(self, ledger: JobLedger, progress: ItemProgress) -> None:
-        """Make an item's reward call until it is answered or given up."""
+        """Send an item's reward call, with retries, until it is answered or given up."""
         item: JobItem = progress.item
         reward = item.reward
         if reward is None:
             return
-        # It needs no key, and names no tenant.
+        # The call is internal: it carries no API key and no tenant.
         call = Call(reward.request_id, reward.host, "POST", reward.path, (), reward.body)
         while not ledger.ended:
             route = self._context.routes.find(reward.host, reward.path.partition("?")[0])
             if route is None:
-                await asyncio.sleep(REWARD_PAUSE_SECONDS)
+                await asyncio.sleep(REWARD_RETRY_DELAY_SECONDS)
                 continue
             deadline_seconds = self._context.now_seconds() + route.timeout_seconds
-            log = self._front.new_log(route)
-            answer = await self._front.call(
+            log = self._dispatcher.new_log(route)
+            answer = await self._dispatcher.call(
                 route, call, deadline_seconds, log, reward_of=ledger.job.tenant
             )
             outcome = answer.outcome
@@ -424,23 +436,23 @@
             if not ledger.reward_failed(progress, answer.failures, route.most_attempts):
                 return
             if isinstance(outcome, NotRun) or answer.failures == 0:
-                await asyncio.sleep(self._reward_pause_seconds(outcome))
+                await asyncio.sleep(self._reward_retry_delay_seconds(outcome))
 
-    def _reward_pause_seconds(self, outcome: DispatchOutcome) -> float:
-        """Return when to make a reward call again; one that was told a time waits for it."""
-        if not isinstance(outcome, NotRun) or outcome.reason not in TIMED_REASONS:
-            return REWARD_PAUSE_SECONDS
-        until_seconds = outcome.retry_at_seconds or 0.0
-        return max(REWARD_PAUSE_SECONDS, until_seconds - self._context.now_seconds())
+    def _reward_retry_delay_seconds(self, outcome: DispatchOutcome) -> float:
+        """Return the delay before a reward call is retried; at least until a stated retry time."""
+        if not isinstance(outcome, NotRun) or outcome.reason not in REASONS_WITH_RETRY_TIME:
+            return REWARD_RETRY_DELAY_SECONDS
+        retry_at_seconds = outcome.retry_at_seconds or 0.0
+        return max(REWARD_RETRY_DELAY_SECONDS, retry_at_seconds - self._context.now_seconds())
 
 
 def item_fingerprint(job: Job, item: JobItem) -> str:
-    """Return what an item has in common with other sends of the same request."""
+    """Return the fingerprint of an item's request, which is equal for all its runs."""
     return request_fingerprint(job.tenant, job.host, "POST", item.path, item.body)
 
 
-def _first_piece_seconds(gaps: PieceIntervals, began_seconds: float) -> float:
-    """Return how long a run waited for its first piece, as it is logged: -1 for none."""
-    if gaps.first_at_seconds is None:
+def _first_piece_seconds(intervals: PieceIntervals, began_seconds: float) -> float:
+    """Return the time until a run's first piece, as it is logged; -1 if none arrived."""
+    if intervals.first_at_seconds is None:
         return -1.0
-    return round(gaps.first_at_seconds - began_seconds, 3)
+    return round(intervals.first_at_seconds - began_seconds, 3)
--- a/rackswitch/gateway/items/leaving_run_mover.py
+++ b/rackswitch/gateway/items/leaving_run_mover.py
@@ -1,4 +1,4 @@
-"""Engines that leave, and the runs here that go on elsewhere before they are gone."""
+"""Moves runs away from engines that are leaving, before they end."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -19,25 +19,25 @@
 
 __all__ = ["LeavingRunMover"]
 
-RESERVED_SECONDS = 0.3
-"""How long a slot is kept for a run that has left its engine: it ends there within a tick, and
-its item may start again after a short pause."""
+RESERVATION_SECONDS = 0.3
+"""How long a slot is reserved for a run that was stopped to move. Covers the end of the run and the
+delay before its item may start again."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Reserved:
-    """A slot kept at an engine for a run that goes on there.
+class _ReservedSlot:
+    """A slot reserved at an engine for a run that continues there.
 
     Attributes
     ----------
     run, run_number : LocalRun, int
-        The run that was ended, and its number among its item's.
+        The run that was stopped, and its number among the runs of its item.
     instance : str
-        The engine that has the slot.
+        The engine.
     tokens : float
-        Memory that is kept with it.
+        Memory reserved with the slot, in tokens.
     until_seconds : float
-        How long it is kept (monotonic).
+        End of the reservation (monotonic).
     """
 
     run: LocalRun
@@ -48,119 +48,123 @@
 
 
 class LeavingRunMover:
-    """Moves runs away from engines that leave.
+    """Moves this daemon's runs away from engines that are leaving.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     runner : ItemRunner
-        Ends the runs.
+        Stops the runs.
     """
 
-    __slots__ = ("_context", "_engines", "_reserved", "_runner")
+    __slots__ = ("_context", "_leaving_engines", "_reserved_slots", "_runner")
 
     def __init__(self, context: GatewayContext, runner: ItemRunner):
         self._context = context
         self._runner = runner
-        self._engines = LeavingEngines()
-        self._reserved: dict[tuple[str, str], _Reserved] = {}
+        self._leaving_engines = LeavingEngines()
+        self._reserved_slots: dict[tuple[str, str], _ReservedSlot] = {}
 
     def move_runs(
         self,
-        rooms: list[EngineCapacity],
+        engines: list[EngineCapacity],
         order: SlackOrder,
-        sharing: frozenset[str],
+        load_based_services: frozenset[str],
         now_seconds: float,
     ) -> None:
-        """End the runs here that are better gone on with elsewhere before their engine leaves.
+        """Stop the runs that should continue elsewhere before their engine ends.
 
         Parameters
         ----------
-        rooms : list of EngineCapacity
-            Room at the engines that stay; what these runs will take is taken off.
+        engines : list of EngineCapacity
+            Capacity of the engines that stay; reduced by what these runs will use.
         order : SlackOrder
-            Which are the most urgent.
-        sharing : frozenset of str
-            Services whose runs leave; those of others stay until their engine breaks them.
+            Order of the items by urgency.
+        load_based_services : frozenset of str
+            Services whose runs are moved; other runs stay until their engine ends.
         now_seconds : float
             Monotonic clock.
         """
         if not self._context.policy.runs_leave:
             return
-        self._look(order.service_of, sharing, now_seconds)
-        self._keep_reserved(rooms, now_seconds)
-        leaving = {
+        self._update_leaving_engines(order.service_of, load_based_services, now_seconds)
+        self._apply_reservations(engines, now_seconds)
+        runs_by_key = {
             run.key: run
-            for start in self._engines.until_seconds
+            for start in self._leaving_engines.until_seconds
             for run in self._runner.own_runs.at(start)
-            if self._may_move(run)
+            if self._can_move(run)
         }
-        seen = [self._leaving_run(run, order, now_seconds) for run in leaving.values()]
-        moves = runs_to_move(seen, self._engines.until_seconds, rooms, now_seconds)
+        leaving_runs = [
+            self._make_leaving_run(run, order, now_seconds) for run in runs_by_key.values()
+        ]
+        moves = runs_to_move(
+            leaving_runs, self._leaving_engines.until_seconds, engines, now_seconds
+        )
         for move, instance in moves:
-            self._move(leaving[move.key], move, instance, now_seconds)
+            self._move(runs_by_key[move.key], move, instance, now_seconds)
 
-    def _may_move(self, run: LocalRun) -> bool:
-        """Return whether a run may go on elsewhere.
+    def _can_move(self, run: LocalRun) -> bool:
+        """Return whether a run may continue elsewhere.
 
-        A text that one version must make whole would be begun anew, and its engine may well
-        serve for longer than it must.
+        A text that one version must generate completely would start again from its beginning, and
+        its engine may serve for longer than the minimum.
         """
-        return not run.ledger.single_version and run.key not in self._reserved
+        return not run.ledger.single_version and run.key not in self._reserved_slots
 
-    def _look(
-        self, service_of: dict[str, str], sharing: frozenset[str], now_seconds: float
+    def _update_leaving_engines(
+        self, service_of: dict[str, str], load_based_services: frozenset[str], now_seconds: float
     ) -> None:
-        """Take in the notices of engines that run something of ours."""
-        leaving: set[str] = set()
+        """Record which engines with runs of this daemon are leaving."""
+        leaving_starts: set[str] = set()
         for start in self._runner.own_runs.by_start:
             run = self._runner.own_runs.at(start)[0]
-            if service_of.get(run.ledger.job.job_id) not in sharing:
+            if service_of.get(run.ledger.job.job_id) not in load_based_services:
                 continue
             instance = run.instance
             listed = self._context.directory.entries.get(instance)
-            # An engine may also leave without a notice: its entry is gone, and it still serves for
-            # the time that any engine must after a notice.
+            # An engine may leave without a notice: its entry is then missing, and it is expected to
+            # serve for the minimum time after a notice.
             if listed is not None and listed.start == start and not listed.draining:
                 continue
-            leaving.add(start)
+            leaving_starts.add(start)
             left_seconds = None
             if listed is not None and listed.start == start:
                 left_seconds = listed.leaving_in_seconds
-            self._notice(start, instance, left_seconds, now_seconds)
-        self._engines.keep_only(leaving)
+            self._record_notice(start, instance, left_seconds, now_seconds)
+        self._leaving_engines.keep_only(leaving_starts)
 
-    def _notice(
+    def _record_notice(
         self, start: str, instance: str, left_seconds: float | None, now_seconds: float
     ) -> None:
         min_seconds = self._context.settings.drain_seconds
-        if not self._engines.noticed(start, now_seconds, left_seconds, min_seconds):
+        if not self._leaving_engines.noticed(start, now_seconds, left_seconds, min_seconds):
             return
         self._context.log.write(
             EngineLeaves(
                 target=instance,
-                left_seconds=round(self._engines.until_seconds[start] - now_seconds, 3),
+                left_seconds=round(self._leaving_engines.until_seconds[start] - now_seconds, 3),
                 is_told=left_seconds is not None,
                 runs=len(self._runner.own_runs.at(start)),
             )
         )
 
-    def _keep_reserved(self, rooms: Iterable[EngineCapacity], now_seconds: float) -> None:
-        """Take off the room of runs that have left their engine and wait for their pause's end."""
-        by_instance = {room.instance: room for room in rooms}
-        for key, reserved in list(self._reserved.items()):
+    def _apply_reservations(self, engines: Iterable[EngineCapacity], now_seconds: float) -> None:
+        """Subtract the reserved capacity of stopped runs whose items may not start again yet."""
+        engines_by_instance = {engine.instance: engine for engine in engines}
+        for key, reserved in list(self._reserved_slots.items()):
             progress = reserved.run.progress
             is_waiting = progress.phase is ItemPhase.WAITING
             may_start = is_waiting and now_seconds >= progress.not_before_seconds
             may_start = may_start or progress.run_number != reserved.run_number
-            has_room = reserved.instance in by_instance
-            if may_start or not has_room or now_seconds >= reserved.until_seconds:
-                del self._reserved[key]
+            is_engine_available = reserved.instance in engines_by_instance
+            if may_start or not is_engine_available or now_seconds >= reserved.until_seconds:
+                del self._reserved_slots[key]
                 continue
-            by_instance[reserved.instance].begin(reserved.tokens)
+            engines_by_instance[reserved.instance].begin(reserved.tokens)
 
-    def _leaving_run(self, run: LocalRun, order: SlackOrder, now_seconds: float) -> LeavingRun:
+    def _make_leaving_run(self, run: LocalRun, order: SlackOrder, now_seconds: float) -> LeavingRun:
         job = run.ledger.job
         return LeavingRun(
             key=run.key,
@@ -176,11 +180,11 @@
         )
 
     def _move(self, run: LocalRun, move: LeavingRun, instance: str, now_seconds: float) -> None:
-        until_seconds = now_seconds + RESERVED_SECONDS
-        self._reserved[run.key] = _Reserved(
+        until_seconds = now_seconds + RESERVATION_SECONDS
+        self._reserved_slots[run.key] = _ReservedSlot(
             run, run.progress.run_number, instance, move.tokens, until_seconds
         )
-        self._runner.leave(run.key)
+        self._runner.stop_run(run.key)
         self._context.log.write(
             RunLeavesEngine(
                 job=run.key[0],
@@ -188,7 +192,7 @@
                 target=run.instance,
                 room_at=instance,
                 remaining_seconds=round(move.remaining_seconds, 3),
-                left_seconds=round(self._engines.until_seconds[run.start] - now_seconds, 3),
+                left_seconds=round(self._leaving_engines.until_seconds[run.start] - now_seconds, 3),
                 slack_seconds=round(move.start_by_seconds - now_seconds, 3),
             )
         )
--- a/rackswitch/gateway/items/load_poller.py
+++ b/rackswitch/gateway/items/load_poller.py
@@ -1,4 +1,4 @@
-"""Asking a service's engines how full they are, right before a job is spread over them."""
+"""Polls the load of a service's engines before the items of a new job start there."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,61 +10,63 @@
 
 __all__ = ["LoadPoller"]
 
-REPORT_AGE_SECONDS = 0.3
-"""By how much a report is taken to be older than the moment when it is read."""
+ASSUMED_REPORT_AGE_SECONDS = 0.3
+"""Assumed age of a report when it arrives."""
 
 
 class LoadPoller:
-    """Reads engines' reports, which take no slot.
+    """Requests load reports from engines; a report uses no slot.
 
-    The owner of a new job often ran nothing for some seconds and cannot know what other owners
-    run. The reports come while the job is being kept, so nobody waits for them.
+    The owner of a new job has often run nothing for some seconds and does not know what other
+    owners run. The reports arrive while the job is being stored, so no caller waits for them.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    engines : OrderClient
-        Makes the calls.
+    order_client : OrderClient
+        Requests the reports.
     occupancy : EngineOccupancy
-        Told of what the engines say.
-    memory_told : callable, optional
-        Told of the reports, for what they say of memory.
+        Records the reported number of runs.
+    on_report : callable, optional
+        Called with each report, for the memory in it.
     """
 
-    __slots__ = ("_context", "_engines", "_memory_told", "_occupancy")
+    __slots__ = ("_context", "_order_client", "_on_report", "_occupancy")
 
     def __init__(
         self,
         context: GatewayContext,
-        engines: OrderClient,
+        order_client: OrderClient,
         occupancy: EngineOccupancy,
-        memory_told: Callable[[ListedTarget, EngineReport], None] | None = None,
+        on_report: Callable[[ListedTarget, EngineReport], None] | None = None,
     ):
-        self._memory_told = memory_told
+        self._on_report = on_report
         self._context = context
-        self._engines = engines
+        self._order_client = order_client
         self._occupancy = occupancy
 
     async def look(self, service: str) -> None:
-        """Ask all engines of a service that get work."""
+        """Poll all usable engines of a service."""
         targets = self._context.directory.usable(service, self._context.now_seconds())
-        await asyncio.gather(*(self._ask(target) for target in targets))
+        await asyncio.gather(*(self._poll_target(target) for target in targets))
 
-    async def _ask(self, target: ListedTarget) -> None:
-        report = await self._engines.report(target)
+    async def _poll_target(self, target: ListedTarget) -> None:
+        report = await self._order_client.report(target)
         if isinstance(report, EngineReport):
             now_seconds = self._context.now_seconds()
             load = EngineLoad(report.running, report.waiting)
             self._occupancy.heard(target.instance, load, now_seconds)
-            if self._memory_told is not None:
-                self._memory_told(target, report)
-            self._heard(target, report, now_seconds)
+            if self._on_report is not None:
+                self._on_report(target, report)
+            self._record_load(target, report, now_seconds)
 
-    def _heard(self, target: ListedTarget, report: EngineReport, now_seconds: float) -> None:
-        """Tell the load picture a report, as a word that is some time old and has no pace."""
+    def _record_load(self, target: ListedTarget, report: EngineReport, now_seconds: float) -> None:
+        """Pass a report to the load estimator; it states no pace."""
         if not target.slots or not self._context.places_by_load(target.service):
             return
-        said_at_seconds = now_seconds - REPORT_AGE_SECONDS
-        word = ReportedLoad(report.running, report.waiting, target.slots, None, said_at_seconds)
-        self._context.load_estimator.heard(target.start, target.service, word)
+        reported_at_seconds = now_seconds - ASSUMED_REPORT_AGE_SECONDS
+        reported_load = ReportedLoad(
+            report.running, report.waiting, target.slots, None, reported_at_seconds
+        )
+        self._context.load_estimator.heard(target.start, target.service, reported_load)
--- a/rackswitch/gateway/items/step_ranks.py
+++ b/rackswitch/gateway/items/step_ranks.py
@@ -1,4 +1,4 @@
-"""Ranks of the jobs owned here, and the order and urgency of their items."""
+"""Ranks of the jobs owned by this daemon, and the order and urgency of their items."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -21,27 +21,26 @@
 
 __all__ = ["StepRanks"]
 
-SURPLUS_LIFE_SECONDS = 0.25
-"""How long the surplus groups found for a job are used: finding them goes through all its items,
-and its texts grow by only a few pieces meanwhile."""
+SURPLUS_LIFETIME_SECONDS = 0.25
+"""How long a job's surplus groups are cached: finding them visits all its items."""
 
 
 @dataclass(frozen=True, slots=True)
 class _ServiceRanks:
-    """Ranks of the routes that a service's engines serve, 0 first.
+    """Ranks of the routes that a service's engines serve; 0 is the most important.
 
     Attributes
     ----------
-    items, calls : frozenset of int
-        Those of routes of batch jobs, and those of all other routes.
+    batch_ranks, call_ranks : frozenset of int
+        Ranks of the routes of batch jobs, and of all other routes.
     """
 
-    items: frozenset[int]
-    calls: frozenset[int]
+    batch_ranks: frozenset[int]
+    call_ranks: frozenset[int]
 
 
 class StepRanks:
-    """Ranks jobs by the table in force.
+    """Ranks jobs by the current table.
 
     Parameters
     ----------
@@ -52,8 +51,8 @@
     __slots__ = (
         "_by_service",
         "_context",
-        "_surplus",
-        "_surplus_until_seconds",
+        "_surplus_groups",
+        "_surplus_groups_until_seconds",
         "_table_revision",
     )
 
@@ -61,30 +60,32 @@
         self._context = context
         self._table_revision = -1
         self._by_service: dict[str, _ServiceRanks] = {}
-        self._surplus: dict[str, set[str]] = {}
-        self._surplus_until_seconds = 0.0
+        self._surplus_groups: dict[str, set[str]] = {}
+        self._surplus_groups_until_seconds = 0.0
 
     def order(
         self,
         owned_jobs: dict[str, OwnedJob],
         services: dict[str, str],
-        rooms: Iterable[EngineCapacity],
+        engines: Iterable[EngineCapacity],
         forecast: LengthForecast,
     ) -> SlackOrder:
-        """Return the present order of all items."""
+        """Return the current order of all items."""
         due_seconds = {job_id: owned.due_seconds for job_id, owned in owned_jobs.items()}
         class_of = {
             job_id: self._class_of(owned.ledger.job) for job_id, owned in owned_jobs.items()
         }
         now_seconds = self._context.now_seconds()
-        if now_seconds >= self._surplus_until_seconds:
-            self._surplus = {}
-            self._surplus_until_seconds = now_seconds + SURPLUS_LIFE_SECONDS
-        paces_seconds = available_paces(rooms)
-        return SlackOrder(services, due_seconds, class_of, paces_seconds, forecast, self._surplus)
+        if now_seconds >= self._surplus_groups_until_seconds:
+            self._surplus_groups = {}
+            self._surplus_groups_until_seconds = now_seconds + SURPLUS_LIFETIME_SECONDS
+        paces_seconds = available_paces(engines)
+        return SlackOrder(
+            services, due_seconds, class_of, paces_seconds, forecast, self._surplus_groups
+        )
 
     def urgency(self, order: SlackOrder, ledger: JobLedger, progress: ItemProgress) -> int:
-        """Return how urgent an engine is told that an item's run is."""
+        """Return the urgency that is sent to the engine with an item's run."""
         if not self._context.policy.urgency_told:
             return MIDDLE_URGENCY
         job_id = ledger.job.job_id
@@ -94,8 +95,8 @@
         return urgency_of(
             slack_seconds,
             order.is_surplus(ledger, progress),
-            is_first_rank=all(rank <= other for other in ranks.items),
-            levels=urgency_levels(rank, ranks.calls),
+            is_first_rank=all(rank <= other for other in ranks.batch_ranks),
+            levels=urgency_levels(rank, ranks.call_ranks),
         )
 
     def _class_of(self, job: Job) -> int:
@@ -110,15 +111,15 @@
             self._by_service.clear()
         ranks = self._by_service.get(service)
         if ranks is None:
-            ranks = self._by_service[service] = self._read_ranks(service)
+            ranks = self._by_service[service] = self._ranks_from_routes(service)
         return ranks
 
-    def _read_ranks(self, service: str) -> _ServiceRanks:
-        items: set[int] = set()
-        calls: set[int] = set()
+    def _ranks_from_routes(self, service: str) -> _ServiceRanks:
+        batch_ranks: set[int] = set()
+        call_ranks: set[int] = set()
         for routes in self._context.routes.by_host.values():
             for route in routes:
                 if any(choice.serves == service for choice in route.choices):
-                    ranks = items if route.handling is Handling.BATCH else calls
+                    ranks = batch_ranks if route.handling is Handling.BATCH else call_ranks
                     ranks.add(route.caller_class)
-        return _ServiceRanks(frozenset(items), frozenset(calls))
+        return _ServiceRanks(frozenset(batch_ranks), frozenset(call_ranks))
--- a/rackswitch/gateway/items/tests/test_item_runner.py
+++ b/rackswitch/gateway/items/tests/test_item_runner.py
@@ -1,4 +1,4 @@
-"""What the runs of items show of engines."""
+"""How runs of items affect the state of their engines, and reports to quarantine."""
 
 import asyncio
 
@@ -20,38 +20,38 @@
 
 
 class ScriptedEngine:
-    """Brings the same pieces at each run, and the same end after a time."""
+    """Sends the same pieces in each run, and the same end after a delay."""
 
     def __init__(
-        self, pieces, end: ItemRunEnd, after_seconds: float, gap_seconds=0.0, was_sent=True
+        self, pieces, end: ItemRunEnd, end_delay_seconds: float, interval_seconds=0.0, was_sent=True
     ):
         self._pieces = pieces
         self._end = ItemRunEnded(end, "as scripted", was_sent)
-        self._after_seconds = after_seconds
-        self._gap_seconds = gap_seconds
+        self._end_delay_seconds = end_delay_seconds
+        self._interval_seconds = interval_seconds
 
-    async def run(self, target, request, first_patience_seconds, next_patience_seconds):
+    async def run(self, target, request, first_piece_timeout_seconds, next_piece_timeout_seconds):
         for piece in self._pieces:
-            await asyncio.sleep(self._gap_seconds)
+            await asyncio.sleep(self._interval_seconds)
             yield piece
-        await asyncio.sleep(self._after_seconds)
+        await asyncio.sleep(self._end_delay_seconds)
         yield self._end
 
 
-class ToldQuarantine(NoQuarantine):
-    """Keeps what it is told."""
+class RecordingQuarantine(NoQuarantine):
+    """Records the reported ends of runs."""
 
     def __init__(self):
-        self.told = []
+        self.reports = []
 
     def broke(self, fingerprint, target):
-        self.told.append("broke")
+        self.reports.append("broke")
 
     def answered(self, fingerprint_of):
-        self.told.append("answered")
+        self.reports.append("answered")
 
     def not_run(self, fingerprint_of):
-        self.told.append("not run")
+        self.reports.append("not run")
 
 
 def make_runner(engine, quarantine=None) -> tuple[ItemRunner, JobLedger]:
@@ -61,99 +61,103 @@
     return runner, JobLedger(make_job())
 
 
-async def run_first(runner: ItemRunner, ledger: JobLedger) -> ItemRunEnded:
+async def run_item(runner: ItemRunner, ledger: JobLedger) -> ItemRunEnded:
     progress = ledger.items["i0"]
     ledger.started(progress)
     return await runner.run(ledger, progress, ENGINE)
 
 
 @pytest.mark.parametrize(
-    ("others_go_on", "pieces", "is_closed"),
+    ("others_progress", "pieces", "is_in_cooldown"),
     [
-        # It waited in the queue of an engine that works on others.
+        # The run was queued at an engine that progresses with other runs.
         (True, [], False),
         (False, [], True),
-        # It had begun, and then stood still.
+        # The run had begun before it stalled.
         (True, [TextPiece(1, "a", 1)], True),
     ],
 )
-def test_a_run_that_waits_in_a_queue_does_not_close_its_engine(others_go_on, pieces, is_closed):
+def test_a_queued_run_puts_its_engine_in_no_cooldown_while_others_progress(
+    others_progress, pieces, is_in_cooldown
+):
     async def scenario():
         engine = ScriptedEngine(pieces, ItemRunEnd.SILENT, FIRST_PIECE_TIMEOUT_SECONDS)
         runner, ledger = make_runner(engine)
-        work = asyncio.create_task(run_first(runner, ledger))
+        run_task = asyncio.create_task(run_item(runner, ledger))
         await asyncio.sleep(FIRST_PIECE_TIMEOUT_SECONDS * 0.9)
         now_seconds = runner._context.now_seconds()
-        if others_go_on:
+        if others_progress:
             runner.paces.note(ENGINE.start, 0.04, now_seconds)
-        await work
+        await run_task
         return runner._context.targets[ENGINE.instance].open_until_seconds > now_seconds
 
-    assert run_virtual(scenario()) is is_closed
+    assert run_virtual(scenario()) is is_in_cooldown
 
 
-@pytest.mark.parametrize(("urgency", "is_closed"), [(5, True), (7, False)])
-def test_a_run_that_more_urgent_ones_may_displace_does_not_close_its_engine(urgency, is_closed):
+@pytest.mark.parametrize(("urgency", "is_in_cooldown"), [(5, True), (7, False)])
+def test_a_displaceable_run_that_times_out_puts_its_engine_in_no_cooldown(urgency, is_in_cooldown):
     async def scenario():
         engine = ScriptedEngine([TextPiece(1, "a", 1)], ItemRunEnd.SILENT, 1.2)
         runner, ledger = make_runner(engine)
         progress = ledger.items["i0"]
         ledger.started(progress)
-        work = asyncio.create_task(runner.run(ledger, progress, ENGINE, urgency))
+        run_task = asyncio.create_task(runner.run(ledger, progress, ENGINE, urgency))
         await asyncio.sleep(1.0)
         now_seconds = runner._context.now_seconds()
         runner.paces.note(ENGINE.start, 0.04, now_seconds)
-        await work
+        await run_task
         return runner._context.targets[ENGINE.instance].open_until_seconds > now_seconds
 
-    assert run_virtual(scenario()) is is_closed
+    assert run_virtual(scenario()) is is_in_cooldown
 
 
-@pytest.mark.parametrize("spare_seconds", [None, 0.04, 0.05])
-def test_a_run_goes_on_where_that_gains_time(spare_seconds):
+@pytest.mark.parametrize("spare_seconds_per_piece", [None, 0.04, 0.05])
+def test_a_run_moves_to_a_faster_engine_if_that_saves_time(spare_seconds_per_piece):
     async def scenario():
-        texts = [TextPiece(number, "a", 1) for number in range(1, 101)]
-        runner, ledger = make_runner(ScriptedEngine(texts, ItemRunEnd.WHOLE, 0.0, 0.05))
-        if spare_seconds is not None:
-            runner.spare["s"] = SpareCapacity("e2", spare_seconds, 1, {"m": 1})
-        ended = await run_first(runner, ledger)
+        pieces = [TextPiece(number, "a", 1) for number in range(1, 101)]
+        runner, ledger = make_runner(ScriptedEngine(pieces, ItemRunEnd.WHOLE, 0.0, 0.05))
+        if spare_seconds_per_piece is not None:
+            runner.spare["s"] = SpareCapacity("e2", spare_seconds_per_piece, 1, {"m": 1})
+        ended = await run_item(runner, ledger)
         return ended.end, ledger.items["i0"].moves, runner.spare
 
     end, moves, spare = run_virtual(scenario())
-    assert moves == (spare_seconds == 0.04)
+    assert moves == (spare_seconds_per_piece == 0.04)
     assert (end is ItemRunEnd.WHOLE) is (moves == 0)
-    assert all(room.free_slots == 1 - moves for room in spare.values())
+    assert all(capacity.free_slots == 1 - moves for capacity in spare.values())
 
 
-def test_an_answer_tells_how_full_its_engine_is():
+def test_records_the_load_reported_in_a_stream():
     async def scenario():
         runner, ledger = make_runner(
             ScriptedEngine([EngineLoad(7, 2), TextPiece(1, "a", 1)], ItemRunEnd.WHOLE, 0.0)
         )
-        await run_first(runner, ledger)
+        await run_item(runner, ledger)
         return runner.occupancy.others(ENGINE.instance, runner._context.now_seconds())
 
     assert run_virtual(scenario()) == 9
 
 
-class Reports:
-    """Answers for engines; those without an entry do not answer."""
+class FakeOrderClient:
+    """Returns prepared reports; engines without one do not answer."""
 
-    def __init__(self, reports):
-        self._reports = reports
+    def __init__(self, reports_by_instance):
+        self._reports_by_instance = reports_by_instance
 
     async def report(self, target):
-        return self._reports.get(target.instance, NoReport("no answer"))
+        return self._reports_by_instance.get(target.instance, NoReport("no answer"))
 
 
-def test_engines_are_asked_how_full_they_are_and_silent_ones_say_nothing():
+def test_polling_records_reported_loads_and_ignores_engines_without_report():
     async def scenario():
         context = make_gateway_context("a", KvStore())
         for name in ("e1", "e2"):
             context.directory.put(ListedTarget(name, "s", "h", 1, "z", 12, False, {"m": 1}))
         occupancy = EngineOccupancy()
-        reports = Reports({"e1": EngineReport({"m": 1}, False, 0, waiting=3, running=12)})
-        await LoadPoller(context, reports, occupancy).look("s")
+        order_client = FakeOrderClient(
+            {"e1": EngineReport({"m": 1}, False, 0, waiting=3, running=12)}
+        )
+        await LoadPoller(context, order_client, occupancy).look("s")
         now_seconds = context.now_seconds()
         return occupancy.others("e1", now_seconds), occupancy.others("e2", now_seconds)
 
@@ -161,11 +165,11 @@
 
 
 @pytest.mark.parametrize(
-    ("end", "was_sent", "told"),
+    ("end", "was_sent", "report"),
     [
         (ItemRunEnd.BROKEN, True, "broke"),
         (ItemRunEnd.SILENT, True, "broke"),
-        # It was not present at the end of an engine that it could not be sent to.
+        # An item that could not be sent cannot have caused the engine's end.
         (ItemRunEnd.SILENT, False, "not run"),
         (ItemRunEnd.NOT_RUN, True, "not run"),
         (ItemRunEnd.NOT_THERE, True, "not run"),
@@ -174,23 +178,23 @@
         (ItemRunEnd.WHOLE, True, "answered"),
     ],
 )
-def test_what_an_items_run_says_of_its_engines_end(end, was_sent, told):
+def test_reports_the_end_of_a_run_to_quarantine(end, was_sent, report):
     async def scenario():
-        quarantine = ToldQuarantine()
+        quarantine = RecordingQuarantine()
         engine = ScriptedEngine([TextPiece(1, "a", 1)], end, 0.1, was_sent=was_sent)
-        await run_first(*make_runner(engine, quarantine))
-        return quarantine.told
+        await run_item(*make_runner(engine, quarantine))
+        return quarantine.reports
 
-    assert run_virtual(scenario()) == [told]
+    assert run_virtual(scenario()) == [report]
 
 
-@pytest.mark.parametrize(("pieces", "told"), [(1, ["broke"]), (10, ["broke"]), (40, [])])
-def test_a_run_that_has_brought_pieces_for_a_while_is_not_what_its_engine_ended_under(pieces, told):
+@pytest.mark.parametrize(("pieces", "reports"), [(1, ["broke"]), (10, ["broke"]), (40, [])])
+def test_a_run_interrupted_after_much_progress_is_not_suspected(pieces, reports):
     async def scenario():
-        quarantine = ToldQuarantine()
-        text = [TextPiece(number + 1, "a", 1) for number in range(pieces)]
-        engine = ScriptedEngine(text, ItemRunEnd.BROKEN, 0.0, gap_seconds=0.04)
-        await run_first(*make_runner(engine, quarantine))
-        return quarantine.told
+        quarantine = RecordingQuarantine()
+        pieces_of_run = [TextPiece(number + 1, "a", 1) for number in range(pieces)]
+        engine = ScriptedEngine(pieces_of_run, ItemRunEnd.BROKEN, 0.0, interval_seconds=0.04)
+        await run_item(*make_runner(engine, quarantine))
+        return quarantine.reports
 
-    assert run_virtual(scenario()) == told
+    assert run_virtual(scenario()) == reports
