--- a/rackswitch/gateway/items/__init__.py
+++ b/rackswitch/gateway/items/__init__.py
@@ -1,1 +1,1 @@
-"""Items of batch jobs at the engines, and what their runs show of engines."""
+"""Running the items of batch jobs at engines, and measuring the load and pace of engines."""
--- a/rackswitch/gateway/items/item_runner.py
+++ b/rackswitch/gateway/items/item_runner.py
@@ -161,10 +161,10 @@
         urgency : int, optional
             The urgency sent to the engine.
         """
-        began_seconds = self._context.now_seconds()
+        began_at_seconds = self._context.now_seconds()
         first_piece_number = progress.last_number + 1
         intervals = PieceIntervals()
-        sent_request = self.load_tracker.record_start(target, began_seconds)
+        sent_request = self.load_tracker.record_start(target, began_at_seconds)
         ended: ItemRunEnded | None = None
         try:
             ended = await self._run_until_stopped(ledger, progress, target, intervals, urgency)
@@ -186,11 +186,11 @@
                 pieces=progress.last_number,
                 versions=list(progress.versions),
                 oldest_version=ledger.job.oldest_version,
-                run_seconds=round(now_seconds - began_seconds, 3),
+                run_seconds=round(now_seconds - began_at_seconds, 3),
                 list_age_seconds=self._context.list_age_seconds(),
                 outcome=ended.end.value,
                 detail=ended.detail,
-                first_piece_seconds=_first_piece_seconds(intervals, began_seconds),
+                first_piece_seconds=_first_piece_seconds(intervals, began_at_seconds),
                 fingerprint=fingerprint,
                 place=placement_event(
                     self._context, sent_request.place, target.service, WorkKind.TEXT
@@ -451,8 +451,8 @@
     return request_fingerprint(job.tenant, job.host, "POST", item.path, item.body)
 
 
-def _first_piece_seconds(intervals: PieceIntervals, began_seconds: float) -> float:
+def _first_piece_seconds(intervals: PieceIntervals, began_at_seconds: float) -> float:
     """Return the time until a run's first piece, as it is logged; -1 if none arrived."""
     if intervals.first_at_seconds is None:
         return -1.0
-    return round(intervals.first_at_seconds - began_seconds, 3)
+    return round(intervals.first_at_seconds - began_at_seconds, 3)
--- a/rackswitch/gateway/items/tests/test_item_runner.py
+++ b/rackswitch/gateway/items/tests/test_item_runner.py
@@ -77,7 +77,7 @@
         (True, [TextPiece(1, "a", 1)], True),
     ],
 )
-def test_a_queued_run_puts_its_engine_in_no_cooldown_while_others_progress(
+def test_a_queued_run_causes_no_engine_cooldown_while_others_progress(
     others_progress, pieces, is_in_cooldown
 ):
     async def scenario():
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize(("urgency", "is_in_cooldown"), [(5, True), (7, False)])
-def test_a_displaceable_run_that_times_out_puts_its_engine_in_no_cooldown(urgency, is_in_cooldown):
+def test_a_displaceable_run_that_times_out_causes_no_engine_cooldown(urgency, is_in_cooldown):
     async def scenario():
         engine = ScriptedEngine([TextPiece(1, "a", 1)], ItemRunEnd.SILENT, 1.2)
         runner, ledger = make_runner(engine)
--- a/rackswitch/gateway/items/tests/test_item_starter.py
+++ b/rackswitch/gateway/items/tests/test_item_starter.py
@@ -189,7 +189,7 @@
         )
 
 
-def make_step(job_id: str, lengths: list[int], path: str = "/first", wanted: int = 0) -> Job:
+def make_step(job_id: str, lengths: list[int], path: str = "/first", wanted_groups: int = 0) -> Job:
     items = tuple(
         JobItem(
             item_id=f"{job_id}-{number}",
@@ -202,7 +202,9 @@
         )
         for number, pieces in enumerate(lengths)
     )
-    return Job(job_id=job_id, host="h", path=path, items=items, model="m", wanted_groups=wanted)
+    return Job(
+        job_id=job_id, host="h", path=path, items=items, model="m", wanted_groups=wanted_groups
+    )
 
 
 def lengths_of(*jobs: Job) -> dict[str, int]:
@@ -216,10 +218,10 @@
 def check_complete_texts(owner: Owner, engines: SharedEngines) -> None:
     for owned in owner.owned.values():
         for item_id, progress in owned.ledger.items.items():
-            wanted = [f"{item_id}:{n}" for n in range(1, engines.lengths[item_id] + 1)]
+            expected_pieces = [f"{item_id}:{n}" for n in range(1, engines.lengths[item_id] + 1)]
             assert progress.result is not None
             assert progress.result.completed
-            assert progress.result.text.split("\n") == wanted
+            assert progress.result.text.split("\n") == expected_pieces
 
 
 @pytest.mark.parametrize(
@@ -282,9 +284,11 @@
     assert run_virtual(scenario()) == ["e0", "e1"]
 
 
-@pytest.mark.parametrize(("single_version", "wanted"), [(False, ["e0", "e1"]), (True, ["e0"])])
+@pytest.mark.parametrize(
+    ("single_version", "expected_engines"), [(False, ["e0", "e1"]), (True, ["e0"])]
+)
 def test_keeps_single_version_texts_in_place_and_suspects_no_item(
-    monkeypatch, single_version, wanted
+    monkeypatch, single_version, expected_engines
 ):
     suspected = []
     monkeypatch.setattr(NoQuarantine, "broke", lambda *args: suspected.append(args))
@@ -301,7 +305,7 @@
         await owner.run_for(1.0)
         return [name for name, _ in engines.requests]
 
-    assert run_virtual(scenario()) == wanted
+    assert run_virtual(scenario()) == expected_engines
     assert suspected == []
 
 
@@ -348,7 +352,7 @@
             steps = [
                 make_step("late", [250]),
                 make_step("tight", [170]),
-                make_step("easy", [10, 10, 90], wanted=2),
+                make_step("easy", [10, 10, 90], wanted_groups=2),
                 make_step("second", [10], path="/second"),
             ]
             engines = SharedEngines(lengths_of(*steps))
@@ -425,7 +429,7 @@
         rng = random.Random(2)
         owner = Owner("a", SharedEngines({}), 4, policy, pace)
         owner.add_job(make_step("j", [10]))
-        wanted = []
+        expected_capacities = []
         for _ in range(30):
             now_seconds = owner.context.now_seconds()
             occupancy = owner.runner.occupancy
@@ -442,13 +446,13 @@
                 others = occupancy.others(listed.instance, now_seconds)
                 capacities.append((listed.instance, SLOTS - own_count, own_count + others))
             owner.starter.start_items(owner.owned)
-            wanted.append(capacities)
+            expected_capacities.append(capacities)
             await asyncio.sleep(rng.uniform(0.1, 0.9))
-        return wanted, {"j": owner.owned["j"].due_seconds}
+        return expected_capacities, {"j": owner.owned["j"].due_seconds}
 
-    wanted, due = run_virtual(scenario())
+    expected_capacities, due = run_virtual(scenario())
     for (capacities, planned_due_seconds, longest, order, tokens_of), expected in zip(
-        plan_calls, wanted, strict=True
+        plan_calls, expected_capacities, strict=True
     ):
         assert [
             (capacity.instance, capacity.free_slots, capacity.runs) for capacity in capacities
@@ -486,7 +490,7 @@
 
 def test_surplus_groups_are_recomputed_after_their_lifetime():
     async def scenario():
-        step = make_step("j", [10, 20, 30], wanted=2)
+        step = make_step("j", [10, 20, 30], wanted_groups=2)
         owner = Owner("a", SharedEngines({}), 1, ON)
         owner.add_job(step)
         ledger = owner.owned["j"].ledger
@@ -618,7 +622,7 @@
     async def scenario():
         rng = random.Random(seed)
         steps = [
-            make_step(f"j{n}", [rng.choice([5, 20, 60]) for _ in range(60)], wanted=20 * n)
+            make_step(f"j{n}", [rng.choice([5, 20, 60]) for _ in range(60)], wanted_groups=20 * n)
             for n in range(3)
         ]
         engines = SharedEngines(lengths_of(*steps))
