--- a/rackswitch/leases/core.py
+++ b/rackswitch/leases/core.py
@@ -2,7 +2,7 @@
 
 A role is a key in the key-value service, created only where it is absent and
 bound to a lease there. The key's creation revision is the fencing number: a
-later holder always has a larger one. Safety has three layers: the service
+later holder always has a larger one. Three checks keep this safe: the service
 gives the key to one daemon; the holder checks its own deadline right before
 each effect; and each write of the holder is conditional on the role's key.
 """
@@ -16,35 +16,35 @@
 __all__ = ["HeldLease", "LeaseAction", "RoleLease", "rank_candidates"]
 
 DEADLINE_MARGIN_SHARE = 0.25
-"""Part of a lease's life that the holder gives away, for clock drift and delay."""
+"""Part of the TTL that the holder doesn't use, as a margin for clock drift and delay."""
 
-RENEWALS_PER_LIFE = 3
+RENEWALS_PER_TTL = 3
 
-PREFERENCE_SECONDS = 0.8
-"""How long a vacant role is left to the daemon that is preferred: about three of its looks."""
+PREFERRED_DAEMON_WAIT_SECONDS = 0.8
+"""How long the other daemons leave a vacant role to the preferred one; several polls."""
 
-CANDIDATE_PAUSE_SECONDS = 1.0
-"""After so long each further candidate tries a vacant role too: the first ones get it within
-0.3 s, or 0.8 s later if another daemon is preferred."""
+EXTRA_CANDIDATE_DELAY_SECONDS = 1.0
+"""Time that a role has to be vacant for each further candidate to try to acquire it."""
 
-VACANT_LOOK_SECONDS = 0.25
-"""Between looks at a vacant role that another daemon should take."""
+VACANT_ROLE_POLL_SECONDS = 0.25
+"""Poll interval for a vacant role that another daemon should acquire."""
 
 
 def rank_candidates(role: str, daemons: list[str]) -> list[str]:
-    """Order daemons by their claim to a role (rendezvous hashing).
+    """Order daemons by their priority for a role (rendezvous hashing).
 
     Parameters
     ----------
     role : str
         The role's name.
     daemons : list of str
-        The daemons believed live.
+        The daemons estimated to be live.
 
     Returns
     -------
     list of str
-        Best first. Roles spread evenly, and a daemon's death moves only its roles.
+        Highest priority first. Roles are spread evenly, and the loss of a daemon moves only its
+        own roles.
     """
 
     def weight(daemon: str) -> bytes:
@@ -54,7 +54,7 @@
 
 
 class LeaseAction(Enum):
-    """What the daemon should do about a role now."""
+    """What a daemon should do about a role."""
 
     NOTHING = "nothing"
     ACQUIRE = "acquire"
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldLease:
-    """A role held: the right to act until a deadline (monotonic seconds)."""
+    """A held role, which allows effects until a deadline (monotonic seconds)."""
 
     lease_id: int
     fencing: int
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class RoleLease:
-    """One daemon's side of one role.
+    """One daemon's state of the lease on one role.
 
     Parameters
     ----------
@@ -83,14 +83,14 @@
         This daemon.
     life_seconds : float
         The lease's time to live in the service.
-    candidates : int
-        How many of the best ranked daemons try to take the role.
+    candidate_count : int
+        Number of the highest ranked daemons that try to acquire the role.
     """
 
     role: str
     daemon: str
     life_seconds: float
-    candidates: int = 2
+    candidate_count: int = 2
     held: HeldLease | None = None
     next_try_seconds: float = 0.0
     highest_fencing: int = field(default=0)
@@ -99,7 +99,7 @@
     def may_act(self, now_seconds: float) -> bool:
         """Return whether an effect is allowed at this moment.
 
-        To be called right before each effect, with a clock read after the last wait.
+        Call it right before each effect, with the time read after the last `await`.
         """
         return self.held is not None and now_seconds < self.held.deadline_seconds
 
@@ -113,17 +113,17 @@
         now_seconds : float
             Monotonic clock.
         live : list of str
-            Daemons believed live; soft state, only used to spread the roles.
+            Daemons estimated to be live; used only to distribute the roles.
         leaving : bool
             Whether this daemon is stopping.
         vacant_seconds : float
-            How long the role is known to have been vacant: the best candidates may be dead
-            although they are believed live, so more of them try in time.
+            How long the role has been vacant. The longer, the more candidates try to acquire it,
+            as the first ones may have failed undetected.
 
         Returns
         -------
         LeaseAction
-            The step to take now.
+            The action to take now.
         """
         if self.held is not None and leaving:
             return LeaseAction.RELEASE
@@ -133,64 +133,64 @@
             return LeaseAction.RENEW
         if leaving:
             return LeaseAction.NOTHING
-        candidates = self.candidates + int(vacant_seconds / CANDIDATE_PAUSE_SECONDS)
-        best = rank_candidates(self.role, live)[:candidates]
-        return LeaseAction.ACQUIRE if self.daemon in best else LeaseAction.NOTHING
+        candidate_count = self.candidate_count + int(vacant_seconds / EXTRA_CANDIDATE_DELAY_SECONDS)
+        chosen = rank_candidates(self.role, live)[:candidate_count]
+        return LeaseAction.ACQUIRE if self.daemon in chosen else LeaseAction.NOTHING
 
     def may_take(self, now_seconds: float, preferred: str | None) -> bool:
-        """Return whether a role that was found vacant may be taken now.
+        """Return whether a role that was found vacant may be acquired now.
 
         Parameters
         ----------
         now_seconds : float
             Monotonic clock.
         preferred : str or None
-            The daemon that should have it, if it is there; it goes first for a moment.
+            The daemon that should hold the role; it may try first.
         """
         if preferred is None or preferred == self.daemon:
             return True
         if self.vacant_since_seconds is None:
             self.vacant_since_seconds = now_seconds
-        if now_seconds >= self.vacant_since_seconds + PREFERENCE_SECONDS:
+        if now_seconds >= self.vacant_since_seconds + PREFERRED_DAEMON_WAIT_SECONDS:
             return True
-        self.next_try_seconds = now_seconds + VACANT_LOOK_SECONDS
+        self.next_try_seconds = now_seconds + VACANT_ROLE_POLL_SECONDS
         return False
 
-    def acquired(self, asked_at_seconds: float, lease_id: int, fencing: int) -> None:
-        """Note that the service gave the role, asked for at `asked_at_seconds`."""
-        check_invariant(fencing > self.highest_fencing, f"fencing of {self.role} grows")
+    def acquired(self, requested_at_seconds: float, lease_id: int, fencing: int) -> None:
+        """Record that the service granted the role, requested at `requested_at_seconds`."""
+        check_invariant(fencing > self.highest_fencing, f"fencing number of {self.role} grows")
         self.highest_fencing = fencing
-        self.held = HeldLease(lease_id, fencing, self._deadline(asked_at_seconds))
+        self.held = HeldLease(lease_id, fencing, self._deadline(requested_at_seconds))
         self.vacant_since_seconds = None
-        self.next_try_seconds = asked_at_seconds + self.life_seconds / RENEWALS_PER_LIFE
+        self.next_try_seconds = requested_at_seconds + self.life_seconds / RENEWALS_PER_TTL
 
-    def renewed(self, asked_at_seconds: float) -> None:
-        """Note that the service prolonged the lease, asked for at `asked_at_seconds`."""
+    def renewed(self, requested_at_seconds: float) -> None:
+        """Record that the service renewed the lease, requested at `requested_at_seconds`."""
         if self.held is None:
             return
-        deadline = max(self.held.deadline_seconds, self._deadline(asked_at_seconds))
-        self.held = HeldLease(self.held.lease_id, self.held.fencing, deadline)
-        self.next_try_seconds = asked_at_seconds + self.life_seconds / RENEWALS_PER_LIFE
+        deadline_seconds = max(self.held.deadline_seconds, self._deadline(requested_at_seconds))
+        self.held = HeldLease(self.held.lease_id, self.held.fencing, deadline_seconds)
+        self.next_try_seconds = requested_at_seconds + self.life_seconds / RENEWALS_PER_TTL
 
     def lost(self, now_seconds: float, jitter: float) -> None:
-        """Note that the role is gone, or was not given.
+        """Record that the role was lost or not granted.
 
         Parameters
         ----------
         now_seconds : float
             Monotonic clock.
         jitter : float
-            A random number in [0, 1); spreads the tries after an outage.
+            A random number in [0, 1) that spreads the retries after an outage.
         """
         self.held = None
         self.vacant_since_seconds = None
         self.next_try_seconds = now_seconds + self.life_seconds * (0.2 + 0.3 * jitter)
 
     def unanswered(self, now_seconds: float, jitter: float) -> None:
-        """Note that the service did not answer; what is held stays until its deadline."""
+        """Record that the service did not answer; a held role stays valid until its deadline."""
         if self.held is not None and not self.may_act(now_seconds):
             self.held = None
         self.next_try_seconds = now_seconds + self.life_seconds * (0.1 + 0.2 * jitter)
 
-    def _deadline(self, asked_at_seconds: float) -> float:
-        return asked_at_seconds + self.life_seconds * (1 - DEADLINE_MARGIN_SHARE)
+    def _deadline(self, requested_at_seconds: float) -> float:
+        return requested_at_seconds + self.life_seconds * (1 - DEADLINE_MARGIN_SHARE)
--- a/rackswitch/leases/holder.py
+++ b/rackswitch/leases/holder.py
@@ -1,4 +1,4 @@
-"""The value by which a key names its holder and the lease that it is held under."""
+"""Encoding of a key's holder and lease in the key's value."""
 
 __all__ = ["decode_holder", "encode_holder"]
 
@@ -6,8 +6,8 @@
 def encode_holder(daemon: str, lease_id: int) -> bytes:
     """Return the value that names a holder and its lease.
 
-    The lease's number makes the value unique, so that an unanswered write can be recognized as a
-    daemon's own, and lets the daemon's next process end the lease.
+    The lease's number makes the value unique, so that a daemon recognizes its own unanswered
+    write, and lets the daemon's next process revoke the lease.
     """
     return f"{daemon} {lease_id}".encode()
 
--- a/rackswitch/leases/tests/test_core.py
+++ b/rackswitch/leases/tests/test_core.py
@@ -1,59 +1,59 @@
-"""One daemon's side of a role: who tries, who goes first, and until when it may act."""
+"""Guards against two daemons that act in one role, and against roles that stay vacant."""
 
 import pytest
 
 from rackswitch.leases import LeaseAction, RoleLease, rank_candidates
-from rackswitch.leases.core import PREFERENCE_SECONDS
+from rackswitch.leases.core import PREFERRED_DAEMON_WAIT_SECONDS
 from rackswitch.outcomes import BrokenInvariant
 
-LIFE_SECONDS = 4.0
-LIVE = ["a", "b", "c", "d"]
+TTL_SECONDS = 4.0
+LIVE_DAEMONS = ["a", "b", "c", "d"]
 
 
 def lease_of(daemon: str) -> RoleLease:
-    return RoleLease("role", daemon, LIFE_SECONDS)
+    return RoleLease("role", daemon, TTL_SECONDS)
 
 
-def test_the_best_two_candidates_try():
-    ranked = rank_candidates("role", LIVE)
-    actions = [lease_of(name).next_action(0.0, LIVE, False) for name in ranked]
+def test_the_first_two_candidates_try_to_acquire_a_role():
+    ranked = rank_candidates("role", LIVE_DAEMONS)
+    actions = [lease_of(name).next_action(0.0, LIVE_DAEMONS, False) for name in ranked]
     assert actions == [LeaseAction.ACQUIRE] * 2 + [LeaseAction.NOTHING] * 2
 
 
-def test_a_daemon_that_leaves_releases_and_tries_no_more():
-    best = rank_candidates("role", LIVE)[0]
+def test_a_leaving_daemon_releases_its_role_and_acquires_none():
+    best = rank_candidates("role", LIVE_DAEMONS)[0]
     lease = lease_of(best)
-    assert lease.next_action(0.0, LIVE, True) is LeaseAction.NOTHING
+    assert lease.next_action(0.0, LIVE_DAEMONS, True) is LeaseAction.NOTHING
     lease.acquired(0.0, 1, 7)
-    assert lease.next_action(0.1, LIVE, True) is LeaseAction.RELEASE
+    assert lease.next_action(0.1, LIVE_DAEMONS, True) is LeaseAction.RELEASE
 
 
-def test_a_holder_acts_until_its_own_deadline_and_renews_before():
+def test_a_holder_acts_until_its_deadline_and_renews_before():
     lease = lease_of("a")
     lease.acquired(10.0, 1, 7)
-    deadline_seconds = 10.0 + LIFE_SECONDS * 0.75
+    deadline_seconds = 10.0 + TTL_SECONDS * 0.75
     assert lease.may_act(deadline_seconds - 0.01)
     assert not lease.may_act(deadline_seconds)
-    assert lease.next_action(10.1, LIVE, False) is LeaseAction.NOTHING
-    assert lease.next_action(10.0 + LIFE_SECONDS / 3, LIVE, False) is LeaseAction.RENEW
+    assert lease.next_action(10.1, LIVE_DAEMONS, False) is LeaseAction.NOTHING
+    assert lease.next_action(10.0 + TTL_SECONDS / 3, LIVE_DAEMONS, False) is LeaseAction.RENEW
     lease.renewed(11.0)
     assert lease.may_act(deadline_seconds + 0.5)
-    # An answer that comes late does not shorten what is held.
+    # A late answer does not move the deadline back.
     lease.renewed(5.0)
     assert lease.may_act(deadline_seconds + 0.5)
 
 
-def test_unanswered_renewals_end_the_role_at_its_deadline():
+def test_a_role_without_renewals_ends_at_its_deadline():
     lease = lease_of("a")
     lease.acquired(0.0, 1, 7)
     lease.unanswered(1.0, 0.0)
     assert lease.held is not None
-    lease.unanswered(LIFE_SECONDS, 0.0)
+    lease.unanswered(TTL_SECONDS, 0.0)
     assert lease.held is None
-    assert lease.next_try_seconds > LIFE_SECONDS
+    assert lease.next_try_seconds > TTL_SECONDS
 
 
-def test_fencing_numbers_only_grow():
+def test_a_fencing_number_that_does_not_increase_is_an_error():
     lease = lease_of("a")
     lease.acquired(0.0, 1, 7)
     lease.lost(1.0, 0.0)
@@ -61,18 +61,18 @@
         lease.acquired(2.0, 2, 7)
 
 
-def test_a_vacant_role_is_left_to_the_preferred_daemon_for_a_moment():
+def test_the_preferred_daemon_may_acquire_a_vacant_role_first():
     lease = lease_of("a")
     assert lease.may_take(0.0, None)
     assert lease.may_take(0.0, "a")
     assert not lease.may_take(0.0, "b")
     assert lease.next_try_seconds > 0.0
-    assert not lease.may_take(PREFERENCE_SECONDS - 0.1, "b")
-    assert lease.may_take(PREFERENCE_SECONDS, "b")
+    assert not lease.may_take(PREFERRED_DAEMON_WAIT_SECONDS - 0.1, "b")
+    assert lease.may_take(PREFERRED_DAEMON_WAIT_SECONDS, "b")
 
 
-def test_the_moment_begins_anew_once_somebody_has_held_the_role():
+def test_the_wait_for_the_preferred_daemon_restarts_after_the_role_was_held():
     lease = lease_of("a")
     assert not lease.may_take(0.0, "b")
     lease.lost(0.5, 0.0)
-    assert not lease.may_take(PREFERENCE_SECONDS + 0.1, "b")
+    assert not lease.may_take(PREFERRED_DAEMON_WAIT_SECONDS + 0.1, "b")
--- a/rackswitch/leases/tests/test_turns.py
+++ b/rackswitch/leases/tests/test_turns.py
@@ -3,7 +3,7 @@
 TURN_SECONDS = 3.0
 
 
-def test_the_first_holder_need_not_wait():
+def test_the_first_holder_does_not_wait():
     assert OrderTurns("a").may_order_from_seconds("g", TURN_SECONDS) == float("-inf")
 
 
@@ -18,20 +18,20 @@
     assert turns.may_order_from_seconds("other", TURN_SECONDS) == float("-inf")
 
 
-def test_a_restarted_daemon_goes_on_with_its_own_turn():
+def test_a_restarted_daemon_does_not_wait_for_its_own_entry():
     turns = OrderTurns("a")
     turns.entered("g", "a", 1, 10.0)
     assert turns.may_order_from_seconds("g", TURN_SECONDS) == float("-inf")
 
 
-def test_an_order_does_not_leave_long_after_its_entry():
+def test_an_order_is_not_sent_after_its_window():
     turns = OrderTurns("a")
     assert turns.may_send(10.0, 10.0 + ORDER_WINDOW_SECONDS / 2)
-    # As after a freeze between the entry's answer and the order.
+    # For example after the process was paused between the entry and the order.
     assert not turns.may_send(10.0, 10.0 + ORDER_WINDOW_SECONDS)
 
 
-def test_an_entry_that_is_read_again_does_not_prolong_the_wait():
+def test_an_entry_that_is_read_again_does_not_extend_the_wait():
     turns = OrderTurns("b")
     turns.entered("g", "a", 5, 10.0)
     turns.entered("g", "a", 5, 12.0)
@@ -42,7 +42,7 @@
     )
 
 
-def test_the_last_entry_says_who_ordered_last():
+def test_the_last_holder_is_that_of_the_newest_revision():
     turns = OrderTurns("a")
     assert turns.last_holder("g") is None
     turns.entered("g", "b", 5, 1.0)
--- a/rackswitch/leases/turns.py
+++ b/rackswitch/leases/turns.py
@@ -1,9 +1,10 @@
-"""When a new holder may act where nobody checks fencing numbers: engines, the operator's API.
+"""When a new holder may send orders to systems that don't check fencing numbers.
 
-Before a holder orders, it enters itself in a record under its role's fence, and
-it orders only within a short window after that. All daemons follow the record,
-so a successor knows how long the last possible order of the former holder is
-past, without asking anybody.
+Such systems are engines and the operator's API.
+
+Before a holder sends an order, it writes an entry to a record under its role's fencing number,
+and it sends the order only within a short window after that. All daemons watch the record, so a
+successor knows when the former holder can have sent its last order.
 """
 
 from dataclasses import dataclass, field
@@ -11,8 +12,7 @@
 __all__ = ["ORDER_WINDOW_SECONDS", "OrderTurns"]
 
 ORDER_WINDOW_SECONDS = 0.5
-"""How long after it began to enter itself a holder may order. The entry takes some
-milliseconds on a calm day; one that takes longer than this is made again."""
+"""How long after the start of writing its entry a holder may send an order."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,41 +24,41 @@
 
 @dataclass(slots=True)
 class OrderTurns:
-    """Who entered the records last, as this daemon saw it.
+    """The last entry of each record that this daemon has seen.
 
     Parameters
     ----------
     daemon : str
-        This daemon. Its own orders and those of an earlier process of it are one
-        holder's: the earlier process is dead.
+        This daemon. An earlier process of the same daemon counts as the same holder, as it
+        has ended.
     """
 
     daemon: str
     entries: dict[str, _Entry] = field(default_factory=dict)
 
     def entered(self, group: str, holder: str, revision: int, seen_seconds: float) -> None:
-        """Note an entry for a group of engines, seen at a moment (monotonic).
+        """Record an entry for a group of engines, seen at `seen_seconds` (monotonic).
 
-        One that was seen before, by its revision, was made before that moment already.
+        An entry whose revision is not newer than the known one is ignored.
         """
         known = self.entries.get(group)
         if known is None or revision > known.revision:
             self.entries[group] = _Entry(holder, revision, seen_seconds)
 
     def last_holder(self, group: str) -> str | None:
-        """Return the daemon that last entered the record of a group's orders, if any did."""
+        """Return the daemon that made the last entry for a group, if there is one."""
         entry = self.entries.get(group)
         return entry.holder if entry is not None else None
 
     def may_order_from_seconds(self, group: str, turn_seconds: float) -> float:
-        """Return from when on this daemon, once it holds the role, may order the group.
+        """Return the time from which this daemon, as the holder, may send orders to a group.
 
         Parameters
         ----------
         group : str
-            The engines.
+            The group of engines.
         turn_seconds : float
-            How long the last order of one holder must be past before another orders.
+            Minimum time between the last order of one holder and the first of another.
         """
         entry = self.entries.get(group)
         if entry is None or entry.holder == self.daemon:
@@ -66,5 +66,5 @@
         return entry.seen_seconds + ORDER_WINDOW_SECONDS + turn_seconds
 
     def may_send(self, entered_at_seconds: float, now_seconds: float) -> bool:
-        """Return whether an order may still leave whose entry was begun at a moment."""
+        """Return whether an order with an entry begun at `entered_at_seconds` may be sent."""
         return now_seconds < entered_at_seconds + ORDER_WINDOW_SECONDS
--- a/rackswitch/spread/__init__.py
+++ b/rackswitch/spread/__init__.py
@@ -1,4 +1,4 @@
-"""Spreading what is known: which daemon takes whose copies of the service's entries over."""
+"""Distribution of the key-value service's entries from daemon to daemon."""
 
 from rackswitch.spread.choice import *  # noqa: F403
 from rackswitch.spread.choice import __all__ as _choice_all
--- a/rackswitch/spread/tests/test_tree.py
+++ b/rackswitch/spread/tests/test_tree.py
@@ -12,27 +12,27 @@
 
 
 def naive_sources(members: list[TreeMember], daemon: str) -> tuple[str, ...]:
-    """The first two by name for everybody, as a fleet of a few can afford."""
-    first = sorted(member.daemon for member in members)[:2]
-    return () if daemon in first else tuple(first)
+    """Return the first two daemons by name, as a small fleet may do."""
+    first_names = sorted(member.daemon for member in members)[:2]
+    return () if daemon in first_names else tuple(first_names)
 
 
 def max_followers(members, sources_of) -> int:
-    first = [sources_of(member.daemon)[:1] for member in members]
-    return max(first.count((member.daemon,)) for member in members)
+    first_sources = [sources_of(member.daemon)[:1] for member in members]
+    return max(first_sources.count((member.daemon,)) for member in members)
 
 
 @pytest.mark.parametrize("count", [3, 30, 165, 330])
-def test_nobody_serves_many_and_each_zone_is_entered_once(count):
+def test_followers_are_bounded_and_each_zone_has_one_link_to_the_root(count):
     members = fleet(count)
     tree = DistributionTree(members)
     zones = {member.daemon: member.zone for member in members}
-    crossing = [
+    cross_zone = [
         name
         for name in zones
-        if (first := tree.sources(name)[:1]) and zones[first[0]] != zones[name]
+        if (first_sources := tree.sources(name)[:1]) and zones[first_sources[0]] != zones[name]
     ]
-    assert len(crossing) <= ZONES - 1
+    assert len(cross_zone) <= ZONES - 1
     assert max_followers(members, tree.sources) <= FAN_OUT + ZONES - 1
     assert max(tree.level(name) for name in zones) <= 3
     if count > 100:
@@ -40,22 +40,22 @@
         assert naive == count - 2
 
 
-def test_the_root_and_its_standby_have_the_most_room_and_lie_in_different_zones():
+def test_root_and_standby_have_the_largest_cpu_share_and_different_zones():
     tree = DistributionTree(fleet(40))
-    roomy = {f"d{n}" for n in range(ZONES)}
-    assert {tree.root, tree.standby} <= roomy
+    large = {f"d{n}" for n in range(ZONES)}
+    assert {tree.root, tree.standby} <= large
     assert tree.root != tree.standby
     assert tree.sources(tree.standby) == (tree.root,)
 
 
-def test_names_that_sort_first_are_not_preferred():
+def test_the_root_does_not_depend_on_the_order_of_names():
     roots = {
         DistributionTree(TreeMember(f"{s}{n}", "z") for n in range(5)).root[1:] for s in "abcdefgh"
     }
     assert len(roots) > 2
 
 
-members_drawn = st.lists(
+member_lists = st.lists(
     st.builds(
         TreeMember, st.text("abcd", min_size=1), st.sampled_from("xyz"), st.sampled_from([0.5, 0.7])
     ),
@@ -64,8 +64,8 @@
 )
 
 
-@given(members_drawn)
-def test_all_ways_lead_to_the_root_and_a_second_one_is_known(members):
+@given(member_lists)
+def test_all_sources_lead_to_the_root_and_each_daemon_has_a_second_one(members):
     tree = DistributionTree(members)
     for member in members:
         seen, name = set(), member.daemon
--- a/rackswitch/spread/tree.py
+++ b/rackswitch/spread/tree.py
@@ -1,13 +1,10 @@
-"""The tree along which daemons pass on what the key-value service tells.
+"""The tree along which daemons distribute the entries of the key-value service.
 
 One daemon, the root, watches the service. In each availability zone one daemon follows the
-root, and the others of the zone follow that one or each other, so that an entry crosses to a
-zone once, whatever its number of daemons. Every daemon works the tree out by itself from the
-members that it knows. Where their beliefs differ for a moment a daemon may follow one that is
-not above it, which does no harm: the age of what is passed on is told truly at every step.
-
-For a fleet of 165 daemons in 6 zones the root serves 17 others and nobody more than 12, in
-place of one daemon that served 163 (a quarter of a core; the mean is 0.027).
+root, and the others of the zone follow that one or each other, so an entry is sent to each
+zone once. Every daemon computes the tree from the members that it knows. If their estimates
+differ for a moment, a daemon may follow one that is not above it; this is harmless, because
+each step reports the correct age of its data.
 """
 
 from collections.abc import Iterable
@@ -17,60 +14,57 @@
 __all__ = ["FAN_OUT", "DistributionTree", "TreeMember"]
 
 FAN_OUT = 12
-"""Daemons of its own zone that follow one daemon. A question and its answer cost some 1.5 ms of
-a processor and come 1.5 times a second, so 12 of them take 0.03 of a core; with 12 a zone of
-157 daemons needs two steps below its first one."""
+"""Maximum number of daemons of its own zone that follow one daemon."""
 
 
 @dataclass(frozen=True, slots=True)
 class TreeMember:
-    """A daemon that may take a place.
+    """A daemon that may be part of the tree.
 
     Attributes
     ----------
-    room : float
+    cpu_share : float
         Share of a processor that its VM has; 0 if it is not known.
     """
 
     daemon: str
     zone: str
-    room: float = 0.0
+    cpu_share: float = 0.0
 
 
 class DistributionTree:
-    """Who follows whom.
+    """Determines the sources of each daemon.
 
     Parameters
     ----------
     members : iterable of TreeMember
-        The daemons believed live.
+        The daemons estimated to be live.
 
     Attributes
     ----------
     root : str
         The daemon that watches the service; empty if there are no members.
     standby : str
-        The daemon that watches it when the root cannot be followed: the best one of another
-        zone, so that the loss of a zone leaves one. Empty if there is only the root.
+        The daemon that watches it when the root cannot be followed; in another zone than the
+        root if there is one. Empty if there is only the root.
     """
 
-    __slots__ = ("_lines", "_zones", "root", "standby")
+    __slots__ = ("_zone_members", "_zones", "root", "standby")
 
     def __init__(self, members: Iterable[TreeMember]):
-        ordered = sorted(members, key=_place)
-        self._lines: dict[str, list[str]] = {}
+        ordered = sorted(members, key=_rank_key)
+        self._zone_members: dict[str, list[str]] = {}
         self._zones = {member.daemon: member.zone for member in ordered}
         for member in ordered:
-            self._lines.setdefault(member.zone, []).append(member.daemon)
+            self._zone_members.setdefault(member.zone, []).append(member.daemon)
         self.root = ordered[0].daemon if ordered else ""
         others = [member for member in ordered[1:] if member.zone != ordered[0].zone]
         self.standby = (others or ordered[1:2] or [TreeMember("", "")])[0].daemon
 
     def sources(self, daemon: str) -> tuple[str, ...]:
-        """Return whom a daemon follows, the first choice first; nobody for the root.
+        """Return the daemons that a daemon may follow, preferred ones first; none for the root.
 
-        One that is leaving has no place any more and follows the root and the standby until it
-        ends. Watching the service by itself for these 3.7 s cost some 16 calls a planned stop.
+        A daemon that is leaving is not part of the tree and follows the root or the standby.
         """
         if daemon == self.root:
             return ()
@@ -78,13 +72,17 @@
             return tuple(name for name in (self.root, self.standby) if name)
         if daemon == self.standby:
             return (self.root,)
-        line = self._lines[self._zones[daemon]]
-        place = line.index(daemon)
-        chosen = [line[(place - 1) // FAN_OUT], *line[: min(2, place)]] if place else []
+        zone_members = self._zone_members[self._zones[daemon]]
+        position = zone_members.index(daemon)
+        chosen = (
+            [zone_members[(position - 1) // FAN_OUT], *zone_members[: min(2, position)]]
+            if position
+            else []
+        )
         return tuple(dict.fromkeys([*chosen, self.root, self.standby]))
 
     def level(self, daemon: str) -> int:
-        """Return how many steps a daemon is away from the service's watcher."""
+        """Return how many steps of the tree lie between a daemon and the root."""
         steps = 0
         while sources := self.sources(daemon):
             daemon = sources[0]
@@ -92,9 +90,9 @@
         return steps
 
 
-def _place(member: TreeMember) -> tuple[float, bytes]:
-    """Return the order in which daemons take places: those with more room first.
+def _rank_key(member: TreeMember) -> tuple[float, bytes]:
+    """Return a sort key that puts daemons with a larger share of a processor first.
 
-    Among equals a hash decides, so that names that follow an order (by zone, by age) do not.
+    A hash breaks ties, so that the order does not depend on how daemons are named.
     """
-    return -member.room, blake2b(member.daemon.encode(), digest_size=8).digest()
+    return -member.cpu_share, blake2b(member.daemon.encode(), digest_size=8).digest()
