--- a/rackswitch/membership/core.py
+++ b/rackswitch/membership/core.py
@@ -1,12 +1,12 @@
 """Failure detection between daemons.
 
-Each period a daemon sends a heartbeat to one member, in a shuffled round so
-that every member is reached. Without an answer it asks a few others to try
-(this tells a one-way cut or a slow link from a death), then suspects the
-member, and only after a further wait calls it dead. A suspected member that
-hears of it answers with a higher incarnation. News rides on heartbeats, a
-bounded number of entries each; so the cost of a daemon is the same at any
-fleet size.
+Each period a daemon sends a heartbeat to one member, in shuffled rounds that
+reach every member. Without an answer it asks a few other members to probe the
+member, which tells a failed link from a failed process. If that fails too, the
+member is suspected, and after a timeout it is declared dead. A suspected member
+that receives the suspicion refutes it with a higher incarnation. Heartbeats
+carry a bounded number of updates, so the load on a daemon does not depend on
+the size of the fleet.
 
 References
 ----------
@@ -23,11 +23,11 @@
 
 UPDATES_PER_MESSAGE = 6
 SUSPECT_PERIODS = 4
-FORGET_DEAD_PERIODS = 60
+REMOVE_DEAD_PERIODS = 60
 
 
 class MemberState(IntEnum):
-    """What is believed of a daemon, in rising precedence at equal incarnation."""
+    """Estimated state of a daemon, in rising precedence at equal incarnation."""
 
     ALIVE = 1
     SUSPECT = 2
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VmEntry:
-    """A line of the platform's VM list, as far as it concerns daemons."""
+    """A daemon's entry in the platform's VM list."""
 
     daemon: str
     host: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """News about a member, as carried by heartbeats."""
+    """State of a member, as carried by heartbeats."""
 
     daemon: str
     host: str
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """What this daemon believes about another."""
+    """This daemon's estimate of another one."""
 
     update: MemberUpdate
     changed_at_seconds: float
@@ -74,17 +74,17 @@
     Parameters
     ----------
     own : MemberUpdate
-        This daemon, as it presents itself; the incarnation is its start time.
+        This daemon's own state; the incarnation is its start time.
     period_seconds : float
         Time between heartbeats.
     rng : random.Random
-        Source of the shuffles.
+        Random source for rounds and helpers.
 
     Attributes
     ----------
     listed_live : bool
-        Whether the platform's list has shown this VM as live; before that its word that
-        the VM is leaving is about a predecessor of the same name.
+        Whether the platform's list has shown this VM as live. Until then an entry that says
+        that the VM is leaving is about an earlier VM of the same name.
     """
 
     own: MemberUpdate
@@ -92,35 +92,35 @@
     rng: random.Random
     members: dict[str, Member] = field(default_factory=dict)
     listed_live: bool = False
-    _round: list[str] = field(default_factory=list)
+    _heartbeat_round: list[str] = field(default_factory=list)
 
     def live(self) -> list[str]:
-        """Return the daemons believed able to take work, this one included unless leaving."""
+        """Return the daemons estimated to accept work, including this one unless it is leaving."""
         names = [name for name, m in self.members.items() if m.update.state <= MemberState.SUSPECT]
         if self.own.state == MemberState.ALIVE:
             names.append(self.own.daemon)
         return sorted(names)
 
     def others_reachable(self) -> list[str]:
-        """Return the other daemons whose process is believed to run, leaving ones included."""
+        """Return the other daemons whose process is estimated to run, including leaving ones."""
         states = {name: member.update.state for name, member in self.members.items()}
         return sorted(name for name, state in states.items() if state != MemberState.DEAD)
 
     def live_zones(self) -> list[tuple[str, str]]:
-        """Return (daemon, zone) of the daemons believed live."""
+        """Return (daemon, zone) of the daemons estimated to be live."""
         zones = {name: member.update.zone for name, member in self.members.items()}
         zones[self.own.daemon] = self.own.zone
         return [(name, zones[name]) for name in self.live()]
 
     def address(self, daemon: str) -> MemberUpdate | None:
-        """Return the last known address of a daemon."""
+        """Return the last known state of a daemon, which holds its address."""
         member = self.members.get(daemon)
         return member.update if member is not None else None
 
     def is_gone(self, peer: MemberUpdate) -> bool:
-        """Return whether the process that was known as `peer` is believed dead.
+        """Return whether the process described by `peer` has ended, as far as is known.
 
-        One that is leaving still finishes what it has begun.
+        A leaving process still finishes its work.
         """
         member = self.members.get(peer.daemon)
         if member is None or member.update.state == MemberState.DEAD:
@@ -128,9 +128,9 @@
         return member.update.incarnation > peer.incarnation
 
     def learn_vms(self, entries: list[VmEntry], now_seconds: float) -> None:
-        """Take in the platform's list: it introduces daemons and says who is leaving.
+        """Update the members from the platform's list: new daemons and those that are leaving.
 
-        A daemon that heartbeats have shown dead is not revived by the lagging list.
+        The list lags, so it does not revive a daemon that failed to answer heartbeats.
         """
         for entry in entries:
             if entry.daemon == self.own.daemon:
@@ -150,115 +150,117 @@
                 self._set_state(known, MemberState.LEAVING, now_seconds)
 
     def learn_listed(self, entries: list[VmEntry], now_seconds: float) -> None:
-        """Take a list for the whole truth: who is not on it is gone.
+        """Update the members from a complete list; daemons that are not on it are removed.
 
-        For deployments whose platform drops a daemon's entry when the daemon dies, so that
-        no heartbeats between daemons are needed.
+        For platforms that remove the entry of a daemon that died, so that no heartbeats
+        between daemons are needed.
         """
         listed = {entry.daemon for entry in entries}
         staying = {entry.daemon for entry in entries if not entry.leaving}
         for name, member in list(self.members.items()):
-            # One that was leaving and is not any more is a new process of its daemon.
-            returned = member.update.state == MemberState.LEAVING and name in staying
-            if name not in listed or returned:
+            # A leaving daemon that is listed as live again is a new process.
+            restarted = member.update.state == MemberState.LEAVING and name in staying
+            if name not in listed or restarted:
                 del self.members[name]
         self.learn_vms(entries, now_seconds)
 
     def is_leaving(self, daemon: str) -> bool:
-        """Return whether a daemon has said that it is stopping as planned."""
+        """Return whether a daemon is known to be stopping as planned."""
         member = self.members.get(daemon)
         return member is not None and member.update.state == MemberState.LEAVING
 
     def next_target(self) -> str | None:
         """Return the member to send the next heartbeat to."""
         while True:
-            if not self._round:
-                self._round = [
+            if not self._heartbeat_round:
+                self._heartbeat_round = [
                     name
                     for name, member in self.members.items()
                     if member.update.state != MemberState.DEAD
                 ]
-                self.rng.shuffle(self._round)
-            if not self._round:
+                self.rng.shuffle(self._heartbeat_round)
+            if not self._heartbeat_round:
                 return None
-            name = self._round.pop()
+            name = self._heartbeat_round.pop()
             member = self.members.get(name)
             if member is not None and member.update.state != MemberState.DEAD:
                 return name
 
-    def helpers(self, target: str, count: int) -> list[str]:
-        """Return members to ask for a heartbeat to `target` on this daemon's behalf."""
-        others = [name for name in self.live() if name not in (target, self.own.daemon)]
+    def helpers(self, peer: str, count: int) -> list[str]:
+        """Return random members that this daemon may ask to probe `peer`."""
+        others = [name for name in self.live() if name not in (peer, self.own.daemon)]
         return self.rng.sample(others, min(count, len(others)))
 
     def answered(self, daemon: str, now_seconds: float) -> None:
-        """Note that a member answered, directly or through a helper."""
+        """Record that a member answered, directly or through a helper."""
         member = self.members.get(daemon)
         if member is not None and member.update.state == MemberState.SUSPECT:
             self._set_state(member, MemberState.ALIVE, now_seconds)
 
     def unanswered(self, daemon: str, now_seconds: float) -> None:
-        """Note that neither the member nor a helper's try was answered."""
+        """Record that neither the member nor a helper's probe was answered."""
         member = self.members.get(daemon)
         if member is not None and member.update.state == MemberState.ALIVE:
             self._set_state(member, MemberState.SUSPECT, now_seconds)
 
     def tick(self, now_seconds: float) -> None:
-        """Turn long suspicion into death, and forget the long dead."""
+        """Declare members dead whose suspicion timed out, and remove members that died long ago."""
         for name, member in list(self.members.items()):
             age_seconds = now_seconds - member.changed_at_seconds
             state = member.update.state
             if state == MemberState.SUSPECT and age_seconds > self._suspicion_seconds():
                 self._set_state(member, MemberState.DEAD, now_seconds)
             elif state == MemberState.DEAD and (
-                age_seconds > FORGET_DEAD_PERIODS * self.period_seconds
+                age_seconds > REMOVE_DEAD_PERIODS * self.period_seconds
             ):
                 del self.members[name]
 
     def leave(self) -> None:
-        """Present this daemon as leaving from now on."""
+        """Set this daemon's own state to leaving."""
         self.own = _with_state(self.own, MemberState.LEAVING)
 
     def merge(self, update: MemberUpdate, now_seconds: float) -> None:
-        """Take in news; higher incarnation wins, then the worse state."""
+        """Apply an update; the higher incarnation wins, then the higher state."""
         if update.daemon == self.own.daemon:
-            self._refute(update)
+            self._refute_suspicion(update)
             return
         known = self.members.get(update.daemon)
         if known is None:
             if update.state != MemberState.DEAD:
-                self.members[update.daemon] = Member(update, now_seconds, self._sends())
+                self.members[update.daemon] = Member(update, now_seconds, self._sends_per_update())
             return
-        present = known.update
-        if (update.incarnation, update.state) > (present.incarnation, present.state):
+        current = known.update
+        if (update.incarnation, update.state) > (current.incarnation, current.state):
             known.update = update
             known.changed_at_seconds = now_seconds
-            known.remaining_sends = self._sends()
+            known.remaining_sends = self._sends_per_update()
 
     def updates_to_send(self) -> list[MemberUpdate]:
-        """Return the news for the next message: this daemon, then the least spread."""
-        fresh = [member for member in self.members.values() if member.remaining_sends > 0]
-        # Bad news goes first: a fleet that starts has much news of the living, behind
-        # which the news of a death would wait.
-        fresh.sort(
+        """Return the updates for the next message: this daemon's, then the least sent ones."""
+        pending = [member for member in self.members.values() if member.remaining_sends > 0]
+        # Failures go first: in a starting fleet they would otherwise wait behind many
+        # updates of live members.
+        pending.sort(
             key=lambda member: (member.update.state == MemberState.ALIVE, -member.remaining_sends)
         )
-        chosen = fresh[: UPDATES_PER_MESSAGE - 1]
+        chosen = pending[: UPDATES_PER_MESSAGE - 1]
         for member in chosen:
             member.remaining_sends -= 1
         return [self.own, *(member.update for member in chosen)]
 
-    def _refute(self, update: MemberUpdate) -> None:
-        worse = update.state != MemberState.ALIVE and self.own.state == MemberState.ALIVE
-        if worse and update.incarnation >= self.own.incarnation:
+    def _refute_suspicion(self, update: MemberUpdate) -> None:
+        contradicts_own_state = (
+            update.state != MemberState.ALIVE and self.own.state == MemberState.ALIVE
+        )
+        if contradicts_own_state and update.incarnation >= self.own.incarnation:
             self.own = _with_state(self.own, self.own.state, update.incarnation + 1)
 
     def _set_state(self, member: Member, state: MemberState, now_seconds: float) -> None:
         member.update = _with_state(member.update, state)
         member.changed_at_seconds = now_seconds
-        member.remaining_sends = self._sends()
+        member.remaining_sends = self._sends_per_update()
 
-    def _sends(self) -> int:
+    def _sends_per_update(self) -> int:
         return 3 * math.ceil(math.log2(len(self.members) + 2))
 
     def _suspicion_seconds(self) -> float:
--- a/rackswitch/membership/tests/test_core.py
+++ b/rackswitch/membership/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Failure detection: deaths are found, slow and half-cut daemons are not called dead."""
+"""Guards against undetected failures, and against live daemons that are declared dead."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 
 class Network:
-    """Runs heartbeats between views; links can be cut in one direction."""
+    """Exchanges heartbeats between views; links can be cut in one direction."""
 
     def __init__(self, count, seed):
         self.rng = random.Random(seed)
@@ -29,7 +29,7 @@
         return alive and (source, target) not in self.cut
 
     def exchange(self, source, target):
-        """Send a heartbeat; return whether its answer came back."""
+        """Send a heartbeat; return whether its answer arrived."""
         if not self.reaches(source, target):
             return False
         for update in self.views[source].updates_to_send():
@@ -49,11 +49,11 @@
             target = view.next_target()
             if target is None:
                 continue
-            helped = any(
+            helper_answered = any(
                 self.exchange(name, helper) and self.exchange(helper, target)
                 for helper in view.helpers(target, 3)
             )
-            if self.exchange(name, target) or helped:
+            if self.exchange(name, target) or helper_answered:
                 view.answered(target, self.now_seconds)
             else:
                 view.unanswered(target, self.now_seconds)
@@ -62,7 +62,7 @@
         return {name for name in self.views if name not in self.dead}
 
 
-def test_a_death_is_known_everywhere_within_seconds():
+def test_all_daemons_detect_a_failure_within_25_periods():
     for seed in range(5):
         network = Network(20, seed)
         network.dead.add("d3")
@@ -73,7 +73,7 @@
             assert len(network.views[name].live()) == 19
 
 
-def test_a_one_way_cut_kills_nobody():
+def test_a_one_way_cut_lets_no_daemon_be_declared_dead():
     network = Network(9, 1)
     network.cut = {("d1", "d2"), ("d4", "d5")}
     for _ in range(120):
@@ -81,7 +81,7 @@
         assert all(len(view.live()) == 9 for view in network.views.values())
 
 
-def test_a_cut_off_daemon_comes_back():
+def test_a_daemon_is_live_again_once_its_links_are_restored():
     network = Network(9, 2)
     network.cut = {pair for n in range(9) if n != 3 for pair in ((f"d{n}", "d3"), ("d3", f"d{n}"))}
     for _ in range(30):
@@ -96,7 +96,7 @@
     assert all(len(view.live()) == 9 for view in network.views.values())
 
 
-def test_a_leaving_daemon_is_left_out_though_it_answers():
+def test_a_leaving_daemon_is_not_live_although_it_answers():
     network = Network(9, 3)
     network.views["d2"].leave()
     for _ in range(20):
@@ -114,36 +114,36 @@
     assert max(sizes) <= 6
 
 
-def test_a_replacement_of_the_same_name_is_not_taken_for_leaving():
+def test_a_new_vm_of_the_same_name_is_not_treated_as_leaving():
     network = Network(5, 5)
     view = network.views["d1"]
-    old_list = [VmEntry(f"d{n}", "h", 1, "z", n == 1) for n in range(5)]
+    outdated_entries = [VmEntry(f"d{n}", "h", 1, "z", n == 1) for n in range(5)]
     view.listed_live = False
     for other in network.views.values():
-        other.learn_vms(old_list, 0.0)
+        other.learn_vms(outdated_entries, 0.0)
     assert view.own.state == MemberState.ALIVE
     for _ in range(20):
         network.period()
     assert all("d1" in other.live() for other in network.views.values())
 
 
-def test_a_vm_listed_live_and_then_leaving_leaves():
+def test_a_daemon_is_leaving_once_its_vm_is_listed_as_leaving():
     view = Network(3, 6).views["d0"]
     view.learn_vms([VmEntry("d0", "h", 1, "z", True)], 1.0)
     assert view.own.state == MemberState.LEAVING
     assert "d0" not in view.live()
 
 
-def test_a_listed_daemon_that_leaves_and_comes_back_is_live_again():
+def test_a_leaving_daemon_that_is_listed_again_is_live():
     own = MemberUpdate("a", "h", 1, "z", 0, MemberState.ALIVE)
     members = Membership(own, 1.0, random.Random(1))
-    staying = VmEntry("b", "h", 2, "z", leaving=False)
-    members.learn_listed([staying], 0.0)
+    live_entry = VmEntry("b", "h", 2, "z", leaving=False)
+    members.learn_listed([live_entry], 0.0)
     assert members.live() == ["a", "b"]
     members.learn_listed([VmEntry("b", "h", 2, "z", leaving=True)], 1.0)
     assert members.live() == ["a"]
     assert members.is_leaving("b")
-    # The entry of its next process may be all that is seen of the change.
-    members.learn_listed([staying], 2.0)
+    # The list may show the entry of the next process without a gap.
+    members.learn_listed([live_entry], 2.0)
     assert members.live() == ["a", "b"]
     assert not members.is_leaving("b")
--- a/rackswitch/relay/__init__.py
+++ b/rackswitch/relay/__init__.py
@@ -1,4 +1,4 @@
-"""The key-value service by way of another daemon, when one's own path to it is broken."""
+"""Calls to the key-value service through another daemon while the own path fails."""
 
 from rackswitch.relay.paths import *  # noqa: F403
 from rackswitch.relay.paths import __all__ as _paths_all
--- a/rackswitch/relay/paths.py
+++ b/rackswitch/relay/paths.py
@@ -1,9 +1,8 @@
-"""Which way a daemon's calls to the key-value service go: its own, or through a peer.
+"""Selects the path of a daemon's calls to the key-value service: its own, or through a peer.
 
-A cut between one daemon and the service leaves that daemon in touch with its peers, most of
-which still reach the service. A call that a peer passes on is the same call: the service
-judges its conditions, so nothing new has to be agreed between daemons. A daemon that is cut
-off for some seconds thus keeps its session, its roles and its jobs.
+A daemon that cannot reach the service often still reaches peers that can. A peer forwards a
+call unchanged and the service checks its conditions, so forwarded calls need no agreement
+between daemons. A daemon thus keeps its session, roles and jobs during a short network failure.
 """
 
 from collections.abc import Iterable
@@ -12,112 +11,114 @@
 __all__ = ["OWN_PATH", "PathSelector"]
 
 OWN_PATH = ""
-"""Stands for the daemon's own way among the names of peers."""
+"""Stands for the daemon's own path among the names of peers."""
 
-PROBE_SECONDS = 0.5
-"""Between tries of the own path while it is broken. Each costs one call's patience, and a cut
-lasts some seconds."""
+PROBE_INTERVAL_SECONDS = 0.5
+"""Interval between probes of a failed own path; each delays one call until its timeout."""
 
-AVOID_SECONDS = 1.0
-"""How long a peer that could not pass a call on is left alone: twice the time after which it
-tries its own path again."""
+PEER_COOLDOWN_SECONDS = 1.0
+"""Cooldown of a peer that could not forward a call; longer than its own probe interval."""
 
 MAX_PEERS = 2
-"""Peers that one call is given to. If neither reaches the service, it is probably away."""
+"""Peers tried for one call. If none reaches the service, it is probably unreachable for all."""
 
 MIN_TIMEOUT_SECONDS = 0.3
-"""How long a repeatable call is given on the own path at least, while peers are there. An
-answer takes 4 ms on a calm day; a silent cut shows only by waiting."""
+"""Minimum timeout of a repeatable call on the own path before a peer is tried."""
 
-PATIENCE_FACTOR = 4.0
-"""How many times longer than the slowest recent answer a call may take, so that a service
-that is slow for everybody is not taken for a broken path."""
+TIMEOUT_FACTOR = 4.0
+"""Timeout of a call as a multiple of the slowest recent answer, so that a slow service is not
+treated as a failed path."""
 
-SLOWEST_DECAY = 0.9
-"""By which the slowest answer is forgotten with each faster one: some twenty answers."""
+SLOWEST_ANSWER_DECAY = 0.9
+"""Factor by which each answer reduces the remembered time of the slowest one."""
 
 
 @dataclass(slots=True)
 class PathSelector:
-    """One daemon's knowledge of its ways to the service.
+    """Tracks the state of one daemon's paths to the service.
 
     Parameters
     ----------
     zone : str
-        The daemon's availability zone; peers in it go first, as bytes between zones are dear.
+        The daemon's availability zone; peers in it are preferred, as traffic between zones is
+        expensive.
 
     Attributes
     ----------
-    broken_since_seconds : float or None
-        When the own path first failed after its last answer; None while it is good.
-    slowest_seconds : float
-        How long the slowest recent answer on the own path took, forgotten gradually.
+    failed_since_seconds : float or None
+        When the own path first failed after its last answer; None while it works.
+    slowest_answer_seconds : float
+        Time of the slowest recent answer on the own path; decays with each answer.
     """
 
     zone: str
-    broken_since_seconds: float | None = None
-    slowest_seconds: float = 0.0
+    failed_since_seconds: float | None = None
+    slowest_answer_seconds: float = 0.0
     _next_probe_seconds: float = float("-inf")
-    _avoided_until_seconds: dict[str, float] = field(default_factory=dict)
+    _cooldown_until_seconds: dict[str, float] = field(default_factory=dict)
 
     @property
     def own_is_good(self) -> bool:
-        """Whether the own path answered last; only then calls of peers are passed on."""
-        return self.broken_since_seconds is None
+        """Whether the own path works; only then are calls of peers forwarded."""
+        return self.failed_since_seconds is None
 
     def paths(
         self, live_zones: Iterable[tuple[str, str]], repeatable: bool, now_seconds: float
     ) -> list[str]:
-        """Return the ways to try for one call, in order.
+        """Return the paths to try for one call, in order.
 
         Parameters
         ----------
         live_zones : iterable of (daemon, zone)
-            The other daemons believed live.
+            The other daemons estimated to be live.
         repeatable : bool
-            Whether the call may be made twice; only such a call tries a broken own path.
+            Whether the call may be made twice; only such a call probes a failed own path.
         now_seconds : float
             Monotonic clock.
         """
-        peers = self._peers(live_zones, now_seconds)
+        peers = self._usable_peers(live_zones, now_seconds)
         if self.own_is_good:
             return [OWN_PATH, *peers]
         if not peers:
             return [OWN_PATH]
         if repeatable and now_seconds >= self._next_probe_seconds:
-            self._next_probe_seconds = now_seconds + PROBE_SECONDS
+            self._next_probe_seconds = now_seconds + PROBE_INTERVAL_SECONDS
             return [OWN_PATH, *peers]
         return peers
 
     def patience_seconds(self, limit_seconds: float) -> float:
-        """Return how long a repeatable call may take on the own path before a peer is asked."""
-        return min(limit_seconds, max(MIN_TIMEOUT_SECONDS, self.slowest_seconds * PATIENCE_FACTOR))
+        """Return the timeout of a repeatable call on the own path, after which a peer is tried."""
+        return min(
+            limit_seconds, max(MIN_TIMEOUT_SECONDS, self.slowest_answer_seconds * TIMEOUT_FACTOR)
+        )
 
-    def answered(self, path: str, took_seconds: float) -> bool:
-        """Note an answer; return whether the own path is good again by it."""
+    def answered(self, path: str, duration_seconds: float) -> bool:
+        """Record an answer; return whether the own path works again since this answer."""
         if path != OWN_PATH:
-            self._avoided_until_seconds.pop(path, None)
+            self._cooldown_until_seconds.pop(path, None)
             return False
-        self.slowest_seconds = max(took_seconds, self.slowest_seconds * SLOWEST_DECAY)
-        regained = not self.own_is_good
-        self.broken_since_seconds = None
-        return regained
+        self.slowest_answer_seconds = max(
+            duration_seconds, self.slowest_answer_seconds * SLOWEST_ANSWER_DECAY
+        )
+        recovered = not self.own_is_good
+        self.failed_since_seconds = None
+        return recovered
 
     def failed(self, path: str, now_seconds: float) -> bool:
-        """Note a call without an answer; return whether the own path is broken since now."""
+        """Record an unanswered call; return whether the own path has failed since this call."""
         if path != OWN_PATH:
-            self._avoided_until_seconds[path] = now_seconds + AVOID_SECONDS
+            self._cooldown_until_seconds[path] = now_seconds + PEER_COOLDOWN_SECONDS
             return False
-        self._next_probe_seconds = now_seconds + PROBE_SECONDS
+        self._next_probe_seconds = now_seconds + PROBE_INTERVAL_SECONDS
         if not self.own_is_good:
             return False
-        self.broken_since_seconds = now_seconds
+        self.failed_since_seconds = now_seconds
         return True
 
-    def _peers(self, live_zones: Iterable[tuple[str, str]], now_seconds: float) -> list[str]:
-        fit = [
+    def _usable_peers(self, live_zones: Iterable[tuple[str, str]], now_seconds: float) -> list[str]:
+        usable = [
             (zone != self.zone, name)
             for name, zone in live_zones
-            if now_seconds >= self._avoided_until_seconds.get(name, float("-inf"))
+            if now_seconds >= self._cooldown_until_seconds.get(name, float("-inf"))
         ]
-        return [name for _, name in sorted(fit)[:MAX_PEERS]]
+        return [name for _, name in sorted(usable)[:MAX_PEERS]]
