--- a/rackswitch/weights/__init__.py
+++ b/rackswitch/weights/__init__.py
@@ -1,4 +1,4 @@
-"""Versions of weights: which engines load what, when, and by whose order."""
+"""Weight versions: plans which engines load which version, and tracks their loads."""
 
 from rackswitch.weights.engine_loads import *  # noqa: F403
 from rackswitch.weights.engine_loads import __all__ as _engine_loads_all
--- a/rackswitch/weights/rollout.py
+++ b/rackswitch/weights/rollout.py
@@ -1,10 +1,9 @@
-"""Which engines to order to load which version now.
+"""Plans which engines to order to load which version.
 
-The decision starts each time from what the engines themselves report, so it
-converges whatever became of earlier orders: lost, late, from an old holder, or
-failed halfway. Engines are split into partitions by name, each with its own
-lease and its own part of the allowance, so nothing per engine passes through
-one process.
+Each plan starts from the versions that the engines report, so it converges even
+if earlier orders were lost, late, sent by a former holder, or failed halfway.
+Engines are split into partitions by name, each with its own lease and its own
+part of the allowance, so no single process handles all engines.
 """
 
 import hashlib
@@ -23,12 +22,12 @@
 ]
 
 ORDER_TIMEOUT_SECONDS = 15.0
-RETRY_AFTER_FAILURE_SECONDS = 0.5
+FAILED_ORDER_RETRY_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class EngineView:
-    """An engine's own word about its weights; version None if it cannot tell."""
+    """An engine's reported weights; the version is None if the engine reports none."""
 
     name: str
     version: int | None
@@ -38,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """An order to one engine, good until a deadline."""
+    """An order to one engine, valid until a deadline."""
 
     engine: str
     version: int
@@ -47,20 +46,20 @@
 
 @dataclass(slots=True)
 class RolloutState:
-    """Orders under way in one partition, by engine."""
+    """Pending orders of one partition, by engine."""
 
     orders: dict[str, LoadOrder] = field(default_factory=dict)
     next_try_seconds: dict[str, float] = field(default_factory=dict)
 
     def ordered(self, order: LoadOrder) -> None:
-        """Note that an order is being sent."""
+        """Record that an order is being sent."""
         self.orders[order.engine] = order
 
     def ended(self, engine: str, loaded: bool, now_seconds: float) -> None:
-        """Note an order's end; a failure waits a little before the next try."""
+        """Record the end of an order; a failed one delays the retry."""
         self.orders.pop(engine, None)
         if not loaded:
-            self.next_try_seconds[engine] = now_seconds + RETRY_AFTER_FAILURE_SECONDS
+            self.next_try_seconds[engine] = now_seconds + FAILED_ORDER_RETRY_SECONDS
 
 
 def partition_of(engine: str, partitions: int) -> int:
@@ -70,7 +69,7 @@
 
 
 def desired_version(model: ModelRow, latest_published: int) -> int:
-    """Return the version engines should have: the pinned one, else the newest."""
+    """Return the version that engines should have: the pinned one, else the latest."""
     if model.pinned_version is not None:
         return model.pinned_version
     return latest_published
@@ -85,83 +84,87 @@
     now_seconds: float,
     max_loading: int | None = None,
 ) -> list[LoadOrder]:
-    """Decide which engines of a partition to order now.
+    """Return the orders to send to engines of a partition now.
 
     Parameters
     ----------
     desired : int
-        The version wanted on every engine.
+        The version that every engine should have.
     unavailable_share : float
-        Most of the engines, as a share, that may be loading at once.
+        Maximum share of the engines that may be loading at once.
     engines : iterable of EngineView
-        The partition's engines as they describe themselves.
+        The partition's engines, as they report themselves.
     choices : iterable of RouteChoice
-        Route choices on this model; each must keep an engine of an allowed version.
+        Route choices on this model; each has to keep an engine of an allowed version.
     state : RolloutState
-        Orders under way.
+        Pending orders.
     now_seconds : float
         Monotonic clock.
     max_loading : int, optional
-        Most engines that may be loading at once, in place of the share.
+        Maximum number of engines that may be loading at once; replaces the share.
 
     Returns
     -------
     list of LoadOrder
-        Orders to send; engines that serve nothing come first, then the least loaded.
+        Engines without a version come first, then those with the fewest queued tokens.
     """
-    fleet = list(engines)
+    engine_views = list(engines)
     busy = {
         engine.name
-        for engine in fleet
-        if engine.loading or _under_way(state, engine.name, now_seconds)
+        for engine in engine_views
+        if engine.loading or _is_order_pending(state, engine.name, now_seconds)
     }
-    allowance = max_loading or max(1, int(len(fleet) * unavailable_share))
-    room = allowance - len(busy)
-    waiting = [
+    allowance = max_loading or max(1, int(len(engine_views) * unavailable_share))
+    free_slots = allowance - len(busy)
+    outdated = [
         engine
-        for engine in fleet
+        for engine in engine_views
         if engine.version != desired
         and engine.name not in busy
         and now_seconds >= state.next_try_seconds.get(engine.name, 0.0)
     ]
-    waiting.sort(key=lambda engine: (engine.version is not None, engine.queued_tokens))
+    outdated.sort(key=lambda engine: (engine.version is not None, engine.queued_tokens))
     rules = list(choices)
-    serving = {engine.name: engine.version for engine in fleet if engine.name not in busy}
+    serving_versions = {
+        engine.name: engine.version for engine in engine_views if engine.name not in busy
+    }
     orders: list[LoadOrder] = []
-    for engine in waiting:
-        if len(orders) >= room:
+    for engine in outdated:
+        if len(orders) >= free_slots:
             break
-        if not _may_take_out(engine, serving, rules, desired):
+        if not _may_start_load(engine, serving_versions, rules, desired):
             continue
-        serving.pop(engine.name, None)
+        serving_versions.pop(engine.name, None)
         deadline_seconds = now_seconds + ORDER_TIMEOUT_SECONDS
         orders.append(LoadOrder(engine.name, desired, deadline_seconds))
     return orders
 
 
-def _under_way(state: RolloutState, engine: str, now_seconds: float) -> bool:
+def _is_order_pending(state: RolloutState, engine: str, now_seconds: float) -> bool:
     order = state.orders.get(engine)
     return order is not None and now_seconds < order.deadline_seconds
 
 
-def _may_take_out(
+def _may_start_load(
     engine: EngineView,
-    serving: dict[str, int | None],
+    serving_versions: dict[str, int | None],
     rules: list[RouteChoice],
     desired: int,
 ) -> bool:
-    """Return whether every route choice that this engine serves keeps another engine.
+    """Return whether each route choice that this engine serves keeps another engine.
 
-    A fleet of one engine, or one where only this engine is allowed, still moves when
-    the desired version is allowed too: a short pause is better than never moving.
+    A single engine may load the desired version too, if that is allowed: a short interruption
+    is better than an engine that never changes its version.
     """
     for rule in rules:
         if not _allows(rule, engine.version):
             continue
-        others = any(
-            _allows(rule, version) for name, version in serving.items() if name != engine.name
+        has_other = any(
+            _allows(rule, version)
+            for name, version in serving_versions.items()
+            if name != engine.name
         )
-        if not others and (len(serving) > 1 or not _allows(rule, desired)):
+        if not has_other and (len(serving_versions) > 1 or not _allows(rule, desired)):
             return False
     return True
 
--- a/rackswitch/weights/service_plan.py
+++ b/rackswitch/weights/service_plan.py
@@ -1,8 +1,7 @@
-"""Which engines of a service load which model's newest version now, over all models at once.
+"""Plans which engines of a service load which model's newest version, over all models at once.
 
 Trainers name versions of their own models, but the models share the service's engines and its
-allowance of loads. Planned one model after the other, the last one starves: on a day of three
-models on six engines, 2 of 22 named versions were never ordered and a step waited 6.4 s for one.
+limit of concurrent loads. If each model were planned separately, the last one would starve.
 """
 
 from collections.abc import Iterable
@@ -20,69 +19,64 @@
     "plan_service_loads",
 ]
 
-LOADING_SHARE = 0.4
-"""Share of a service's engines that load at once. The platform's sheets name the number from
-which loads slow each other down: two of five or six engines, nine of twenty-two."""
+MAX_LOADING_SHARE = 0.4
+"""Maximum share of a service's engines that load at once; more loads slow each other down."""
 
-MIN_LOADING = 2
-"""Loads at once however few the engines are."""
+MIN_CONCURRENT_LOADS = 2
+"""Number of loads allowed at once even in a small service."""
 
-NEWEST_SHARE = 0.5
-"""Most of the engines that load one version, as a share. Jobs may use the version before the
-newest too, so with half each engine loads every second version, and at each new version the
-others serve on."""
+MAX_SHARE_PER_VERSION = 0.5
+"""Maximum share of the engines that load one version. Jobs may also use the version before the
+newest, so the other engines go on serving."""
 
 
-FAULTY_FACTOR = 1.7
-"""How many times slower than the fastest an engine is that has a fault: it loads last. Engines
-of one service differ by up to 1.3 on a calm day, and a faulty one is three times slower."""
+FAULTY_SLOWDOWN = 1.7
+"""Slowdown, relative to the fastest engine, above which an engine counts as faulty and loads
+last."""
 
-SLOWER_FACTOR = 1.15
-"""From how many times slower on an engine is not one of the fast ones: half of what engines of
-one service differ by."""
+MAX_FAST_SLOWDOWN = 1.15
+"""Slowdown, relative to the fastest engine, up to which an engine counts as fast."""
 
 
-MAX_LOADS_A_PLAN = 32
-"""Loads that one plan orders; the next follows a tenth of a second later. So a plan for 600
-engines and 8 models takes 25 ms of the loop that serves callers; with no bound and the fastest
-engine looked up for each it took 8.6 s (`benchmarks/bench_service_plan.py`)."""
+MAX_LOADS_PER_PLAN = 32
+"""Maximum number of loads in one plan. It bounds the time that a plan takes from the event loop
+(`benchmarks/bench_service_plan.py`)."""
 
 
 def loads_at_once(engines: int) -> int:
-    """Return how many of a service's engines may load at the same time."""
-    return max(MIN_LOADING, int(engines * LOADING_SHARE))
+    """Return how many of a service's engines may load at once."""
+    return max(MIN_CONCURRENT_LOADS, int(engines * MAX_LOADING_SHARE))
 
 
 def carriers_wanted(engines: int, models: int) -> int:
     """Return how many engines should have each version of each model.
 
     The models share the engines evenly: with three models on six engines two engines load
-    each version. With half of them for each model the loads alone take all the time there
-    is (nine loads of 0.9 s, two at a time, for versions that come every 4 s).
+    each version. More loads would take longer than the time until the next version.
     """
-    half = -int(-engines * NEWEST_SHARE // 1)
-    fair = -(-engines // max(1, models))
-    return max(1, min(half, fair))
+    max_per_version = -int(-engines * MAX_SHARE_PER_VERSION // 1)
+    even_share = -(-engines // max(1, models))
+    return max(1, min(max_per_version, even_share))
 
 
 @dataclass(frozen=True, slots=True)
 class ModelNeed:
-    """What is known of a model's versions.
+    """The versions that a model needs.
 
     Attributes
     ----------
     newest : int
-        The version named last.
+        The latest named version.
     named_at_seconds : float
         When it was named (monotonic).
-    usable_from : int
+    oldest_usable_version : int
         The oldest version that all open jobs may use.
     """
 
     model: str
     newest: int
     named_at_seconds: float
-    usable_from: int
+    oldest_usable_version: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +86,7 @@
     Attributes
     ----------
     seconds_per_piece : float
-        How fast it makes texts, in any unit that all engines share.
+        Generation time per piece, in any unit that all engines share.
     """
 
     name: str
@@ -102,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceLoad:
-    """One engine's order to load a model's version."""
+    """An order to one engine to load a model's version."""
 
     model: str
     order: LoadOrder
@@ -110,31 +104,37 @@
 
 @dataclass(slots=True)
 class _Fleet:
-    """The engines with the versions that they will have once their loads have ended."""
+    """The engines with the versions that they have after their loads have ended."""
 
     engines: list[CarrierView]
     versions: dict[str, dict[str, int]]
     busy: set[str]
-    slower: dict[str, float]
-    """How many times slower than the fastest each engine is."""
+    slowdown: dict[str, float]
+    """Time per piece of each engine, as a multiple of the fastest engine's."""
 
-    current: dict[str, int]
-    """How many models' newest versions each engine has or will have."""
+    newest_count: dict[str, int]
+    """Number of models whose newest version each engine has or will have."""
 
     def has_fast(self, model: str, version: int) -> bool:
         """Return whether a fast engine has or will have a version."""
-        return any(self.slower[name] <= SLOWER_FACTOR for name in self.having(model, version))
+        return any(
+            self.slowdown[name] <= MAX_FAST_SLOWDOWN for name in self.engines_with(model, version)
+        )
 
-    def having(self, model: str, version: int) -> list[str]:
+    def engines_with(self, model: str, version: int) -> list[str]:
         """Return the engines that have or will have a version, or a newer one."""
-        return [name for name, has in self.versions.items() if has.get(model, 0) >= version]
-
-    def begin(self, load: ServiceLoad) -> None:
-        """Count a load as under way."""
+        return [
+            name
+            for name, model_versions in self.versions.items()
+            if model_versions.get(model, 0) >= version
+        ]
+
+    def add_load(self, load: ServiceLoad) -> None:
+        """Add a load that is being ordered."""
         engine = load.order.engine
         self.busy.add(engine)
         self.versions[engine][load.model] = load.order.version
-        self.current[engine] += 1
+        self.newest_count[engine] += 1
 
 
 def plan_service_loads(
@@ -144,20 +144,20 @@
     loading: dict[str, tuple[str, int]],
     now_seconds: float,
 ) -> list[ServiceLoad]:
-    """Decide which engines of a service to order to load what, now.
+    """Return the load orders to send to a service's engines now.
 
-    The model whose version the fewest engines have goes first; among equals, one that open
-    jobs wait for, then the one whose version was named first. So each new version gets its
-    first engine before any gets its second, and none starves.
+    The model whose version the fewest engines have goes first; ties go to a model that open
+    jobs wait for, then to the version that was named first. So each new version gets its first
+    engine before any version gets its second, and none starves.
 
     Parameters
     ----------
     needs : iterable of ModelNeed
         The models with a named version.
     engines : iterable of CarrierView
-        The service's engines that get work.
+        The service's engines that accept work.
     state : RolloutState
-        When engines whose order failed may be tried again.
+        Retry times of engines whose order failed.
     loading : dict of str to (str, int)
         The model and version that each busy engine loads.
     now_seconds : float
@@ -166,90 +166,94 @@
     Returns
     -------
     list of ServiceLoad
-        Orders to send, at most one an engine and as many as may load at once.
+        At most one order per engine, up to the limit of concurrent loads.
     """
-    wanted = list(needs)
-    fleet = _fleet(engines, loading, wanted)
-    carriers = carriers_wanted(len(fleet.engines), len(wanted))
-    lacks = {need.model: _lack(need, fleet, carriers) for need in wanted}
+    need_list = list(needs)
+    fleet = _build_fleet(engines, loading, need_list)
+    engines_per_version = carriers_wanted(len(fleet.engines), len(need_list))
+    shortages = {need.model: _find_shortage(need, fleet, engines_per_version) for need in need_list}
     loads: list[ServiceLoad] = []
-    room = loads_at_once(len(fleet.engines)) - len(fleet.busy)
-    for _ in range(min(room, MAX_LOADS_A_PLAN)):
-        load = _next_load(wanted, lacks, fleet, state, now_seconds)
+    free_slots = loads_at_once(len(fleet.engines)) - len(fleet.busy)
+    for _ in range(min(free_slots, MAX_LOADS_PER_PLAN)):
+        load = _next_load(need_list, shortages, fleet, state, now_seconds)
         if load is None:
             break
-        fleet.begin(load)
-        # A load changes what its own model lacks, and nothing of the others.
-        need = next(need for need in wanted if need.model == load.model)
-        lacks[need.model] = _lack(need, fleet, carriers)
+        fleet.add_load(load)
+        # A load changes the shortage of its own model only.
+        need = next(need for need in need_list if need.model == load.model)
+        shortages[need.model] = _find_shortage(need, fleet, engines_per_version)
         loads.append(load)
     return loads
 
 
-def _fleet(
+def _build_fleet(
     engines: Iterable[CarrierView],
     loading: dict[str, tuple[str, int]],
     needs: list[ModelNeed],
 ) -> _Fleet:
-    listed = list(engines)
-    versions = {engine.name: dict(engine.versions) for engine in listed}
+    engine_list = list(engines)
+    versions = {engine.name: dict(engine.versions) for engine in engine_list}
     for name, (model, version) in loading.items():
         if name in versions:
             versions[name][model] = version
-    fastest_seconds = min((engine.seconds_per_piece for engine in listed), default=1.0)
-    slower = {engine.name: engine.seconds_per_piece / fastest_seconds for engine in listed}
-    current = {
-        name: sum(has.get(need.model, 0) >= need.newest for need in needs)
-        for name, has in versions.items()
+    fastest_seconds = min((engine.seconds_per_piece for engine in engine_list), default=1.0)
+    slowdown = {engine.name: engine.seconds_per_piece / fastest_seconds for engine in engine_list}
+    newest_count = {
+        name: sum(model_versions.get(need.model, 0) >= need.newest for need in needs)
+        for name, model_versions in versions.items()
     }
-    return _Fleet(listed, versions, set(loading), slower, current)
+    return _Fleet(engine_list, versions, set(loading), slowdown, newest_count)
 
 
 def _next_load(
     needs: list[ModelNeed],
-    lacks: dict[str, "tuple[int, _Lack] | None"],
+    shortages: dict[str, "tuple[int, _Shortage] | None"],
     fleet: _Fleet,
     state: RolloutState,
     now_seconds: float,
 ) -> ServiceLoad | None:
-    """Return the most urgent load that an engine is free for."""
-    lacking = [(lack, need) for need in needs if (lack := lacks[need.model]) is not None]
-    lacking.sort(key=lambda entry: (entry[0], entry[1].named_at_seconds))
-    for _, need in lacking:
-        engine = _engine_for(need, fleet, state, now_seconds)
+    """Return the most urgent load for which an engine is free."""
+    short_models = [
+        (shortage, need) for need in needs if (shortage := shortages[need.model]) is not None
+    ]
+    short_models.sort(key=lambda entry: (entry[0], entry[1].named_at_seconds))
+    for _, need in short_models:
+        engine = _choose_engine(need, fleet, state, now_seconds)
         if engine is not None:
             deadline_seconds = now_seconds + ORDER_TIMEOUT_SECONDS
             return ServiceLoad(need.model, LoadOrder(engine, need.newest, deadline_seconds))
     return None
 
 
-class _Lack(IntEnum):
-    """What a model lacks, the more urgent first among models that equally many engines have."""
+class _Shortage(IntEnum):
+    """Kind of a model's shortage of engines; the lower value is more urgent."""
 
     OPEN_JOBS = 0
-    """Too few engines can run the jobs that are open."""
+    """Too few engines have a version that open jobs can use."""
 
     NEXT_JOB = 1
-    """Too few have the newest version, which the next job but one is going to need."""
+    """Too few engines have the newest version, which later jobs need."""
 
     SPARE = 2
-    """Engines that could serve its jobs as well stand idle for it."""
-
-
-def _lack(need: ModelNeed, fleet: _Fleet, carriers: int) -> tuple[int, _Lack] | None:
-    """Return how many engines have what a model lacks most, and what that is."""
-    usable = len(fleet.having(need.model, need.usable_from))
-    if usable < carriers:
-        return usable, _Lack.OPEN_JOBS
-    newest = len(fleet.having(need.model, need.newest))
-    if newest < carriers:
-        return newest, _Lack.NEXT_JOB
-    if usable < min(2 * carriers, len(fleet.engines)):
-        return usable, _Lack.SPARE
+    """Further engines could serve the open jobs too."""
+
+
+def _find_shortage(
+    need: ModelNeed, fleet: _Fleet, engines_per_version: int
+) -> tuple[int, _Shortage] | None:
+    """Return a model's most urgent shortage and how many engines have the needed version."""
+    usable_count = len(fleet.engines_with(need.model, need.oldest_usable_version))
+    if usable_count < engines_per_version:
+        return usable_count, _Shortage.OPEN_JOBS
+    newest_count = len(fleet.engines_with(need.model, need.newest))
+    if newest_count < engines_per_version:
+        return newest_count, _Shortage.NEXT_JOB
+    if usable_count < min(2 * engines_per_version, len(fleet.engines)):
+        return usable_count, _Shortage.SPARE
     return None
 
 
-def _engine_for(
+def _choose_engine(
     need: ModelNeed,
     fleet: _Fleet,
     state: RolloutState,
@@ -257,27 +261,33 @@
 ) -> str | None:
     """Return the engine that should load a model's newest version, or None.
 
-    One that cannot run the model's open jobs goes before one that can, as an engine that
-    loads refuses new runs; of those that can, one must stay. The first one of a version is a
-    fast one, as a step is whole with its longest text: with engines that differ by 1.3 the last
-    text of every fourth step ran at a slow one and took 0.4 s a step longer on average.
+    Engines that cannot run the model's open jobs go first, as a loading engine refuses new
+    runs; the last one that can run them is not chosen. The first engine of a version should be
+    fast, as a step is complete only with its longest text.
     """
-    usable = set(fleet.having(need.model, need.usable_from)) - fleet.busy
-    wants_fast = not fleet.has_fast(need.model, need.newest)
+    usable = set(fleet.engines_with(need.model, need.oldest_usable_version)) - fleet.busy
+    needs_fast = not fleet.has_fast(need.model, need.newest)
     best: tuple[tuple[bool, bool, bool, int, int, str], str] | None = None
     for engine in fleet.engines:
         name = engine.name
-        has = fleet.versions[name].get(need.model, 0)
-        if name in fleet.busy or has >= need.newest:
+        loaded_version = fleet.versions[name].get(need.model, 0)
+        if name in fleet.busy or loaded_version >= need.newest:
             continue
         if now_seconds < state.next_try_seconds.get(name, 0.0):
             continue
-        serves = name in usable
-        if serves and len(usable) == 1 and len(fleet.engines) > 1:
+        is_usable = name in usable
+        if is_usable and len(usable) == 1 and len(fleet.engines) > 1:
             continue
-        slower = fleet.slower[name]
-        passed_over = wants_fast and slower > SLOWER_FACTOR
-        place = (serves, slower > FAULTY_FACTOR, passed_over, fleet.current[name], has, name)
-        if best is None or place < best[0]:
-            best = (place, name)
+        slowdown = fleet.slowdown[name]
+        too_slow = needs_fast and slowdown > MAX_FAST_SLOWDOWN
+        sort_key = (
+            is_usable,
+            slowdown > FAULTY_SLOWDOWN,
+            too_slow,
+            fleet.newest_count[name],
+            loaded_version,
+            name,
+        )
+        if best is None or sort_key < best[0]:
+            best = (sort_key, name)
     return best[1] if best is not None else None
--- a/rackswitch/weights/tests/test_engine_loads.py
+++ b/rackswitch/weights/tests/test_engine_loads.py
@@ -1,8 +1,8 @@
 from rackswitch.weights import EngineLoads
-from rackswitch.weights.engine_loads import FIRST_LOAD_SECONDS, MAX_LOAD_SECONDS
+from rackswitch.weights.engine_loads import INITIAL_LOAD_SECONDS, MAX_LOAD_SECONDS
 
 
-def test_an_engine_that_loads_a_model_gets_no_items_of_it_until_it_has_it():
+def test_an_engine_is_loading_a_model_until_it_lists_the_version():
     loads = EngineLoads()
     loads.told("e", "m", 2, 10.0)
     assert loads.is_loading("e", "m", 10.5)
@@ -14,31 +14,31 @@
     assert not loads.is_loading("e", "m", 10.8)
 
 
-def test_an_engine_whose_load_should_be_over_is_tried_although_nobody_has_listed_that():
+def test_a_load_that_is_not_listed_as_done_ends_after_its_typical_time():
     loads = EngineLoads()
     loads.told("e", "m", 2, 10.0)
-    # The same word once more, with the next order's entry, begins nothing anew.
+    # A repeated report of the same order does not restart the load.
     loads.told("e", "m", 2, 10.9)
-    assert not loads.is_loading("e", "m", 10.0 + FIRST_LOAD_SECONDS)
+    assert not loads.is_loading("e", "m", 10.0 + INITIAL_LOAD_SECONDS)
     loads.told("e", "m", 3, 12.0)
     assert loads.is_loading("e", "m", 12.1)
 
 
-def after_loads(*lasted_seconds: float) -> float:
+def typical_seconds_after(*durations_seconds: float) -> float:
     loads = EngineLoads()
-    for number, seconds in enumerate(lasted_seconds):
+    for number, seconds in enumerate(durations_seconds):
         loads.told("e", "m", number, 10.0 * number)
         loads.listed("e", {"m": number}, 10.0 * number + seconds)
-    return loads.usual_seconds
+    return loads.typical_load_seconds
 
 
-def test_the_time_of_a_load_is_learnt_the_shortest_first():
-    assert after_loads(0.5, 0.7) < 0.6
-    assert 2.0 < after_loads(*[2.5] * 12) <= 2.5
-    assert after_loads(MAX_LOAD_SECONDS + 1.0) == FIRST_LOAD_SECONDS
+def test_the_typical_time_follows_short_loads_at_once_and_long_ones_slowly():
+    assert typical_seconds_after(0.5, 0.7) < 0.6
+    assert 2.0 < typical_seconds_after(*[2.5] * 12) <= 2.5
+    assert typical_seconds_after(MAX_LOAD_SECONDS + 1.0) == INITIAL_LOAD_SECONDS
 
 
-def test_an_engine_that_is_gone_is_forgotten():
+def test_an_engine_that_is_gone_is_not_loading():
     loads = EngineLoads()
     loads.told("e", "m", 2, 10.0)
     loads.gone("e")
--- a/rackswitch/weights/tests/test_rollout.py
+++ b/rackswitch/weights/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Roll-outs converge whatever becomes of orders, and callers keep an allowed version."""
+"""Guards against roll-outs that don't converge, and callers left without an allowed version."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 class Engines:
-    """Engines that may lose, fail or carry out orders late."""
+    """Engines that lose some orders, fail some and execute others late."""
 
     def __init__(self, count, rng):
         self.rng = rng
@@ -25,7 +25,7 @@
     def views(self):
         return [EngineView(name, v, name in self.loading) for name, v in self.version.items()]
 
-    def take(self, order, now_seconds):
+    def receive_order(self, order, now_seconds):
         """Return False if the order got lost."""
         if self.rng.random() < 0.1:
             return False
@@ -33,8 +33,8 @@
         return True
 
     def advance(self, now_seconds, state):
-        for name, (done_seconds, version) in list(self.loading.items()):
-            if now_seconds < done_seconds:
+        for name, (done_at_seconds, version) in list(self.loading.items()):
+            if now_seconds < done_at_seconds:
                 continue
             del self.loading[name]
             failed = self.rng.random() < 0.15
@@ -42,8 +42,8 @@
             state.ended(name, not failed, now_seconds)
 
 
-def roll_out(seed, rules, versions, late_orders=0):
-    """Return the engines after a series of desired versions, checking the rules always."""
+def roll_out(seed, rules, versions, late_version=0):
+    """Return the engines after a series of desired versions; checks the limit of loads."""
     rng = random.Random(seed)
     engines = Engines(7, rng)
     state = RolloutState()
@@ -55,16 +55,16 @@
             orders = plan_load_orders(desired, 0.34, engines.views(), rules, state, now_seconds)
             for order in orders:
                 state.ordered(order)
-                if not engines.take(order, now_seconds):
+                if not engines.receive_order(order, now_seconds):
                     state.ended(order.engine, False, now_seconds)
-            if late_orders and rng.random() < 0.05:
-                # An order of a paused former holder, at an engine that ignores fencing.
-                late = rng.choice(list(engines.version))
-                if late not in engines.loading:
-                    engines.loading[late] = (now_seconds + 1.0, late_orders)
-                late_orders = late_orders if rng.random() < 0.7 else 0
+            if late_version and rng.random() < 0.05:
+                # A former holder sends an outdated order; engines don't check fencing numbers.
+                engine_name = rng.choice(list(engines.version))
+                if engine_name not in engines.loading:
+                    engines.loading[engine_name] = (now_seconds + 1.0, late_version)
+                late_version = late_version if rng.random() < 0.7 else 0
             assert len(engines.loading) <= 3
-            if all(v == desired for v in engines.version.values()) and not late_orders:
+            if all(v == desired for v in engines.version.values()) and not late_version:
                 break
     return engines
 
@@ -76,12 +76,12 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_late_orders_of_a_former_holder_are_set_right(seed):
-    engines = roll_out(seed, [], [3], late_orders=2)
+def test_late_orders_of_a_former_holder_are_corrected(seed):
+    engines = roll_out(seed, [], [3], late_version=2)
     assert set(engines.version.values()) == {3}
 
 
-def test_the_last_engine_of_an_allowed_version_stays():
+def test_the_last_engine_of_an_allowed_version_keeps_it():
     rules = [RouteChoice(serves="m", newest_version=1)]
     views = [EngineView(f"e{n}", 1, False) for n in range(3)]
     state = RolloutState()
@@ -93,12 +93,12 @@
     assert sorted(version.values()) == [1, 2, 2]
 
 
-def test_one_edit_rolls_back():
+def test_a_pinned_version_replaces_the_latest_one():
     assert desired_version(ModelRow(name="m"), 9) == 9
     assert desired_version(ModelRow(name="m", pinned_version=7), 9) == 7
 
 
-def test_partitions_are_even():
+def test_engines_are_spread_evenly_over_partitions():
     counts = [0] * 8
     for number in range(600):
         counts[partition_of(f"engine-{number}", 8)] += 1
