--- a/rackswitch/limits/__init__.py
+++ b/rackswitch/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits that hold across daemons without a call per request."""
+"""Limits across daemons that need no remote call per request."""
 
 from rackswitch.limits.buckets import *  # noqa: F403
 from rackswitch.limits.buckets import __all__ as _buckets_all
--- a/rackswitch/limits/buckets.py
+++ b/rackswitch/limits/buckets.py
@@ -1,4 +1,4 @@
-"""Rate and concurrency limits on one daemon, over its share."""
+"""Rate and concurrency limits on one daemon, enforced on its share of the global limit."""
 
 from dataclasses import dataclass
 
@@ -22,7 +22,7 @@
 
     book: ShareLedger
     tokens: float = 0.0
-    filled_at_seconds: float | None = None
+    refilled_at_seconds: float | None = None
     demand_per_second: float = 0.0
     last_demand_seconds: float = 0.0
 
@@ -32,64 +32,66 @@
         Returns
         -------
         float or None
-            None if the request may go on, else the time (monotonic seconds) at which
-            a token is due.
+            None if the request is admitted, else the time (monotonic seconds) at which
+            a token will be available.
         """
-        self._note_demand(now_seconds)
+        self._record_demand(now_seconds)
         rate = self.book.available_units(now_seconds)
         capacity = max(1.0, rate * BURST_SECONDS)
-        if self.filled_at_seconds is None:
-            # A new bucket is full: a daemon that starts may exceed its share by one burst.
+        if self.refilled_at_seconds is None:
+            # A new bucket is full, so a starting daemon may exceed its share by one burst.
             self.tokens = capacity
         else:
-            earned = (now_seconds - self.filled_at_seconds) * rate
-            self.tokens = min(capacity, self.tokens + earned)
-        self.filled_at_seconds = now_seconds
+            refilled_tokens = (now_seconds - self.refilled_at_seconds) * rate
+            self.tokens = min(capacity, self.tokens + refilled_tokens)
+        self.refilled_at_seconds = now_seconds
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return None
         return now_seconds + (1.0 - self.tokens) / max(rate, 1e-3)
 
     def missing_units(self, now_seconds: float) -> float:
-        """Return how much more rate this daemon's demand could use."""
+        """Return the rate that this daemon's demand needs beyond its share."""
         return max(0.0, self.demand(now_seconds) * 1.1 - self.book.available_units(now_seconds))
 
     def demand(self, now_seconds: float) -> float:
         """Return the smoothed demand in requests per second."""
-        return self.demand_per_second * self._decay(now_seconds)
+        return self.demand_per_second * self._decay_factor(now_seconds)
 
-    def _note_demand(self, now_seconds: float) -> None:
+    def _record_demand(self, now_seconds: float) -> None:
         self.demand_per_second = self.demand(now_seconds) + 1.0 / DEMAND_SMOOTHING_SECONDS
         self.last_demand_seconds = now_seconds
 
-    def _decay(self, now_seconds: float) -> float:
+    def _decay_factor(self, now_seconds: float) -> float:
         elapsed_seconds = now_seconds - self.last_demand_seconds
         return float(2.718281828 ** (-elapsed_seconds / DEMAND_SMOOTHING_SECONDS))
 
 
 @dataclass(slots=True)
 class ConcurrencyLimit:
-    """Requests in progress at once, up to this daemon's share of a global number."""
+    """A limit on requests in progress: this daemon's share of a global limit."""
 
     book: ShareLedger
     in_progress: int = 0
-    refused: int = 0
+    refused_count: int = 0
 
     def try_enter(self, now_seconds: float) -> bool:
-        """Count a request in if there is room."""
-        room = self.in_progress + 1 <= self.book.available_units(now_seconds) + UNITS_TOLERANCE
-        if not room:
-            self.refused += 1
+        """Add a request in progress, if the limit allows it."""
+        has_capacity = (
+            self.in_progress + 1 <= self.book.available_units(now_seconds) + UNITS_TOLERANCE
+        )
+        if not has_capacity:
+            self.refused_count += 1
             return False
         self.in_progress += 1
         return True
 
     def leave(self) -> None:
-        """Count a request out."""
+        """Remove a request in progress."""
         self.in_progress -= 1
 
     def missing_units(self, now_seconds: float) -> float:
-        """Return how many more places recent refusals could have used."""
-        missing = float(self.refused)
-        self.refused = 0
+        """Return the number of requests refused since the last call."""
+        missing = float(self.refused_count)
+        self.refused_count = 0
         return missing
--- a/rackswitch/limits/shares.py
+++ b/rackswitch/limits/shares.py
@@ -1,14 +1,13 @@
-"""Shares of a limit: a base part for each daemon, and loans between them.
-
-A limit is divided into `daemon_slots` equal base parts. A daemon that needs
-more announces it on its heartbeats; one that has spare lends to it. The
-lender gives its part up before the loan is sent. The borrower counts the
-loan's life from its own announcement that the loan answers, which lies before
-the loan was made; the lender counts the same life from the making, plus a
-margin. So a loan always ends first at the borrower, however late a message is
-or however long a process was paused, and no clocks are compared. The parts in
-use never sum to more than the limit; a lost loan wastes its units for the
-length of one loan.
+"""Shares of a limit: equal base shares of the daemons, and loans between daemons.
+
+A limit is divided into `daemon_slots` equal base shares. A daemon that needs
+more units announces this in its heartbeats, and a daemon with unused units lends
+some of them. The lender stops using the units before it sends the loan. The
+borrower counts the loan's lifetime from its own announcement, which precedes the
+loan; the lender counts the same lifetime from the loan, plus a margin. So a loan
+always ends at the borrower first, even if messages are late or a process was
+paused, and no clocks are compared. The shares in use never sum to more than the
+limit. If the message of a loan is lost, its units are unused until the loan ends.
 """
 
 from dataclasses import dataclass, field
@@ -19,8 +18,8 @@
 
 LOAN_LIFE_SECONDS = 6.0
 LOAN_MARGIN_SECONDS = 0.5
-KEEP_SHARE = 0.05
-"""Part of its base that a daemon never lends, for its own next requests."""
+RESERVED_SHARE = 0.05
+"""Part of its base share that a daemon never lends, for its own next requests."""
 
 UNITS_TOLERANCE = 1e-9
 
@@ -36,74 +35,77 @@
 
 @dataclass(slots=True)
 class ShareLedger:
-    """One daemon's part of one limit, in the limit's own unit.
+    """One daemon's share of one limit, in the unit of the limit.
 
     Attributes
     ----------
     base_units : float
-        This daemon's part before loans: limit / daemon_slots.
+        This daemon's share without loans: limit / daemon_slots.
     """
 
     base_units: float
     lent: list[LentShare] = field(default_factory=list)
     borrowed: dict[tuple[str, int], LentShare] = field(default_factory=dict)
     announced_at_seconds: dict[int, float] = field(default_factory=dict)
-    _next_loan: int = 1
+    _next_loan_id: int = 1
 
     def available_units(self, now_seconds: float) -> float:
-        """Return the units this daemon may use now."""
-        self._drop_ended(now_seconds)
+        """Return the units that this daemon may use now."""
+        self._remove_expired(now_seconds)
         lent_units = sum(loan.units for loan in self.lent)
         borrowed_units = sum(loan.units for loan in self.borrowed.values())
         return max(0.0, self.base_units - lent_units) + borrowed_units
 
     def lend(self, wanted_units: float, used_units: float, now_seconds: float) -> LentShare | None:
-        """Give up spare base units for the time of one loan.
+        """Lend unused base units for the lifetime of one loan.
 
         Parameters
         ----------
         wanted_units : float
-            What the borrower misses.
+            Units that the borrower needs.
         used_units : float
-            What this daemon's own demand needs.
+            Units that this daemon's own demand needs.
         now_seconds : float
             Monotonic clock.
 
         Returns
         -------
         LentShare or None
-            The loan as the lender counts it; the borrower's copy ends earlier by the
-            margin. None if there is nothing to spare.
+            The loan with the lender's deadline; the borrower's is earlier, by at least the
+            margin. None if there are no unused units.
         """
-        self._drop_ended(now_seconds)
+        self._remove_expired(now_seconds)
         lent_units = sum(loan.units for loan in self.lent)
-        kept_units = max(self.base_units * KEEP_SHARE, used_units)
-        units = min(wanted_units, self.base_units - lent_units - kept_units)
+        reserved_units = max(self.base_units * RESERVED_SHARE, used_units)
+        units = min(wanted_units, self.base_units - lent_units - reserved_units)
         if units <= UNITS_TOLERANCE:
             return None
         deadline_seconds = now_seconds + LOAN_LIFE_SECONDS + LOAN_MARGIN_SECONDS
-        loan = LentShare(self._next_loan, units, deadline_seconds)
-        self._next_loan += 1
+        loan = LentShare(self._next_loan_id, units, deadline_seconds)
+        self._next_loan_id += 1
         self.lent.append(loan)
-        total = sum(each.units for each in self.lent)
-        check_invariant(total <= self.base_units + UNITS_TOLERANCE, "lends only its own base")
+        total_lent_units = sum(lent_loan.units for lent_loan in self.lent)
+        check_invariant(
+            total_lent_units <= self.base_units + UNITS_TOLERANCE,
+            "a daemon lends at most its base units",
+        )
         return loan
 
     def announce(self, sequence: int, now_seconds: float) -> None:
-        """Note that this daemon announces, with a number of its own, that it misses units."""
+        """Record that this daemon announces a need for units, with its own sequence number."""
         self.announced_at_seconds[sequence] = now_seconds
 
     def borrow(
         self, lender: str, loan_id: int, units: float, sequence: int, now_seconds: float
     ) -> bool:
-        """Take a loan that answers an announcement; a repeated message counts once.
+        """Accept a loan that answers an announcement; a repeated message counts once.
 
         Returns
         -------
         bool
-            False if the announcement is not known or too old.
+            False if the announcement is unknown or too old.
         """
-        self._drop_ended(now_seconds)
+        self._remove_expired(now_seconds)
         announced_at_seconds = self.announced_at_seconds.get(sequence)
         if announced_at_seconds is None:
             return False
@@ -115,14 +117,14 @@
         return True
 
     def resize(self, base_units: float) -> None:
-        """Follow an edit of the limit; what is lent comes back as the loans end."""
+        """Set the base share after a change of the limit; loans stay until they end."""
         self.base_units = base_units
 
-    def _drop_ended(self, now_seconds: float) -> None:
+    def _remove_expired(self, now_seconds: float) -> None:
         self.lent = [loan for loan in self.lent if now_seconds < loan.deadline_seconds]
         for key, loan in list(self.borrowed.items()):
             if now_seconds >= loan.deadline_seconds:
                 del self.borrowed[key]
-        for sequence, at_seconds in list(self.announced_at_seconds.items()):
-            if now_seconds >= at_seconds + LOAN_LIFE_SECONDS:
+        for sequence, announced_at_seconds in list(self.announced_at_seconds.items()):
+            if now_seconds >= announced_at_seconds + LOAN_LIFE_SECONDS:
                 del self.announced_at_seconds[sequence]
--- a/rackswitch/tenants/__init__.py
+++ b/rackswitch/tenants/__init__.py
@@ -1,14 +1,14 @@
-"""Tenants: whose key a request carries, and what the table allows its holder."""
+"""Tenants: identifies a caller by the key of its request."""
 
 from rackswitch.tenants.callers import ANONYMOUS, Caller, chosen_identity
-from rackswitch.tenants.index import FormerKey, TenantIndex, index_tenants
+from rackswitch.tenants.index import RevokedKey, TenantIndex, index_tenants
 from rackswitch.tenants.keys import KeyFault, bearer_key, key_digest
 
 __all__ = [
     "ANONYMOUS",
     "Caller",
-    "FormerKey",
     "KeyFault",
+    "RevokedKey",
     "TenantIndex",
     "bearer_key",
     "chosen_identity",
--- a/rackswitch/tenants/callers.py
+++ b/rackswitch/tenants/callers.py
@@ -1,27 +1,27 @@
-"""Who sent a request, as it was decided once when the request came."""
+"""The caller of a request, identified once when the request arrives."""
 
 from dataclasses import dataclass
 
 __all__ = ["ANONYMOUS", "Caller", "chosen_identity"]
 
 JOB_SEPARATOR = "\n"
-"""Between a tenant and its own identity of a job. Neither a header nor a path can hold a line
-break, so that nothing a caller sends can stand for another tenant's job."""
+"""Separates the tenant from the tenant's identity of a job. Headers and paths cannot contain a line
+break, so no caller can send the identity of another tenant's job."""
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """The sender of a request.
+    """The caller of a request.
 
     Attributes
     ----------
     tenant : str
-        The tenant that held the request's key; empty where no key is asked for.
+        The tenant that held the request's key; empty if no key is required.
     caller_class : int or None
-        Rank of the tenant's requests, 0 first; None to go by the route's.
+        Rank of the tenant's requests, 0 first; None to use the route's rank.
     keys_in_force : bool
-        Whether the table has tenants. Headers that name a key or a tenant are then this
-        system's own affair, and nothing of them is passed on as the caller sent it.
+        Whether the table has tenants. If so, headers with a key or a tenant's name are not
+        forwarded as the caller sent them.
     """
 
     tenant: str = ""
@@ -29,22 +29,22 @@
     keys_in_force: bool = False
 
     def rank(self, route_class: int) -> int:
-        """Return the rank of a request on a route: a tenant's own goes before the route's."""
+        """Return the rank of a request on a route: the tenant's rank, or else the route's."""
         return route_class if self.caller_class is None else self.caller_class
 
     def job_identity(self, identity: str) -> str:
-        """Return the identity by which a job of this caller is known inside the fleet.
+        """Return the fleet-wide identity of a job of this caller.
 
-        Each tenant has identities of its own: a job of another tenant is not found, whatever is
-        asked, and two tenants may choose the same one.
+        Each tenant has its own namespace: a caller cannot find the jobs of another tenant, and
+        two tenants may use the same identity.
         """
         return f"{self.tenant}{JOB_SEPARATOR}{identity}" if self.tenant else identity
 
 
 def chosen_identity(job_id: str) -> str:
-    """Return a job's identity as its tenant chose it: what `Caller.job_identity` was given."""
+    """Return the identity that a tenant gave to a job; reverses `Caller.job_identity`."""
     return job_id.rpartition(JOB_SEPARATOR)[2]
 
 
 ANONYMOUS = Caller()
-"""The sender where the table has no tenants."""
+"""The caller if the table has no tenants."""
--- a/rackswitch/tenants/index.py
+++ b/rackswitch/tenants/index.py
@@ -1,4 +1,4 @@
-"""The tenants of one table by their keys, and the keys that were taken away lately."""
+"""Index of a table's tenants by key, with the recently revoked keys."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -7,24 +7,23 @@
 from rackswitch.tenants.callers import ANONYMOUS, Caller
 from rackswitch.tenants.keys import KeyFault, bearer_key, key_digest
 
-__all__ = ["FormerKey", "TenantIndex", "index_tenants"]
+__all__ = ["RevokedKey", "TenantIndex", "index_tenants"]
 
-MAX_FORMER_KEYS = 10_000
-"""Keys taken away that are remembered, to tell why a caller is refused: some 3 MB at most, four
-keys an edit at 2,500 edits a day."""
+MAX_REVOKED_KEYS = 10_000
+"""Maximum number of revoked keys that are kept to report why a caller is refused."""
 
-DIGEST_CHARACTERS_TOLD = 12
-"""How much of a digest a refusal's log line tells: enough to tell the keys of a table apart."""
+LOGGED_DIGEST_CHARACTERS = 12
+"""Length of the digest's prefix in the log line of a refusal."""
 
 
 @dataclass(frozen=True, slots=True)
-class FormerKey:
-    """A key that a table had and a later one has not.
+class RevokedKey:
+    """A key that an earlier table had and a later one doesn't have.
 
     Attributes
     ----------
     revision : int
-        Of the first table without it.
+        Revision of the first table without the key.
     """
 
     tenant: str
@@ -33,23 +32,23 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantIndex:
-    """Who holds which key, by digest; looking one up takes the same time for any number.
+    """The holders of keys, by digest.
 
     Attributes
     ----------
-    in_force : bool
-        Whether the table has tenants. Without any, nobody is asked for a key.
-    former : dict of str to FormerKey
-        Keys that were taken away while this process ran, the latest last.
+    has_tenants : bool
+        Whether the table has tenants; if not, no key is required.
+    revoked : dict of str to RevokedKey
+        Keys that were revoked while this process ran, the latest last.
     """
 
     by_digest: dict[str, TenantRow] = field(default_factory=dict)
-    in_force: bool = False
-    former: dict[str, FormerKey] = field(default_factory=dict)
+    has_tenants: bool = False
+    revoked: dict[str, RevokedKey] = field(default_factory=dict)
 
     def identify(self, authorization: Iterable[str]) -> Caller | KeyFault:
-        """Return who holds the key in a request's ``Authorization`` headers, or why nobody does."""
-        if not self.in_force:
+        """Return the caller with the key in the ``Authorization`` headers, or the key's fault."""
+        if not self.has_tenants:
             return ANONYMOUS
         key = bearer_key(tuple(authorization))
         if isinstance(key, KeyFault):
@@ -57,24 +56,24 @@
         digest = key_digest(key)
         row = self.by_digest.get(digest)
         if row is None:
-            return self._unknown(digest)
+            return self._unknown_key_fault(digest)
         return Caller(row.name, row.caller_class, keys_in_force=True)
 
     def anybody(self) -> Caller:
-        """Return the caller of a route that asks nobody for a key."""
-        return Caller(keys_in_force=self.in_force)
+        """Return the caller of a route that requires no key."""
+        return Caller(keys_in_force=self.has_tenants)
 
     def of_tenant(self, tenant: str) -> Caller:
-        """Return a tenant as the owner of work that it submitted earlier, whatever its keys."""
-        return Caller(tenant, keys_in_force=self.in_force or bool(tenant))
+        """Return the caller for work that a tenant submitted earlier, whatever its keys are now."""
+        return Caller(tenant, keys_in_force=self.has_tenants or bool(tenant))
 
-    def _unknown(self, digest: str) -> KeyFault:
-        told = digest[:DIGEST_CHARACTERS_TOLD]
-        former = self.former.get(digest)
-        if former is None:
-            return KeyFault(f"key {told} is not known", may_be_new=True)
-        taken_away = f"was taken away with table {former.revision}"
-        return KeyFault(f"key {told} of {former.tenant} {taken_away}")
+    def _unknown_key_fault(self, digest: str) -> KeyFault:
+        digest_prefix = digest[:LOGGED_DIGEST_CHARACTERS]
+        revoked = self.revoked.get(digest)
+        if revoked is None:
+            return KeyFault(f"key {digest_prefix} is not known", may_be_new=True)
+        reason = f"was taken away with table {revoked.revision}"
+        return KeyFault(f"key {digest_prefix} of {revoked.tenant} {reason}")
 
 
 def index_tenants(document: TableDocument, before: TenantIndex) -> TenantIndex:
@@ -85,14 +84,18 @@
     document : TableDocument
         The table.
     before : TenantIndex
-        The index of the table that was in force before it.
+        The index of the previous table.
     """
     rows = [stored.row for stored in document.rows.values() if isinstance(stored.row, TenantRow)]
     by_digest = {digest: row for row in rows for digest in row.key_sha256}
-    former = {key: what for key, what in before.former.items() if key not in by_digest}
+    revoked = {
+        digest: revoked_key
+        for digest, revoked_key in before.revoked.items()
+        if digest not in by_digest
+    }
     for digest, row in before.by_digest.items():
         if digest not in by_digest:
-            former[digest] = FormerKey(row.name, document.revision)
-    for digest in list(former)[: max(0, len(former) - MAX_FORMER_KEYS)]:
-        del former[digest]
-    return TenantIndex(by_digest, bool(rows), former)
+            revoked[digest] = RevokedKey(row.name, document.revision)
+    for digest in list(revoked)[: max(0, len(revoked) - MAX_REVOKED_KEYS)]:
+        del revoked[digest]
+    return TenantIndex(by_digest, bool(rows), revoked)
