--- a/rackswitch/spread/choice.py
+++ b/rackswitch/spread/choice.py
@@ -1,4 +1,4 @@
-"""Selects the daemon whose replicas are followed, or a watch on the key-value service."""
+"""Decides which daemon to follow, and when to watch the key-value service directly."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
--- a/rackswitch/weights/engine_loads.py
+++ b/rackswitch/weights/engine_loads.py
@@ -12,7 +12,7 @@
 """Initial estimate of a load's duration, until the end of a load was seen."""
 
 MAX_LOAD_SECONDS = 4.0
-"""A load that seems to last longer has failed, or its end was not listed."""
+"""Longer durations are ignored: the load failed, or its end was not listed."""
 
 LONGER_LOAD_WEIGHT = 0.2
 """Weight of a load that took longer than estimated. The end of a load is seen with a delay of up
--- a/rackswitch/weights/rollout.py
+++ b/rackswitch/weights/rollout.py
@@ -1,4 +1,4 @@
-"""Plans which engines to order to load which version.
+"""Plans the orders that make a partition's engines load a version.
 
 Each plan starts from the versions that the engines report, so it converges even
 if earlier orders were lost, late, sent by a former holder, or failed halfway.
