--- a/rackswitch/gateway/store/control_entries.py
+++ b/rackswitch/gateway/store/control_entries.py
@@ -50,7 +50,7 @@
         "_context",
         "_duty_turns",
         "_jobs",
-        "_keeper",
+        "_role_manager",
         "_members",
         "_members_changed",
         "_quarantine",
@@ -64,14 +64,14 @@
         jobs: JobManager,
         versions: VersionManager,
         roles: RoleEntries,
-        keeper: RoleManager,
+        role_manager: RoleManager,
         duty_turns: TurnManager,
         quarantine: QuarantineManager,
     ):
         self._quarantine = quarantine
         self._duty_turns = duty_turns
         self._roles = roles
-        self._keeper = keeper
+        self._role_manager = role_manager
         self._context = context
         self._jobs = jobs
         self._versions = versions
@@ -80,7 +80,7 @@
 
     def handlers(self) -> ReplicaHandlers:
         """Return what takes in the entries."""
-        return ReplicaHandlers(self._put, self._deleted, on_told=self._tell_members)
+        return ReplicaHandlers(self._put, self._deleted, on_batch_end=self._update_membership)
 
     def _put(self, entry: KvEntry) -> None:
         """Hand an entry on; one that nobody of this fleet wrote changes nothing.
@@ -88,15 +88,15 @@
         Raised here, it would end the daemon: following the service is a duty.
         """
         try:
-            self._hand_on(entry)
+            self._dispatch(entry)
         except msgspec.DecodeError as error:
             self._context.log.write(
                 EntryUnreadable(key=entry.key, revision=entry.mod_revision, detail=str(error))
             )
 
-    def _hand_on(self, entry: KvEntry) -> None:
+    def _dispatch(self, entry: KvEntry) -> None:
         if entry.key.startswith(MEMBERS_PREFIX):
-            self._take_member(entry)
+            self._put_member(entry)
         elif entry.key.startswith(JOBS_PREFIX):
             self._jobs.marker_put(entry)
         elif entry.key.startswith(OWNERS_PREFIX):
@@ -111,7 +111,7 @@
             note_record(self._duty_turns, entry)
         elif entry.key.startswith(ROLES_PREFIX):
             self._roles.put(entry.key.removeprefix(ROLES_PREFIX))
-            self._context.daemon.spawn(self._keeper.end_predecessors_lease(entry.value))
+            self._context.daemon.spawn(self._role_manager.end_predecessors_lease(entry.value))
 
     def _deleted(self, key: str) -> None:
         if key.startswith(MEMBERS_PREFIX):
@@ -128,14 +128,14 @@
         elif key.startswith(ROLES_PREFIX):
             self._roles.deleted(key.removeprefix(ROLES_PREFIX))
 
-    def _take_member(self, entry: KvEntry) -> None:
+    def _put_member(self, entry: KvEntry) -> None:
         name = entry.key.removeprefix(MEMBERS_PREFIX)
         member = decode_member(entry.value)
         self._members[name] = vm_entry(name, member)
         self._members_changed = True
         self._context.member_entries[name] = member
 
-    def _tell_members(self) -> None:
+    def _update_membership(self) -> None:
         """Tell of the members once, whatever number of entries came together.
 
         A fleet's whole list taken in again for each of 330 entries of a first reading is some
--- a/rackswitch/gateway/store/lease_renewal.py
+++ b/rackswitch/gateway/store/lease_renewal.py
@@ -5,30 +5,30 @@
 from rackswitch.leases import SessionLease
 from rackswitch.telemetry.events import SessionLost
 
-__all__ = ["note_unanswered", "renew_lease"]
+__all__ = ["record_lease_failure", "renew_lease"]
 
 
 async def renew_lease(context: GatewayContext, lease: SessionLease) -> bool:
     """Renew a lease once; return False if the service no longer knows it."""
-    asked_at_seconds = context.now_seconds()
+    requested_at_seconds = context.now_seconds()
     lease_id = lease.lease_id or 0
-    kept = await context.kv.keep_lease(lease_id)
-    if isinstance(kept, KvUnavailable):
-        note_unanswered(context, lease, kept)
+    renewal = await context.kv.keep_lease(lease_id)
+    if isinstance(renewal, KvUnavailable):
+        record_lease_failure(context, lease, renewal)
         return True
     context.contact.answered(context.now_seconds())
     if lease_id != (lease.lease_id or 0):
         # Another call has shown meanwhile that this one was over.
         return True
-    if kept:
-        lease.renewed(asked_at_seconds)
+    if renewal:
+        lease.renewed(requested_at_seconds)
         return True
     lease.lost()
     context.log.write(SessionLost(lease=lease_id))
     return False
 
 
-def note_unanswered(
+def record_lease_failure(
     context: GatewayContext, lease: SessionLease, failure: KvUnavailable | None
 ) -> None:
     """Note that a call about a lease failed; None if the service answered and did not do it."""
--- a/rackswitch/gateway/store/peer_replicas.py
+++ b/rackswitch/gateway/store/peer_follower.py
@@ -6,8 +6,8 @@
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.engine_paces import EnginePaces
-from rackswitch.gateway.store.replica_messages import changes_in
-from rackswitch.gateway.store.replica_server import paces_to_tell
+from rackswitch.gateway.store.replica_messages import decode_changes
+from rackswitch.gateway.store.replica_server import paces_to_send
 from rackswitch.gateway.store.replica_set import ReplicaSet
 from rackswitch.gateway.store.service_watch import ServiceWatch
 from rackswitch.peers import gateway_pb2 as pb
@@ -25,15 +25,15 @@
 FOLLOW_SLACK_SECONDS = 0.3
 """How much later than that an answer may come before the other daemon counts as silent."""
 
-PAUSE_SECONDS = 0.1
+POLL_INTERVAL_SECONDS = 0.1
 """Between looks of a daemon that has nobody to ask now: as long as a daemon that is not ready
 is left alone."""
 
-SETTLING_SECONDS = 1.0
+RECOVERY_WINDOW_SECONDS = 1.0
 """For so long after the service's return, daemons whose copies are still old are asked again after
 a short pause only; otherwise they are left alone for as long as this."""
 
-START_LOOKS = 5
+STARTUP_MEMBER_READS = 5
 """Readings of the members, a tenth of a call each, by which a daemon looks for others at its
 start before it takes itself for the only one."""
 
@@ -57,117 +57,117 @@
 
     __slots__ = (
         "_context",
-        "_copies",
-        "_live",
+        "_replicas",
+        "_live_zones",
         "_members_prefix",
         "_paces",
-        "_settling_since_seconds",
+        "_recovered_at_seconds",
         "_tree",
         "_watch",
-        "choice",
-        "looked",
+        "selector",
+        "members_read",
     )
 
     def __init__(
         self,
         context: GatewayContext,
-        copies: ReplicaSet,
+        replicas: ReplicaSet,
         watch: ServiceWatch,
         paces: EnginePaces,
         members_prefix: str,
     ):
         self._context = context
-        self._copies = copies
+        self._replicas = replicas
         self._watch = watch
         self._paces = paces
         self._members_prefix = members_prefix
-        self._live: list[tuple[str, str]] = []
+        self._live_zones: list[tuple[str, str]] = []
         self._tree = DistributionTree(())
-        self._settling_since_seconds = float("-inf")
-        self.choice = SourceSelector(float("-inf"))
-        self.looked = asyncio.Event()
+        self._recovered_at_seconds = float("-inf")
+        self.selector = SourceSelector(float("-inf"))
+        self.members_read = asyncio.Event()
 
     async def run(self) -> None:
         """Follow or watch until cancelled."""
-        await self._look_around()
-        self.choice.lost_since_seconds = self._context.now_seconds()
+        await self._read_initial_state()
+        self.selector.lost_since_seconds = self._context.now_seconds()
         while True:
-            await self._step()
+            await self._follow_once()
 
-    async def _look_around(self) -> None:
+    async def _read_initial_state(self) -> None:
         """Learn how things were lately, from readings that may be old: they cost a tenth.
 
         So a daemon that comes back serves callers at once. What it follows then tells what has
         changed since.
         """
-        others = [prefix for prefix in self._copies.by_prefix if prefix != self._members_prefix]
+        others = [prefix for prefix in self._replicas.by_prefix if prefix != self._members_prefix]
         await asyncio.gather(
-            self._look_for_members(), *(self._read_old(prefix) for prefix in others)
+            self._discover_members(), *(self._read_stale(prefix) for prefix in others)
         )
 
-    async def _look_for_members(self) -> None:
+    async def _discover_members(self) -> None:
         members = self._context.daemon.membership
-        for _ in range(START_LOOKS):
-            await self._read_old(self._members_prefix)
-            self.looked.set()
+        for _ in range(STARTUP_MEMBER_READS):
+            await self._read_stale(self._members_prefix)
+            self.members_read.set()
             if len(members.live_zones()) > 1:
                 return
-            await asyncio.sleep(PAUSE_SECONDS * (0.5 + self._context.rng.random()))
+            await asyncio.sleep(POLL_INTERVAL_SECONDS * (0.5 + self._context.rng.random()))
 
-    async def _read_old(self, prefix: str) -> None:
+    async def _read_stale(self, prefix: str) -> None:
         """Take in a reading of a prefix that may be old; nobody vouches for it."""
         read = await self._context.kv.read(prefix, is_prefix=True, may_be_stale=True)
         if not isinstance(read, KvUnavailable):
-            self._copies.take_reading(prefix, read.entries, read.revision)
+            self._replicas.apply_snapshot(prefix, read.entries, read.revision)
 
-    async def _step(self) -> None:
+    async def _follow_once(self) -> None:
         """Decide whom to follow now, and ask that daemon once."""
-        tree = self._present_tree()
+        tree = self._current_tree()
         own = self._context.daemon_name
         sources, level = tree.sources(own), tree.level(own)
         now_seconds = self._context.now_seconds()
-        self._note_return()
-        if self.choice.followed not in sources:
-            self.choice.stop_following(now_seconds)
-        must_watch = self.choice.must_watch(sources, level, now_seconds)
-        self._watch.switch(must_watch, for_all=not sources)
-        name = self.choice.next_source(sources, now_seconds)
+        self._retry_sources_after_outage()
+        if self.selector.followed not in sources:
+            self.selector.stop_following(now_seconds)
+        must_watch = self.selector.must_watch(sources, level, now_seconds)
+        self._watch.set_enabled(must_watch, is_root=not sources)
+        name = self.selector.next_source(sources, now_seconds)
         if name is None:
-            await self._copies.told_before(now_seconds + PAUSE_SECONDS)
+            await self._replicas.wait_for_update(now_seconds + POLL_INTERVAL_SECONDS)
         else:
-            await self.ask(name, level)
+            await self.poll_source(name, level)
 
-    def _note_return(self) -> None:
+    def _retry_sources_after_outage(self) -> None:
         """Ask all sources again at once when the service is back.
 
         After an outage for all, every daemon that waited to ask again would watch the service by
         itself meanwhile, when everything in it changes.
         """
         back_seconds = self._context.contact.back_seconds
-        if back_seconds > self._settling_since_seconds:
-            self._settling_since_seconds = back_seconds
-            self.choice.ask_all_again()
+        if back_seconds > self._recovered_at_seconds:
+            self._recovered_at_seconds = back_seconds
+            self.selector.ask_all_again()
 
-    def _present_tree(self) -> DistributionTree:
+    def _current_tree(self) -> DistributionTree:
         live = self._context.daemon.membership.live_zones()
-        if live != self._live:
-            self._live = live
+        if live != self._live_zones:
+            self._live_zones = live
             self._tree = DistributionTree(
                 TreeMember(name, zone, self._context.room_of(name)) for name, zone in live
             )
         return self._tree
 
-    async def ask(self, name: str, level: int) -> None:
+    async def poll_source(self, name: str, level: int) -> None:
         """Ask another daemon for what changed, and note how that went.
 
         One that is followed already holds the question open; a new one answers at once.
         """
         peer = self._context.daemon.membership.address(name)
         if peer is None:
-            self._cannot_follow(self.choice.failed, name, "no address")
+            self._record_follow_failure(self.selector.failed, name, "no address")
             return
-        wait_seconds = FOLLOW_WAIT_SECONDS if name == self.choice.followed else 0.0
-        asked_at_seconds = self._context.now_seconds()
+        wait_seconds = FOLLOW_WAIT_SECONDS if name == self.selector.followed else 0.0
+        requested_at_seconds = self._context.now_seconds()
         reply = await self._context.daemon.links.call(
             peer,
             lambda stub: stub.Follow,
@@ -177,65 +177,69 @@
         )
         now_seconds = self._context.now_seconds()
         if isinstance(reply, PeerUnreachable):
-            self._cannot_follow(self.choice.failed, name, reply.detail)
-        elif reply.refused or len(reply.news) < len(self._copies.by_prefix):
-            self.choice.not_ready(name, now_seconds)
-        elif self._take(reply, asked_at_seconds, now_seconds) > fresh_seconds(level):
-            self._cannot_follow(self._leave_stale, name, "not fresh")
+            self._record_follow_failure(self.selector.failed, name, reply.detail)
+        elif reply.refused or len(reply.news) < len(self._replicas.by_prefix):
+            self.selector.not_ready(name, now_seconds)
+        elif self._apply_reply(reply, requested_at_seconds, now_seconds) > fresh_seconds(level):
+            self._record_follow_failure(self._record_stale_source, name, "not fresh")
         elif reply.cut_off:
-            self._cannot_follow(self._leave_stale, name, "cut off from the service")
-        elif self.choice.succeeded(name):
+            self._record_follow_failure(self._record_stale_source, name, "cut off from the service")
+        elif self.selector.succeeded(name):
             self._context.log.write(Follows(daemon_followed=name))
 
-    def _leave_stale(self, name: str, now_seconds: float) -> None:
+    def _record_stale_source(self, name: str, now_seconds: float) -> None:
         """Leave a daemon alone that has only old word, shortly while the service is just back."""
-        if now_seconds < self._settling_since_seconds + SETTLING_SECONDS:
-            self.choice.not_ready(name, now_seconds)
+        if now_seconds < self._recovered_at_seconds + RECOVERY_WINDOW_SECONDS:
+            self.selector.not_ready(name, now_seconds)
         else:
-            self.choice.stale(name, now_seconds)
+            self.selector.stale(name, now_seconds)
 
     def _request(self, wait_seconds: float) -> pb.FollowRequest:
         positions = [
-            pb.CopyPosition(prefix=copy.prefix, revision=copy.revision)
-            for copy in self._copies.by_prefix.values()
+            pb.CopyPosition(prefix=replica.prefix, revision=replica.revision)
+            for replica in self._replicas.by_prefix.values()
         ]
         wait_ms = round(wait_seconds * 1000)
-        paces = paces_to_tell(self._context, self._paces)
+        paces = paces_to_send(self._context, self._paces)
         return pb.FollowRequest(positions=positions, wait_ms=wait_ms, paces=paces)
 
-    def _cannot_follow(self, note: Callable[[str, float], None], name: str, reason: str) -> None:
+    def _record_follow_failure(
+        self, record_failure: Callable[[str, float], None], name: str, reason: str
+    ) -> None:
         """Note with the choice that a daemon cannot be followed, and log why."""
-        note(name, self._context.now_seconds())
+        record_failure(name, self._context.now_seconds())
         self._context.log.write(CannotFollow(daemon_asked=name, reason=reason))
 
-    def _take(self, reply: pb.FollowReply, asked_at_seconds: float, now_seconds: float) -> float:
+    def _apply_reply(
+        self, reply: pb.FollowReply, requested_at_seconds: float, now_seconds: float
+    ) -> float:
         """Take in a reply; return how old (seconds) the oldest word of the service in it is.
 
         A word has also aged on its way, which took the time of the call but for that which the
         other daemon held it: without that each slow link on the tree makes it younger.
         """
-        way_seconds = max(0.0, now_seconds - asked_at_seconds - reply.held_ms / 1000)
+        transit_seconds = max(0.0, now_seconds - requested_at_seconds - reply.held_ms / 1000)
         oldest_seconds = 0.0
         for news in reply.news:
-            copy = self._copies.by_prefix.get(news.prefix)
-            if copy is None:
+            replica = self._replicas.by_prefix.get(news.prefix)
+            if replica is None:
                 continue
-            if news.revision > copy.revision:
-                self._take_news(news)
-            age_seconds = news.age_ms / 1000 + way_seconds
+            if news.revision > replica.revision:
+                self._apply_prefix_changes(news)
+            age_seconds = news.age_ms / 1000 + transit_seconds
             # The other daemon's revision may be behind this copy's for a moment, after this
             # daemon has watched the service itself; its word counts if it is fresh.
             oldest_seconds = max(oldest_seconds, age_seconds)
-            if news.revision >= copy.revision:
-                self._copies.confirm(news.prefix, now_seconds - age_seconds)
+            if news.revision >= replica.revision:
+                self._replicas.confirm(news.prefix, now_seconds - age_seconds)
         if self._context.policy.calls_through_peers:
-            self._context.contact.heard_of(now_seconds - oldest_seconds, now_seconds)
+            self._context.contact.record_peer_contact(now_seconds - oldest_seconds, now_seconds)
         self._paces.hear(reply.paces, now_seconds)
         return oldest_seconds
 
-    def _take_news(self, news: pb.CopyNews) -> None:
-        changes = changes_in(news)
+    def _apply_prefix_changes(self, news: pb.CopyNews) -> None:
+        changes = decode_changes(news)
         if news.whole:
-            self._copies.take_reading(news.prefix, changes.entries, news.revision)
+            self._replicas.apply_snapshot(news.prefix, changes.entries, news.revision)
         else:
-            self._copies.take_news(news.prefix, changes)
+            self._replicas.apply_changes(news.prefix, changes)
--- a/rackswitch/gateway/store/reachability.py
+++ b/rackswitch/gateway/store/reachability.py
@@ -33,7 +33,7 @@
     away_since_seconds: float | None = None
     back_seconds: float = float("-inf")
     outage: OutageTracker = field(default_factory=OutageTracker)
-    failed_seconds: float = float("-inf")
+    last_failure_at_seconds: float = float("-inf")
 
     @property
     def is_away(self) -> bool:
@@ -57,18 +57,18 @@
         self.back_seconds = now_seconds
         self.log.write(DependencyRegained(dependency=KEY_VALUE, away_seconds=away_seconds))
 
-    def heard_of(self, at_seconds: float, now_seconds: float) -> None:
+    def record_peer_contact(self, at_seconds: float, now_seconds: float) -> None:
         """Note that the service answered another daemon at a moment, which passes calls on.
 
         A daemon that only follows others would learn of the service's return by its next renewal
         alone, seconds later, and claim no jobs until then.
         """
-        if self.is_away and at_seconds > self.failed_seconds:
+        if self.is_away and at_seconds > self.last_failure_at_seconds:
             self.answered(now_seconds)
 
     def failed(self, now_seconds: float, detail: str) -> None:
         """Note a call without an answer."""
-        self.failed_seconds = now_seconds
+        self.last_failure_at_seconds = now_seconds
         if self.away_since_seconds is not None:
             return
         self.away_since_seconds = now_seconds
--- a/rackswitch/gateway/store/replica_messages.py
+++ b/rackswitch/gateway/store/replica_messages.py
@@ -6,14 +6,14 @@
 from rackswitch.gateway.store.replicas import PrefixReplica
 from rackswitch.peers import gateway_pb2 as pb
 
-__all__ = ["add_news", "changes_in"]
+__all__ = ["append_changes", "decode_changes"]
 
-MAX_TOLD_AGE_SECONDS = 60.0
+MAX_REPORTED_AGE_SECONDS = 60.0
 """Largest age of a copy that is told to followers: far over `FRESH_SECONDS`, and it keeps a
 copy that was never confirmed, whose age is infinite, within the field's range."""
 
 
-def changes_in(news: pb.CopyNews) -> WatchNews:
+def decode_changes(news: pb.CopyNews) -> WatchNews:
     """Return the changes that a reply tells of one copy."""
     entries = tuple(
         KvEntry(entry.key, entry.value, entry.create_revision, entry.revision)
@@ -22,16 +22,18 @@
     return WatchNews(entries, news.revision, tuple(news.deleted))
 
 
-def add_news(reply: pb.FollowReply, copy: PrefixReplica, revision: int, now_seconds: float) -> None:
+def append_changes(
+    reply: pb.FollowReply, replica: PrefixReplica, revision: int, now_seconds: float
+) -> None:
     """Add to a reply what a follower at a revision of a copy misses."""
-    age_seconds = min(MAX_TOLD_AGE_SECONDS, now_seconds - copy.confirmed_at_seconds)
+    age_seconds = min(MAX_REPORTED_AGE_SECONDS, now_seconds - replica.confirmed_at_seconds)
     news = reply.news.add(
-        prefix=copy.prefix, revision=copy.revision, age_ms=math.ceil(age_seconds * 1000)
+        prefix=replica.prefix, revision=replica.revision, age_ms=math.ceil(age_seconds * 1000)
     )
-    changes = copy.changes_since(revision)
+    changes = replica.changes_since(revision)
     if changes is None:
         return
-    news.whole = changes.whole
+    news.whole = changes.is_complete
     news.deleted.extend(changes.deleted)
     for entry in changes.entries:
         news.entries.add(
--- a/rackswitch/gateway/store/replicas.py
+++ b/rackswitch/gateway/store/replicas.py
@@ -23,7 +23,7 @@
     revision: int
     entries: tuple[KvEntry, ...]
     deleted: tuple[str, ...]
-    whole: bool
+    is_complete: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,13 +61,13 @@
         if revision < self.revision:
             return WatchNews((), self.revision)
         listed = {entry.key: entry for entry in entries}
-        put = tuple(
+        changed = tuple(
             entry
             for key, entry in listed.items()
             if key not in self.entries or self.entries[key].mod_revision != entry.mod_revision
         )
         deleted = tuple(key for key in self.entries if key not in listed)
-        news = WatchNews(put, revision, deleted)
+        news = WatchNews(changed, revision, deleted)
         self.apply(news)
         return news
 
--- a/rackswitch/gateway/store/session.py
+++ b/rackswitch/gateway/store/session.py
@@ -20,19 +20,19 @@
 
 __all__ = ["Session"]
 
-LIFE_SECONDS = 2.0
+LEASE_TTL_SECONDS = 2.0
 """Life of the lease. A job whose daemon died is taken over after it, and a step is due
 within seconds; renewing three times a life costs little."""
 
-LINGER_SECONDS = 10.0
+IDLE_HOLD_SECONDS = 10.0
 """How long the lease is kept though nothing is owned: a daemon that took a trainer's job often
 gets the next one some 4 s later, and a lease costs as much as ten renewals, 7 s of them."""
 
-NO_LEASE = 0
+NO_LEASE_ID = 0
 """Stands for no lease: the service gives none this identity."""
 
-TICK_SECONDS = 0.1
-PLANNED_END_TIMEOUT_SECONDS = 0.4
+RENEWAL_CHECK_INTERVAL_SECONDS = 0.1
+REVOKE_TIMEOUT_SECONDS = 0.4
 
 
 class Session:
@@ -50,12 +50,12 @@
 
     __slots__ = (
         "_context",
-        "_ended_predecessors",
+        "_revoked_predecessors",
         "_is_needed",
         "_needed_until_seconds",
         "_on_lost",
         "_own_leases",
-        "_taking",
+        "_acquire_lock",
         "lease",
     )
 
@@ -69,10 +69,10 @@
         self._on_lost = on_lost
         self._is_needed = is_needed
         self._needed_until_seconds = float("-inf")
-        self._taking = asyncio.Lock()
+        self._acquire_lock = asyncio.Lock()
         self._own_leases: set[int] = set()
-        self._ended_predecessors: set[int] = set()
-        self.lease = SessionLease(max(LIFE_SECONDS, context.settings.lease_least_seconds))
+        self._revoked_predecessors: set[int] = set()
+        self.lease = SessionLease(max(LEASE_TTL_SECONDS, context.settings.lease_least_seconds))
 
     @property
     def lease_id(self) -> int | None:
@@ -89,10 +89,10 @@
 
     async def hold(self) -> int | None:
         """Return the lease for something that is about to be owned; None if there is none."""
-        self._needed_until_seconds = self._context.now_seconds() + LINGER_SECONDS
-        async with self._taking:
+        self._needed_until_seconds = self._context.now_seconds() + IDLE_HOLD_SECONDS
+        async with self._acquire_lock:
             if self.lease.lease_id is None:
-                await self._take()
+                await self._acquire()
         return self.lease.lease_id
 
     def over(self, lease_id: int) -> None:
@@ -109,21 +109,21 @@
         Unlike a renewal that is due, this waits for no earlier call, which may hang until its time
         is up though the service is back.
         """
-        asked_at_seconds = self._context.now_seconds()
+        requested_at_seconds = self._context.now_seconds()
         lease_id = self.lease.lease_id
-        kept = await self._context.kv.keep_lease(lease_id or NO_LEASE)
-        self._context.contact.note(self._context.now_seconds(), kept)
-        if isinstance(kept, KvUnavailable) or lease_id is None:
+        renewal = await self._context.kv.keep_lease(lease_id or NO_LEASE_ID)
+        self._context.contact.note(self._context.now_seconds(), renewal)
+        if isinstance(renewal, KvUnavailable) or lease_id is None:
             return
-        if not kept:
+        if not renewal:
             self.over(lease_id)
         elif self.lease.lease_id == lease_id:
-            self.lease.renewed(asked_at_seconds)
+            self.lease.renewed(requested_at_seconds)
 
     async def run(self) -> None:
         """Renew the lease while it is needed."""
         while True:
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(RENEWAL_CHECK_INTERVAL_SECONDS)
             now_seconds = self._context.now_seconds()
             if self.lease.lease_id is None or not self.lease.is_due(now_seconds):
                 continue
@@ -132,7 +132,7 @@
                     self._on_lost()
             else:
                 # It runs out by itself, which costs no call.
-                self._ended(self.lease.lease_id, "not needed")
+                self._log_end(self.lease.lease_id, "not needed")
                 self.lease.lost()
 
     async def end(self) -> None:
@@ -142,36 +142,36 @@
             return
         outcome = "ended"
         try:
-            async with asyncio.timeout(PLANNED_END_TIMEOUT_SECONDS):
+            async with asyncio.timeout(REVOKE_TIMEOUT_SECONDS):
                 failure = await self._context.kv.revoke_lease(lease_id)
             if failure is not None:
                 outcome = failure.detail
         except TimeoutError:
             # The lease runs out by itself; a stop does not wait for the service.
             outcome = "no answer in time"
-        self._ended(lease_id, outcome)
+        self._log_end(lease_id, outcome)
 
     async def end_predecessors(self, lease_id: int) -> None:
         """End the lease of an earlier process of this daemon, which can no longer act.
 
         Others then take its jobs at once.
         """
-        if lease_id in self._ended_predecessors or self.is_own(lease_id):
+        if lease_id in self._revoked_predecessors or self.is_own(lease_id):
             return
-        self._ended_predecessors.add(lease_id)
+        self._revoked_predecessors.add(lease_id)
         await self._context.kv.revoke_lease(lease_id)
         self._context.log.write(PredecessorEnded(lease=lease_id))
 
-    def _ended(self, lease_id: int, outcome: str) -> None:
+    def _log_end(self, lease_id: int, outcome: str) -> None:
         self._context.log.write(SessionEnded(lease=lease_id, outcome=outcome))
 
-    async def _take(self) -> None:
-        asked_at_seconds = self._context.now_seconds()
+    async def _acquire(self) -> None:
+        requested_at_seconds = self._context.now_seconds()
         granted = await self._context.kv.grant_lease(self.lease.life_seconds)
         if not isinstance(granted, LeaseGranted):
             self._context.contact.failed(self._context.now_seconds(), granted.detail)
             return
         self._context.contact.answered(self._context.now_seconds())
         self._own_leases.add(granted.lease_id)
-        self.lease.taken(asked_at_seconds, granted.lease_id, granted.life_seconds)
+        self.lease.taken(requested_at_seconds, granted.lease_id, granted.life_seconds)
         self._context.log.write(SessionBegun(lease=granted.lease_id))
--- a/rackswitch/gateway/store/state_manager.py
+++ b/rackswitch/gateway/store/state_manager.py
@@ -28,8 +28,8 @@
 
 __all__ = ["StateManager"]
 
-SAME_ZONE_SECONDS = 0.0002
-OTHER_ZONE_SECONDS = 0.001
+SAME_ZONE_LATENCY_SECONDS = 0.0002
+OTHER_ZONE_LATENCY_SECONDS = 0.001
 """Network distances that routing starts from; the platform does not tell them."""
 
 
@@ -57,77 +57,77 @@
 
     def target_handlers(self) -> ReplicaHandlers:
         """Return what takes in the list of targets."""
-        return ReplicaHandlers(self._target_put, self._target_deleted, self._list_confirmed)
+        return ReplicaHandlers(self._target_put, self._target_deleted, self._record_list_confirmed)
 
     def _operator_put(self, entry: KvEntry) -> None:
         decoded = decode_operator_entry(entry.key, entry.value)
         if isinstance(decoded, MalformedEntry):
-            self._unreadable(entry, decoded)
+            self._log_unreadable(entry, decoded)
         elif isinstance(decoded, TableDocument):
-            self._take_table(decoded)
+            self._apply_table(decoded)
         elif isinstance(decoded, NamedVersion):
-            self._take_version(decoded)
+            self._apply_version(decoded)
         elif isinstance(decoded, RetireOrder):
-            self._context.daemon.spawn(self._answer_retire(decoded.vm))
+            self._context.daemon.spawn(self._acknowledge_retirement(decoded.vm))
 
-    def _list_confirmed(self, at_seconds: float) -> None:
+    def _record_list_confirmed(self, at_seconds: float) -> None:
         self._context.list_confirmed_at_seconds = at_seconds
 
-    def _unreadable(self, entry: KvEntry, fault: MalformedEntry) -> None:
+    def _log_unreadable(self, entry: KvEntry, fault: MalformedEntry) -> None:
         self._context.log.write(
             EntryUnreadable(key=entry.key, revision=entry.mod_revision, detail=fault.detail)
         )
 
-    def _take_table(self, document: TableDocument) -> None:
-        before = self._context.table_revision
+    def _apply_table(self, document: TableDocument) -> None:
+        previous = self._context.table_revision
         if self._context.daemon.view.offer(document):
             self._context.routes = index_routes(document)
             self._context.tenants = index_tenants(document, self._context.tenants)
-            self._take_limits()
+            self._apply_limits()
             self._context.log.write(
-                TableInForce(revision=document.revision, revision_before=before)
+                TableInForce(revision=document.revision, revision_before=previous)
             )
 
-    def _take_limits(self) -> None:
+    def _apply_limits(self) -> None:
         row = self._context.daemon.view.row(LimitsRow, LIMITS_NAME)
         if row is not None:
             limits = self._context.connection_limits
             limits.header_timeout_seconds = row.header_timeout_seconds
             limits.idle_timeout_seconds = row.idle_timeout_seconds
 
-    def _take_version(self, named: NamedVersion) -> None:
-        before = self._context.named_versions.get(named.model, 0)
-        if named.version > before:
+    def _apply_version(self, named: NamedVersion) -> None:
+        previous = self._context.named_versions.get(named.model, 0)
+        if named.version > previous:
             self._context.named_versions[named.model] = named.version
             self._context.log.write(
-                VersionNamed(model=named.model, version=named.version, version_before=before)
+                VersionNamed(model=named.model, version=named.version, version_before=previous)
             )
 
-    async def _answer_retire(self, vm: str) -> None:
+    async def _acknowledge_retirement(self, vm: str) -> None:
         """Say that a VM may be taken: nothing that must last is kept on VMs."""
         key, value = encode_retired(vm)
         read = await self._context.kv.read(key)
         if isinstance(read, KvUnavailable) or read.entries:
             return
         part = TxnPart((), (Operation(key, value),))
-        done = await self._context.kv.txn([part])
-        outcome = done.detail if isinstance(done, KvUnavailable) else "told"
+        result = await self._context.kv.txn([part])
+        outcome = result.detail if isinstance(result, KvUnavailable) else "told"
         self._context.log.write(RetireAnswered(vm=vm, outcome=outcome))
 
     def _target_put(self, entry: KvEntry) -> None:
         instance = target_instance(entry.key)
         target = decode_target(instance, entry.value)
         if isinstance(target, MalformedEntry):
-            self._unreadable(entry, target)
+            self._log_unreadable(entry, target)
             # Whatever stands there now, it is no word of a target that can be used.
             self._context.directory.disown(instance)
             return
-        before = self._context.directory.entries.get(instance)
-        self._tell_of_ends(before, target)
+        previous = self._context.directory.entries.get(instance)
+        self._report_ended_starts(previous, target)
         self._context.directory.put(target)
-        self._learn(target)
+        self._track_start(target)
         self._context.loads.listed(instance, target.versions, self._context.now_seconds())
-        if before is None or before.draining != target.draining:
+        if previous is None or previous.draining != target.draining:
             self._context.log.write(
                 TargetListed(
                     target=instance,
@@ -137,7 +137,7 @@
                 )
             )
 
-    def _tell_of_ends(self, before: ListedTarget | None, target: ListedTarget) -> None:
+    def _report_ended_starts(self, previous: ListedTarget | None, target: ListedTarget) -> None:
         """Tell of starts that cannot be there any more, now that another one is listed.
 
         Only while any target is asked after: nobody else wants to know, and looking through the
@@ -145,28 +145,28 @@
         """
         if not self._ends.inquiries.any_open:
             return
-        if before is not None and before.start != target.start:
-            self._ends.ended(before.start, EndEvidence.REPLACED)
+        if previous is not None and previous.start != target.start:
+            self._ends.ended(previous.start, EndEvidence.REPLACED)
         for other in self._context.directory.at_address(target.host, target.port):
             if other.instance != target.instance:
                 self._ends.ended(other.start, EndEvidence.REPLACED)
 
     def _target_deleted(self, key: str) -> None:
         instance = target_instance(key)
-        before = self._context.directory.entries.get(instance)
+        previous = self._context.directory.entries.get(instance)
         now_seconds = self._context.now_seconds()
         back_seconds = self._context.contact.back_seconds
         self._context.directory.remove(instance, now_seconds, back_seconds)
-        lapsed = instance in self._context.directory.lapsed
-        if not lapsed:
+        is_lapsed = instance in self._context.directory.lapsed
+        if not is_lapsed:
             self._context.loads.gone(instance)
-            if before is not None:
-                self._context.load_estimator.forget(before.start)
-            if before is not None and not before.draining:
-                self._ends.ended(before.start, EndEvidence.UNLISTED)
-        self._context.log.write(TargetGone(target=instance, still_used=lapsed))
+            if previous is not None:
+                self._context.load_estimator.forget(previous.start)
+            if previous is not None and not previous.draining:
+                self._ends.ended(previous.start, EndEvidence.UNLISTED)
+        self._context.log.write(TargetGone(target=instance, still_used=is_lapsed))
 
-    def _learn(self, listed: ListedTarget) -> None:
+    def _track_start(self, listed: ListedTarget) -> None:
         """Begin to learn of a start of a target.
 
         What was learnt of an earlier one under the same identity goes: its breaker, its load and
@@ -179,7 +179,7 @@
         if known is not None:
             self._context.load_estimator.forget(known.start)
         same_zone = listed.zone == self._context.settings.zone
-        distance_seconds = SAME_ZONE_SECONDS if same_zone else OTHER_ZONE_SECONDS
+        distance_seconds = SAME_ZONE_LATENCY_SECONDS if same_zone else OTHER_ZONE_LATENCY_SECONDS
         self._context.targets[listed.instance] = Target(
             listed.instance, listed.url, listed.zone, distance_seconds, start=listed.start
         )
--- a/rackswitch/gateway/store/store_relay.py
+++ b/rackswitch/gateway/store/store_relay.py
@@ -24,11 +24,11 @@
 
 __all__ = ["ForwardedCalls", "RelayTransport"]
 
-PEER_SLACK_SECONDS = 0.1
+PEER_TIMEOUT_MARGIN_SECONDS = 0.1
 """How much longer than the service a peer may take to pass an answer on; some zones' round
 trips of a few milliseconds, and a busy loop."""
 
-MAX_PASSED_ON = 32
+MAX_FORWARDED_CALLS = 32
 """Calls of peers under way at once. A daemon makes some ten calls a second and waits for few
 of them at a time, so this serves several peers and bounds what a fault of theirs costs."""
 
@@ -52,7 +52,7 @@
         Whether peers are asked at all.
     """
 
-    __slots__ = ("_direct", "_through_peers", "_links", "_log", "_membership", "choice")
+    __slots__ = ("_direct", "_through_peers", "_links", "_log", "_membership", "path_selector")
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         self._links = links
         self._membership = membership
         self._log = log
-        self.choice = PathSelector(membership.own.zone)
+        self.path_selector = PathSelector(membership.own.zone)
 
     async def send(self, call: StoreCall) -> StoreAnswer | KvUnavailable:
         """Make a call by the first path that brings an answer.
@@ -75,15 +75,19 @@
         A call that may have taken effect is made once more only if it is repeatable; an
         unknown outcome stays one.
         """
-        paths = self.choice.paths(self._peers(), call.repeatable, _now_seconds())
-        last: StoreAnswer | KvUnavailable = KvUnavailable("no path", effect_unknown=False)
+        paths = self.path_selector.paths(self._peers(), call.repeatable, _now_seconds())
+        last_result: StoreAnswer | KvUnavailable = KvUnavailable("no path", effect_unknown=False)
         for path in paths:
-            last = await self._send_by(path, call, has_others=len(paths) > 1)
-            if isinstance(last, StoreAnswer) and not last.turned_away:
-                return last
-            if isinstance(last, KvUnavailable) and last.effect_unknown and not call.repeatable:
-                return last
-        return last
+            last_result = await self._send_via(path, call, has_alternatives=len(paths) > 1)
+            if isinstance(last_result, StoreAnswer) and not last_result.turned_away:
+                return last_result
+            if (
+                isinstance(last_result, KvUnavailable)
+                and last_result.effect_unknown
+                and not call.repeatable
+            ):
+                return last_result
+        return last_result
 
     def _peers(self) -> list[tuple[str, str]]:
         """Return the other daemons that may be asked, with their zones."""
@@ -92,37 +96,39 @@
         own = self._membership.own.daemon
         return [entry for entry in self._membership.live_zones() if entry[0] != own]
 
-    async def send_own(self, call: StoreCall) -> StoreAnswer | KvUnavailable:
+    async def send_direct(self, call: StoreCall) -> StoreAnswer | KvUnavailable:
         """Make a call over the own path, and learn from that how good it is."""
-        began_seconds = _now_seconds()
+        started_at_seconds = _now_seconds()
         answer = await self._direct.send(call)
-        if _brought_nothing(answer):
-            if self.choice.failed(OWN_PATH, _now_seconds()):
+        if _is_failure(answer):
+            if self.path_selector.failed(OWN_PATH, _now_seconds()):
                 self._log.write(StorePathChanged(is_good=False, detail=_detail(answer)))
-        elif self.choice.answered(OWN_PATH, _elapsed_seconds(call, began_seconds)):
+        elif self.path_selector.answered(OWN_PATH, _elapsed_seconds(call, started_at_seconds)):
             self._log.write(StorePathChanged(is_good=True, detail=""))
         return answer
 
-    async def _send_by(
-        self, path: str, call: StoreCall, has_others: bool
+    async def _send_via(
+        self, path: str, call: StoreCall, has_alternatives: bool
     ) -> StoreAnswer | KvUnavailable:
         if path == OWN_PATH:
-            return await self.send_own(self._patient(call) if has_others else call)
-        answer = await self._pass_to(path, call)
-        if _brought_nothing(answer):
-            self.choice.failed(path, _now_seconds())
+            return await self.send_direct(
+                self._with_shorter_timeout(call) if has_alternatives else call
+            )
+        answer = await self._forward_to(path, call)
+        if _is_failure(answer):
+            self.path_selector.failed(path, _now_seconds())
         else:
-            self.choice.answered(path, 0.0)
+            self.path_selector.answered(path, 0.0)
         return answer
 
-    def _patient(self, call: StoreCall) -> StoreCall:
+    def _with_shorter_timeout(self, call: StoreCall) -> StoreCall:
         """Return a call with the time that the own path is given where there are others."""
         if not call.repeatable or call.held:
             return call
-        limit_seconds = self.choice.patience_seconds(call.limit_seconds)
+        limit_seconds = self.path_selector.patience_seconds(call.limit_seconds)
         return msgspec.structs.replace(call, limit_seconds=limit_seconds)
 
-    async def _pass_to(self, name: str, call: StoreCall) -> StoreAnswer | KvUnavailable:
+    async def _forward_to(self, name: str, call: StoreCall) -> StoreAnswer | KvUnavailable:
         peer = self._membership.address(name)
         if peer is None:
             return KvUnavailable(f"{name}: no address", effect_unknown=False)
@@ -134,7 +140,7 @@
             peer,
             lambda stub: stub.PassOn,
             request,
-            call.limit_seconds + PEER_SLACK_SECONDS,
+            call.limit_seconds + PEER_TIMEOUT_MARGIN_SECONDS,
             GatewayPeersStub,
         )
         if isinstance(reply, PeerUnreachable):
@@ -157,12 +163,12 @@
         The own path, and whether it is good.
     """
 
-    __slots__ = ("_context", "_relay", "_under_way")
+    __slots__ = ("_context", "_relay", "_in_flight")
 
     def __init__(self, context: GatewayContext, relay: RelayTransport):
         self._context = context
         self._relay = relay
-        self._under_way = 0
+        self._in_flight = 0
 
     async def serve(self, request: pb.PassOnRequest) -> pb.PassOnReply:
         """Make a peer's call, or say why not; what is refused was not made."""
@@ -172,15 +178,15 @@
         call = decode_call(request.call)
         if isinstance(call, MalformedCall):
             return self._refuse(request, call.detail)
-        if not self._relay.choice.own_is_good:
+        if not self._relay.path_selector.own_is_good:
             return pb.PassOnReply(refused="no path to the service here either")
-        if self._under_way >= MAX_PASSED_ON:
+        if self._in_flight >= MAX_FORWARDED_CALLS:
             return pb.PassOnReply(refused="too many calls are being passed on")
-        self._under_way += 1
+        self._in_flight += 1
         try:
-            answer = await self._relay.send_own(call)
+            answer = await self._relay.send_direct(call)
         finally:
-            self._under_way -= 1
+            self._in_flight -= 1
         if isinstance(answer, KvUnavailable):
             return pb.PassOnReply(detail=answer.detail, effect_unknown=answer.effect_unknown)
         return pb.PassOnReply(answered=True, status=answer.status, content=answer.content)
@@ -195,7 +201,7 @@
     return asyncio.get_running_loop().time()
 
 
-def _brought_nothing(answer: StoreAnswer | KvUnavailable) -> bool:
+def _is_failure(answer: StoreAnswer | KvUnavailable) -> bool:
     return isinstance(answer, KvUnavailable) or answer.turned_away
 
 
@@ -203,6 +209,6 @@
     return answer.detail if isinstance(answer, KvUnavailable) else f"status {answer.status}"
 
 
-def _elapsed_seconds(call: StoreCall, began_seconds: float) -> float:
+def _elapsed_seconds(call: StoreCall, started_at_seconds: float) -> float:
     """Return how long an answer took; 0 where the service was asked to wait with it."""
-    return 0.0 if call.held else _now_seconds() - began_seconds
+    return 0.0 if call.held else _now_seconds() - started_at_seconds
--- a/rackswitch/gateway/store/tests/spread_run.py
+++ b/rackswitch/gateway/store/tests/spread_run.py
@@ -26,8 +26,8 @@
 STATE = "op/"
 WATCH_SECONDS = 0.7
 START_SECONDS = 0.3
-SAME_ZONE_SECONDS = 0.0002
-OTHER_ZONE_SECONDS = 0.001
+SAME_ZONE_LATENCY_SECONDS = 0.0002
+OTHER_ZONE_LATENCY_SECONDS = 0.001
 
 
 @dataclass(slots=True)
@@ -61,14 +61,14 @@
 
     def news(self, prefix: str, revision: int) -> WatchNews:
         self.note_changes()
-        later = [
+        newer = [
             change
             for change in self.history
             if change[0] > revision and change[1].startswith(prefix)
         ]
         return latest_news(
-            [entry for _, _, entry in later if entry is not None],
-            [(key, at) for at, key, entry in later if entry is None],
+            [entry for _, _, entry in newer if entry is not None],
+            [(key, at) for at, key, entry in newer if entry is None],
             self.store.revision,
         )
 
@@ -121,7 +121,7 @@
             yield WatchNews(news.entries, revision, news.deleted)
 
 
-class Node:
+class SimulatedDaemon:
     """One daemon: its copies, its entry, and when it learnt of each change."""
 
     def __init__(self, name: str, zone: str, service: Service, rng: random.Random):
@@ -133,32 +133,32 @@
         self.zone = zone
         self.alive = True
         self.served = 0
-        self.learnt_seconds: dict[str, float] = {}
+        self.received_at_seconds: dict[str, float] = {}
         self._members: dict[str, object] = {}
         handlers = {
             CONTROL: ReplicaHandlers(self._member_put, self._member_deleted),
             STATE: ReplicaHandlers(self._state_put, lambda key: None),
         }
-        self.keeper = ReplicaManager(self.context, handlers, EnginePaces(), CONTROL)
-        self.presence = Presence(self.context, 1, self.keeper.looked)
+        self.replica_manager = ReplicaManager(self.context, handlers, EnginePaces(), CONTROL)
+        self.presence = Presence(self.context, 1, self.replica_manager.looked)
 
     def _member_put(self, entry: KvEntry) -> None:
         name = entry.key.removeprefix(MEMBERS_PREFIX)
         member = decode_member(entry.value)
         self.context.member_entries[name] = member
         self._members[name] = vm_entry(name, member)
-        self._tell_members()
+        self._update_membership()
 
     def _member_deleted(self, key: str) -> None:
         self._members.pop(key.removeprefix(MEMBERS_PREFIX), None)
-        self._tell_members()
+        self._update_membership()
 
-    def _tell_members(self) -> None:
+    def _update_membership(self) -> None:
         members = list(self._members.values())
         self.context.daemon.membership.learn_listed(members, self.context.now_seconds())
 
     def _state_put(self, entry: KvEntry) -> None:
-        self.learnt_seconds.setdefault(entry.value.decode(), self.context.now_seconds())
+        self.received_at_seconds.setdefault(entry.value.decode(), self.context.now_seconds())
 
 
 class FleetLinks:
@@ -171,15 +171,15 @@
     async def call(self, peer, method, message, timeout_seconds, stub_kind):
         node = self._run.nodes[peer.daemon]
         same_zone = node.zone == self._zone
-        way_seconds = SAME_ZONE_SECONDS if same_zone else OTHER_ZONE_SECONDS
+        transit_seconds = SAME_ZONE_LATENCY_SECONDS if same_zone else OTHER_ZONE_LATENCY_SECONDS
         if not node.alive:
             await asyncio.sleep(timeout_seconds)
             return PeerUnreachable("no answer")
         try:
             async with asyncio.timeout(timeout_seconds):
-                await asyncio.sleep(way_seconds)
-                reply = await node.keeper.server.serve(message)
-                await asyncio.sleep(way_seconds if node.alive else timeout_seconds)
+                await asyncio.sleep(transit_seconds)
+                reply = await node.replica_manager.server.serve(message)
+                await asyncio.sleep(transit_seconds if node.alive else timeout_seconds)
         except TimeoutError:
             return PeerUnreachable("no answer in time")
         node.served += 1
@@ -193,67 +193,69 @@
         self.rng = random.Random(seed)
         self.service = Service()
         names = [(f"d{number:03d}", f"z{number % zones}") for number in range(daemons)]
-        self.nodes = {name: Node(name, zone, self.service, self.rng) for name, zone in names}
-        self._duties: list[tuple[Node, asyncio.Task[None]]] = []
+        self.nodes = {
+            name: SimulatedDaemon(name, zone, self.service, self.rng) for name, zone in names
+        }
+        self._tasks: list[tuple[SimulatedDaemon, asyncio.Task[None]]] = []
 
     async def start(self) -> None:
         self.service.put(STATE + "a", b"first")
         for node in self.nodes.values():
             node.context.daemon.links = FleetLinks(self, node.zone)
-            for duty in (node.keeper.run(), node.presence.run()):
+            for task in (node.replica_manager.run(), node.presence.run()):
                 delay_seconds = self.rng.uniform(0.0, START_SECONDS)
-                self._duties.append((node, asyncio.create_task(_after(delay_seconds, duty))))
+                self._tasks.append((node, asyncio.create_task(_run_after(delay_seconds, task))))
 
     async def stop(self) -> None:
-        for _, duty in self._duties:
-            duty.cancel()
-        await asyncio.gather(*(duty for _, duty in self._duties), return_exceptions=True)
+        for _, task in self._tasks:
+            task.cancel()
+        await asyncio.gather(*(task for _, task in self._tasks), return_exceptions=True)
 
-    def kill(self, node: Node) -> None:
+    def kill(self, node: SimulatedDaemon) -> None:
         """End a daemon without a word, as a loss of power does."""
         node.alive = False
-        for owner, duty in self._duties:
+        for owner, task in self._tasks:
             if owner is node:
-                duty.cancel()
+                task.cancel()
 
-    def turn_away(self, node: Node) -> None:
+    def turn_away(self, node: SimulatedDaemon) -> None:
         """Have the service refuse all calls of a daemon from now on."""
         node.context.kv.faults.refused = 1.0
 
-    def living(self) -> list[Node]:
+    def living(self) -> list[SimulatedDaemon]:
         return [node for node in self.nodes.values() if node.alive]
 
-    def watchers(self) -> list[Node]:
-        return [node for node in self.living() if not node.keeper.followed]
+    def watchers(self) -> list[SimulatedDaemon]:
+        return [node for node in self.living() if not node.replica_manager.followed]
 
     async def settled(self, limit_seconds: float = 10.0) -> float:
         """Wait until one daemon watches and all others follow; return how long that took."""
         loop = asyncio.get_running_loop()
-        began_seconds = loop.time()
+        started_at_seconds = loop.time()
         async with asyncio.timeout(limit_seconds):
             while not self._is_settled():
                 await asyncio.sleep(0.01)
-        return loop.time() - began_seconds
+        return loop.time() - started_at_seconds
 
     def _is_settled(self) -> bool:
         living = self.living()
         names = {node.context.daemon_name for node in living}
-        whole = all(node.keeper.is_complete for node in living)
-        followed = {node.keeper.followed for node in living} - {""}
-        return whole and len(self.watchers()) == 1 and followed <= names
+        is_complete = all(node.replica_manager.is_complete for node in living)
+        followed = {node.replica_manager.followed for node in living} - {""}
+        return is_complete and len(self.watchers()) == 1 and followed <= names
 
     async def spread(self, value: str, limit_seconds: float = 10.0) -> list[float]:
         """Change something; return after how long each daemon knew of it that can hear of it."""
         loop = asyncio.get_running_loop()
-        began_seconds = loop.time()
+        started_at_seconds = loop.time()
         self.service.put(STATE + "a", value.encode())
         living = [node for node in self.living() if not node.context.kv.faults.refused]
         async with asyncio.timeout(limit_seconds):
-            while not all(value in node.learnt_seconds for node in living):
+            while not all(value in node.received_at_seconds for node in living):
                 await asyncio.sleep(0.01)
-        return sorted(node.learnt_seconds[value] - began_seconds for node in living)
+        return sorted(node.received_at_seconds[value] - started_at_seconds for node in living)
 
 
-async def _after(delay_seconds: float, duty) -> None:
+async def _run_after(delay_seconds: float, task) -> None:
     await asyncio.sleep(delay_seconds)
-    await duty
+    await task
--- a/rackswitch/gateway/store/tests/test_copy_machine.py
+++ b/rackswitch/gateway/store/tests/test_replica_machine.py
@@ -27,7 +27,7 @@
         self.revision = 1
         self.entries: dict[str, KvEntry] = {}
         self.history: list[tuple[int, str, KvEntry | None]] = []
-        self.forgotten = 1
+        self.oldest_known_revision = 1
 
     def put(self, key: str, value: bytes) -> None:
         self.revision += 1
@@ -42,12 +42,12 @@
 
     def changes_after(self, revision: int) -> WatchNews | None:
         """Return what a watch brings; None if that history is gone."""
-        if revision < self.forgotten:
+        if revision < self.oldest_known_revision:
             return None
-        later = [change for change in self.history if change[0] > revision]
+        newer = [change for change in self.history if change[0] > revision]
         return latest_news(
-            [entry for _, _, entry in later if entry is not None],
-            [(key, changed) for changed, key, entry in later if entry is None],
+            [entry for _, _, entry in newer if entry is not None],
+            [(key, changed) for changed, key, entry in newer if entry is None],
             self.revision,
         )
 
@@ -56,115 +56,117 @@
     """A copy, and the table that its entries bring into force."""
 
     def __init__(self) -> None:
-        self.copy = PrefixReplica("op/")
+        self.replica = PrefixReplica("op/")
         self.view = TableView()
 
-    def tell(self, news: WatchNews) -> None:
+    def apply_table_changes(self, news: WatchNews) -> None:
         for entry in news.entries:
             if entry.key == CONFIG:
                 self.view.offer(TableDocument(revision=int(entry.value)))
 
 
-class CopyMachine(RuleBasedStateMachine):
+class ReplicaStateMachine(RuleBasedStateMachine):
     """Changes, watches, readings and followers in any order."""
 
     @initialize()
-    def begin(self) -> None:
+    def set_up_fleet(self) -> None:
         self.service = Service()
         self.daemons = {name: Daemon() for name in DAEMONS}
         self.version = 1
         self.service.put(CONFIG, b"1")
-        self.seen_revisions = dict.fromkeys(DAEMONS, 0)
-        self.old_readings: list[tuple[tuple[KvEntry, ...], int]] = []
+        self.last_table_revisions = dict.fromkeys(DAEMONS, 0)
+        self.delayed_snapshots: list[tuple[tuple[KvEntry, ...], int]] = []
 
     @rule(step=st.integers(1, 5))
     def operator_writes(self, step: int) -> None:
         self.version += step
         self.service.put(CONFIG, str(self.version).encode())
 
-    @rule(key=st.sampled_from(KEYS[1:]), gone=st.booleans())
-    def something_else_changes(self, key: str, gone: bool) -> None:
-        if gone:
+    @rule(key=st.sampled_from(KEYS[1:]), is_deleted=st.booleans())
+    def other_key_changes(self, key: str, is_deleted: bool) -> None:
+        if is_deleted:
             self.service.delete(key)
         else:
             self.service.put(key, b"x")
 
     @rule()
-    def service_forgets_its_history(self) -> None:
-        self.service.forgotten = self.service.revision
+    def service_compacts_history(self) -> None:
+        self.service.oldest_known_revision = self.service.revision
 
     @rule()
-    def a_reading_is_under_way(self) -> None:
-        reading = (tuple(self.service.entries.values()), self.service.revision)
-        self.old_readings.append(reading)
+    def snapshot_is_read(self) -> None:
+        snapshot = (tuple(self.service.entries.values()), self.service.revision)
+        self.delayed_snapshots.append(snapshot)
 
     @rule(name=st.sampled_from(DAEMONS))
-    def a_reading_arrives_late(self, name: str) -> None:
-        if self.old_readings:
-            entries, revision = self.old_readings.pop()
+    def delayed_snapshot_arrives(self, name: str) -> None:
+        if self.delayed_snapshots:
+            entries, revision = self.delayed_snapshots.pop()
             daemon = self.daemons[name]
-            daemon.tell(daemon.copy.replace(entries, revision))
+            daemon.apply_table_changes(daemon.replica.replace(entries, revision))
 
     @rule(name=st.sampled_from(DAEMONS))
-    def daemon_reads(self, name: str) -> None:
+    def daemon_reads_snapshot(self, name: str) -> None:
         daemon = self.daemons[name]
         entries = tuple(self.service.entries.values())
-        daemon.tell(daemon.copy.replace(entries, self.service.revision))
+        daemon.apply_table_changes(daemon.replica.replace(entries, self.service.revision))
 
     @rule(name=st.sampled_from(WATCHERS))
-    def watch_brings_changes(self, name: str) -> None:
+    def daemon_watches(self, name: str) -> None:
         daemon = self.daemons[name]
-        news = self.service.changes_after(daemon.copy.revision) if daemon.copy.revision else None
+        news = (
+            self.service.changes_after(daemon.replica.revision) if daemon.replica.revision else None
+        )
         if news is None:
-            self.daemon_reads(name)
+            self.daemon_reads_snapshot(name)
             return
-        daemon.copy.apply(news)
-        daemon.tell(news)
+        daemon.replica.apply(news)
+        daemon.apply_table_changes(news)
 
     @rule(name=st.sampled_from(DAEMONS), source=st.sampled_from(DAEMONS))
     def follow(self, name: str, source: str) -> None:
         if name == source:
             return
         daemon = self.daemons[name]
-        changes = self.daemons[source].copy.changes_since(daemon.copy.revision)
+        changes = self.daemons[source].replica.changes_since(daemon.replica.revision)
         if changes is None:
             return
-        if changes.whole:
-            daemon.tell(daemon.copy.replace(changes.entries, changes.revision))
+        if changes.is_complete:
+            daemon.apply_table_changes(daemon.replica.replace(changes.entries, changes.revision))
             return
         news = WatchNews(changes.entries, changes.revision, changes.deleted)
-        daemon.copy.apply(news)
-        daemon.tell(news)
+        daemon.replica.apply(news)
+        daemon.apply_table_changes(news)
 
     @rule(name=st.sampled_from(DAEMONS))
     def daemon_restarts(self, name: str) -> None:
         self.daemons[name] = Daemon()
-        self.seen_revisions[name] = 0
+        self.last_table_revisions[name] = 0
 
     @invariant()
-    def no_table_goes_backwards(self) -> None:
+    def table_revision_never_decreases(self) -> None:
         for name, daemon in self.daemons.items():
-            assert daemon.view.revision >= self.seen_revisions[name]
+            assert daemon.view.revision >= self.last_table_revisions[name]
             assert daemon.view.revision <= self.version
-            self.seen_revisions[name] = daemon.view.revision
+            self.last_table_revisions[name] = daemon.view.revision
 
     @invariant()
-    def a_copy_is_the_service_at_its_revision(self) -> None:
+    def replica_equals_service_at_same_revision(self) -> None:
         for daemon in self.daemons.values():
-            if daemon.copy.revision == self.service.revision:
-                assert daemon.copy.entries == self.service.entries
+            if daemon.replica.revision == self.service.revision:
+                assert daemon.replica.entries == self.service.entries
 
     def teardown(self) -> None:
         if not hasattr(self, "service"):
             return
         for name in WATCHERS:
-            self.watch_brings_changes(name)
+            self.daemon_watches(name)
         for name in FOLLOWERS:
             self.follow(name, "w0")
         for daemon in self.daemons.values():
-            assert daemon.copy.entries == self.service.entries
+            assert daemon.replica.entries == self.service.entries
             assert daemon.view.revision == self.version
 
 
-TestCopies = CopyMachine.TestCase
-TestCopies.settings = settings(max_examples=60, stateful_step_count=60, deadline=None)
+TestReplicas = ReplicaStateMachine.TestCase
+TestReplicas.settings = settings(max_examples=60, stateful_step_count=60, deadline=None)
--- a/rackswitch/gateway/store/tests/test_replicas.py
+++ b/rackswitch/gateway/store/tests/test_replicas.py
@@ -13,32 +13,32 @@
     changes = leader.changes_since(follower.revision)
     if changes is None:
         return
-    if changes.whole:
+    if changes.is_complete:
         follower.replace(changes.entries, changes.revision)
     else:
         follower.apply(WatchNews(changes.entries, changes.revision, changes.deleted))
 
 
 def test_a_reading_tells_only_what_changed():
-    copy = PrefixReplica("p/")
-    copy.replace([entry("p/a", 1), entry("p/b", 2)], 5)
-    news = copy.replace([entry("p/b", 2), entry("p/c", 7)], 8)
+    replica = PrefixReplica("p/")
+    replica.replace([entry("p/a", 1), entry("p/b", 2)], 5)
+    news = replica.replace([entry("p/b", 2), entry("p/c", 7)], 8)
     assert [item.key for item in news.entries] == ["p/c"]
     assert news.deleted == ("p/a",)
 
 
 def test_an_older_reading_changes_nothing():
-    copy = PrefixReplica("p/")
-    copy.replace([entry("p/a", 7)], 8)
-    assert copy.replace([], 5) == WatchNews((), 8)
-    assert set(copy.entries) == {"p/a"}
+    replica = PrefixReplica("p/")
+    replica.replace([entry("p/a", 7)], 8)
+    assert replica.replace([], 5) == WatchNews((), 8)
+    assert set(replica.entries) == {"p/a"}
 
 
 def test_a_new_follower_gets_the_whole():
     leader, follower = PrefixReplica("p/"), PrefixReplica("p/")
     leader.replace([entry("p/a", 1)], 5)
     changes = leader.changes_since(0)
-    assert changes is not None and changes.whole
+    assert changes is not None and changes.is_complete
     follow(follower, leader)
     assert follower.entries == leader.entries
     assert leader.changes_since(follower.revision) is None
@@ -49,25 +49,25 @@
     leader.replace([entry("p/a", 1), entry("p/b", 2)], 5)
     leader.apply(WatchNews((entry("p/c", 6),), 6))
     changes = leader.changes_since(5)
-    assert changes is not None and not changes.whole
+    assert changes is not None and not changes.is_complete
     assert [item.key for item in changes.entries] == ["p/c"]
 
 
-step = st.tuples(st.sampled_from("abcd"), st.booleans(), st.booleans())
+change_strategy = st.tuples(st.sampled_from("abcd"), st.booleans(), st.booleans())
 
 
-@given(st.lists(step, max_size=60))
+@given(st.lists(change_strategy, max_size=60))
 def test_a_follower_that_asks_now_and_then_has_the_same_entries(steps):
     leader, follower = PrefixReplica("p/"), PrefixReplica("p/")
     leader.replace([], 1)
     revision = 1
-    for key, is_put, asks in steps:
+    for key, is_put, follower_polls in steps:
         revision += 1
         if is_put:
             leader.apply(WatchNews((entry(key, revision),), revision))
         else:
             leader.apply(WatchNews((), revision, (key,)))
-        if asks:
+        if follower_polls:
             follow(follower, leader)
             assert follower.entries == leader.entries
     follow(follower, leader)
--- a/rackswitch/gateway/store/tests/test_service_watch.py
+++ b/rackswitch/gateway/store/tests/test_service_watch.py
@@ -19,17 +19,17 @@
 PREFIX = "p/"
 
 
-class BackAgainKv:
+class RecoveringKv:
     """Breaks the first watches, answers the next one for a while and breaks that as well."""
 
-    def __init__(self, breaks: int):
-        self.breaks_left = breaks
+    def __init__(self, failures: int):
+        self.failures_left = failures
 
     async def watch(self, key, from_revision):
-        while not self.breaks_left:
+        while not self.failures_left:
             yield WatchNews((), from_revision)
             await asyncio.sleep(1.0)
-        self.breaks_left -= 1
+        self.failures_left -= 1
         yield KvUnavailable("silent", effect_unknown=False)
 
 
@@ -37,25 +37,25 @@
     async def scenario():
         context = make_gateway_context("a", KvStore())
         handlers = ReplicaHandlers(lambda entry: None, lambda key: None)
-        copies = ReplicaSet({PREFIX: handlers})
-        copies.by_prefix[PREFIX].revision = 1
-        watch = ServiceWatch(context, copies, PREFIX)
-        context.daemon.kv = BackAgainKv(CUT_OFF_FAILURES)
-        watch.switch(on=True, for_all=True)
+        replicas = ReplicaSet({PREFIX: handlers})
+        replicas.by_prefix[PREFIX].revision = 1
+        watch = ServiceWatch(context, replicas, PREFIX)
+        context.daemon.kv = RecoveringKv(CUT_OFF_FAILURES)
+        watch.set_enabled(enabled=True, is_root=True)
         running = asyncio.create_task(watch.run())
-        seen = [await ever_cut_off(watch), watch.is_cut_off]
+        observed = [await is_ever_cut_off(watch), watch.is_cut_off]
         # One more answer that is lost is no cut.
-        context.daemon.kv.breaks_left = 1
-        seen.append(await ever_cut_off(watch))
+        context.daemon.kv.failures_left = 1
+        observed.append(await is_ever_cut_off(watch))
         running.cancel()
-        return seen
+        return observed
 
     assert run_virtual(scenario()) == [True, False, False]
 
 
-async def ever_cut_off(watch: ServiceWatch) -> bool:
-    seen = False
+async def is_ever_cut_off(watch: ServiceWatch) -> bool:
+    observed = False
     for _ in range(60):
         await asyncio.sleep(0.05)
-        seen = seen or watch.is_cut_off
-    return seen
+        observed = observed or watch.is_cut_off
+    return observed
--- a/rackswitch/gateway/store/tests/test_spread_runs.py
+++ b/rackswitch/gateway/store/tests/test_spread_runs.py
@@ -42,8 +42,8 @@
         await run.settled()
         (root,) = run.watchers()
         run.kill(root)
-        taken_seconds = (await run.spread("after its death"))[-1]
-        assert taken_seconds < CONFIG_SECONDS
+        recovery_seconds = (await run.spread("after its death"))[-1]
+        assert recovery_seconds < CONFIG_SECONDS
         assert len(run.watchers()) <= 3
         await run.stop()
 
@@ -85,12 +85,12 @@
         run = SpreadRun(24, seed=seed)
         await run.start()
         await run.settled()
-        leaving = [node for node in run.living() if node.keeper.followed][:6]
-        for node in leaving:
+        stopping = [node for node in run.living() if node.replica_manager.followed][:6]
+        for node in stopping:
             node.context.daemon.membership.leave()
         calls = run.service.priced
         await asyncio.sleep(4.0)
-        assert all(node.keeper.followed for node in leaving)
+        assert all(node.replica_manager.followed for node in stopping)
         assert run.service.priced - calls < 4.0 / 0.7 * 2 + 0.2 * 24 + 3
         await run.spread("to all", 1.0)
         await run.stop()
--- a/rackswitch/gateway/store/tests/test_store_relay.py
+++ b/rackswitch/gateway/store/tests/test_store_relay.py
@@ -7,7 +7,7 @@
 
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.policy import PolicySettings
-from rackswitch.gateway.store.store_relay import MAX_PASSED_ON, ForwardedCalls, RelayTransport
+from rackswitch.gateway.store.store_relay import MAX_FORWARDED_CALLS, ForwardedCalls, RelayTransport
 from rackswitch.gateway.tests.path import check_whole, play, wait_for
 from rackswitch.membership import MemberState, MemberUpdate
 from rackswitch.peers import gateway_pb2 as pb
@@ -15,8 +15,8 @@
 from rackswitch.platform.store_messages import StoreAnswer
 from rackswitch.relay import OWN_PATH
 
-NOWHERE = "http://127.0.0.1:9"
-LONG_TEXT = 3000
+UNREACHABLE_URL = "http://127.0.0.1:9"
+LONG_ITEM_PIECES = 3000
 """Pieces of an item that is not whole before a test ends, so that its job stays owned."""
 
 READ = StoreCall(
@@ -39,8 +39,8 @@
 def test_a_daemon_cut_from_the_service_keeps_its_session_and_takes_jobs(through_peers):
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
-        assert await fleet.submit("d0", "j0", [LONG_TEXT]) == 202
-        gateway.direct.url = NOWHERE
+        assert await fleet.submit("d0", "j0", [LONG_ITEM_PIECES]) == 202
+        gateway.direct.url = UNREACHABLE_URL
         await wait_for(lambda: gateway.session.is_sure() is through_peers, 5.0)
         await asyncio.sleep(0 if not through_peers else 2.5)
         assert gateway.session.is_sure() is through_peers
@@ -55,13 +55,13 @@
 def test_it_takes_a_new_session_after_the_service_has_ended_its_own():
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
-        assert await fleet.submit("d0", "j0", [LONG_TEXT]) == 202
-        before = gateway.session.lease_id
-        gateway.direct.url = NOWHERE
-        fleet.store.end_lease(before)
-        await wait_for(lambda: gateway.session.lease_id != before)
+        assert await fleet.submit("d0", "j0", [LONG_ITEM_PIECES]) == 202
+        previous_lease_id = gateway.session.lease_id
+        gateway.direct.url = UNREACHABLE_URL
+        fleet.store.end_lease(previous_lease_id)
+        await wait_for(lambda: gateway.session.lease_id != previous_lease_id)
         assert await fleet.submit("d0", "j1", [3]) == 202
-        assert gateway.session.lease_id not in (before, None)
+        assert gateway.session.lease_id not in (previous_lease_id, None)
 
     # Otherwise the job may go to the daemon that has taken the other one over.
     play(scenario, policy=PolicySettings(jobs_gathered=False))
@@ -70,12 +70,12 @@
 def test_it_returns_to_its_own_path():
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
-        good = gateway.direct.url
-        gateway.direct.url = NOWHERE
-        choice = gateway.context.kv._transport.choice
-        await wait_for(lambda: not choice.own_is_good)
-        gateway.direct.url = good
-        await wait_for(lambda: choice.own_is_good, 3.0)
+        reachable_url = gateway.direct.url
+        gateway.direct.url = UNREACHABLE_URL
+        path_selector = gateway.context.kv._transport.path_selector
+        await wait_for(lambda: not path_selector.own_is_good)
+        gateway.direct.url = reachable_url
+        await wait_for(lambda: path_selector.own_is_good, 3.0)
 
     play(scenario)
 
@@ -83,9 +83,11 @@
 def test_no_call_passes_through_two_daemons():
     async def scenario(fleet):
         for gateway in fleet.gateways.values():
-            gateway.direct.url = NOWHERE
-        choices = [g.context.kv._transport.choice for g in fleet.gateways.values()]
-        await wait_for(lambda: not any(choice.own_is_good for choice in choices))
+            gateway.direct.url = UNREACHABLE_URL
+        path_selectors = [g.context.kv._transport.path_selector for g in fleet.gateways.values()]
+        await wait_for(
+            lambda: not any(path_selector.own_is_good for path_selector in path_selectors)
+        )
         request = pb.PassOnRequest(daemon="d1", call=encode_call(READ))
         reply = await fleet.gateways["d0"]._peers._passed_on.serve(request)
         assert reply.refused
@@ -100,12 +102,12 @@
     def __init__(self, answer):
         self.answer = answer
         self.calls: list[StoreCall] = []
-        self.gate = asyncio.Event()
-        self.gate.set()
+        self.answer_allowed = asyncio.Event()
+        self.answer_allowed.set()
 
     async def send(self, call: StoreCall):
         self.calls.append(call)
-        await self.gate.wait()
+        await self.answer_allowed.wait()
         return self.answer
 
 
@@ -114,21 +116,21 @@
 
     def __init__(self, replies):
         self.replies = replies
-        self.asked: list[str] = []
+        self.asked_peers: list[str] = []
 
     async def call(self, peer, method, message, timeout_seconds, stub_kind):
-        self.asked.append(peer.daemon)
+        self.asked_peers.append(peer.daemon)
         return self.replies[peer.daemon]
 
 
-class Lines:
+class RecordingLog:
     """A log that keeps its lines."""
 
     def __init__(self):
-        self.lines = []
+        self.events = []
 
     def write(self, event):
-        self.lines.append(event)
+        self.events.append(event)
 
 
 class FakeMembership:
@@ -148,7 +150,7 @@
 def make_relay(direct, replies):
     """Return a relay with peers that reply so, in the order of their names."""
     links = FakeLinks(replies)
-    return RelayTransport(direct, links, FakeMembership(replies), Lines(), True), links
+    return RelayTransport(direct, links, FakeMembership(replies), RecordingLog(), True), links
 
 
 ANSWERED = pb.PassOnReply(answered=True, status=200, content=b"{}")
@@ -157,7 +159,7 @@
 
 
 @pytest.mark.parametrize(
-    ("call", "own", "asked", "is_answered"),
+    ("call", "direct_answer", "asked_peers", "is_answered"),
     [
         (READ, LOST, ["b"], True),
         (READ, NOT_SENT, ["b"], True),
@@ -171,12 +173,14 @@
         (READ, StoreAnswer(410, b""), [], True),
     ],
 )
-def test_a_call_is_made_again_only_if_that_does_no_harm(call, own, asked, is_answered):
+def test_a_call_is_made_again_only_if_that_does_no_harm(
+    call, direct_answer, asked_peers, is_answered
+):
     async def scenario():
-        relay, links = make_relay(FakePath(own), {"b": ANSWERED, "c": ANSWERED})
+        relay, links = make_relay(FakePath(direct_answer), {"b": ANSWERED, "c": ANSWERED})
         answer = await relay.send(call)
         assert isinstance(answer, StoreAnswer) is is_answered
-        assert links.asked == asked
+        assert links.asked_peers == asked_peers
         if not is_answered:
             assert answer.effect_unknown
 
@@ -189,7 +193,7 @@
         relay, links = make_relay(FakePath(NOT_SENT), {"b": reply, "c": ANSWERED})
         answer = await relay.send(WRITE)
         assert answer == KvUnavailable("b: TimeoutError", effect_unknown=True)
-        assert links.asked == ["b"]
+        assert links.asked_peers == ["b"]
 
     asyncio.run(scenario())
 
@@ -199,7 +203,7 @@
         refusal = pb.PassOnReply(refused="no path to the service here either")
         relay, links = make_relay(FakePath(NOT_SENT), {"b": refusal, "c": ANSWERED})
         assert isinstance(await relay.send(WRITE), StoreAnswer)
-        assert links.asked == ["b", "c"]
+        assert links.asked_peers == ["b", "c"]
 
     asyncio.run(scenario())
 
@@ -235,19 +239,19 @@
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
         relay = gateway.context.kv._transport
-        lines = Lines()
-        passed_on = ForwardedCalls(gateway.context, relay)
-        gateway.context.daemon.log, log = lines, gateway.context.daemon.log
-        known = pb.PassOnRequest(daemon="d1", call=encode_call(READ))
-        stranger = pb.PassOnRequest(daemon="nobody", call=encode_call(READ))
-        garbage = pb.PassOnRequest(daemon="d1", call=b"\xff\x00")
-        assert (await passed_on.serve(known)).status == 404
-        assert "`daemon`" in (await passed_on.serve(stranger)).refused
-        assert "`call`" in (await passed_on.serve(garbage)).refused
-        assert [line.daemon_asking for line in lines.lines] == ["nobody", "d1"]
-        passed_on._under_way = MAX_PASSED_ON
-        assert (await passed_on.serve(known)).refused
-        gateway.context.daemon.log = log
-        assert relay.choice.paths([], True, 0.0) == [OWN_PATH]
+        events = RecordingLog()
+        forwarded_calls = ForwardedCalls(gateway.context, relay)
+        gateway.context.daemon.log, original_log = events, gateway.context.daemon.log
+        valid = pb.PassOnRequest(daemon="d1", call=encode_call(READ))
+        unknown_daemon = pb.PassOnRequest(daemon="nobody", call=encode_call(READ))
+        malformed = pb.PassOnRequest(daemon="d1", call=b"\xff\x00")
+        assert (await forwarded_calls.serve(valid)).status == 404
+        assert "`daemon`" in (await forwarded_calls.serve(unknown_daemon)).refused
+        assert "`call`" in (await forwarded_calls.serve(malformed)).refused
+        assert [line.daemon_asking for line in events.events] == ["nobody", "d1"]
+        forwarded_calls._in_flight = MAX_FORWARDED_CALLS
+        assert (await forwarded_calls.serve(valid)).refused
+        gateway.context.daemon.log = original_log
+        assert relay.path_selector.paths([], True, 0.0) == [OWN_PATH]
 
     play(scenario)
--- a/rackswitch/gateway/store/tests/test_target_list.py
+++ b/rackswitch/gateway/store/tests/test_target_list.py
@@ -13,7 +13,7 @@
 from rackswitch.routing.directory import LAPSE_GRACE_SECONDS
 from rackswitch.standins.kv_store import KvStore
 
-BORN_UNIX_MS = 1_770_155_892_736
+STARTED_AT_UNIX_MS = 1_770_155_892_736
 
 
 class TargetList:
@@ -25,7 +25,7 @@
         self.handlers = StateManager(self.context, self.quarantine.watch).target_handlers()
         self._revision = 0
 
-    def put(self, instance, born=BORN_UNIX_MS, **changes):
+    def put(self, instance, born=STARTED_AT_UNIX_MS, **changes):
         entry = {
             "service": "engines",
             "address": "127.0.0.3:80",
@@ -55,17 +55,17 @@
         listed = TargetList()
         listed.put("i-1")
         now_seconds = listed.context.now_seconds()
-        former = listed.context.targets["i-1"]
-        former.begin(500.0, (1, 2, 3))
-        former.went_silent(now_seconds)
+        previous_target = listed.context.targets["i-1"]
+        previous_target.begin(500.0, (1, 2, 3))
+        previous_target.went_silent(now_seconds)
         listed.context.loads.told("i-1", "m", 4, now_seconds)
-        listed.put("i-1", BORN_UNIX_MS, seq=2)
-        assert listed.context.targets["i-1"] is former
-        listed.put("i-1", BORN_UNIX_MS + 3000, models=[{"name": "m", "version": 1}], seq=0)
-        again = listed.context.targets["i-1"]
-        assert again.open_until_seconds <= now_seconds
-        assert again.outstanding_tokens() == 0.0
-        assert again.cached_share((1, 2, 3)) == 0.0
+        listed.put("i-1", STARTED_AT_UNIX_MS, seq=2)
+        assert listed.context.targets["i-1"] is previous_target
+        listed.put("i-1", STARTED_AT_UNIX_MS + 3000, models=[{"name": "m", "version": 1}], seq=0)
+        restarted_target = listed.context.targets["i-1"]
+        assert restarted_target.open_until_seconds <= now_seconds
+        assert restarted_target.outstanding_tokens() == 0.0
+        assert restarted_target.cached_share((1, 2, 3)) == 0.0
         assert not listed.context.loads.is_loading("i-1", "m", now_seconds)
         assert listed.context.directory.entries["i-1"].versions == {"m": 1}
 
@@ -79,7 +79,7 @@
         listed.put("i-1")
         listed.context.targets["i-1"].went_silent(listed.context.now_seconds())
         listed.handlers.on_deleted("servers/i-1")
-        listed.put("i-1", BORN_UNIX_MS + 3000)
+        listed.put("i-1", STARTED_AT_UNIX_MS + 3000)
         assert listed.context.targets["i-1"].open_until_seconds == 0.0
 
     run_virtual(scenario())
@@ -96,7 +96,7 @@
         assert listed.usable() == ["i-1", "i-2"]
         listed.put_bytes("i-1", b"{")
         assert listed.usable() == ["i-2"]
-        listed.put("i-1", BORN_UNIX_MS)
+        listed.put("i-1", STARTED_AT_UNIX_MS)
         assert set(listed.usable()) == {"i-1", "i-2"}
 
     run_virtual(scenario())
@@ -128,7 +128,7 @@
         listed = TargetList()
         listed.put("i-1")
         listed.quarantine.watch.broke("f", listed.context.directory.entries["i-1"])
-        listed.put("i-9", BORN_UNIX_MS + 3000)
+        listed.put("i-9", STARTED_AT_UNIX_MS + 3000)
         assert listed.quarantine._evidence.count("f") == 1
 
     run_virtual(scenario())
@@ -139,16 +139,18 @@
 
     async def scenario():
         listed = TargetList()
-        looked_for = []
+        searched_hosts = []
         monkeypatch.setattr(
-            TargetDirectory, "at_address", lambda self, host, port: looked_for.append(host) or []
+            TargetDirectory,
+            "at_address",
+            lambda self, host, port: searched_hosts.append(host) or [],
         )
         listed.put("i-1")
         listed.put("i-2", address="127.0.0.4:80")
-        assert not looked_for
+        assert not searched_hosts
         listed.quarantine.watch.broke("f", listed.context.directory.entries["i-1"])
         listed.put("i-3", address="127.0.0.5:80")
-        assert looked_for == ["127.0.0.5"]
+        assert searched_hosts == ["127.0.0.5"]
 
     run_virtual(scenario())
 
@@ -170,5 +172,5 @@
         return during, context.load_estimator.starts()
 
     during, after = run_virtual(scenario())
-    assert during == {f"i-1@{BORN_UNIX_MS}", f"i-2@{BORN_UNIX_MS}"}
-    assert after == {f"i-2@{BORN_UNIX_MS}"}
+    assert during == {f"i-1@{STARTED_AT_UNIX_MS}", f"i-2@{STARTED_AT_UNIX_MS}"}
+    assert after == {f"i-2@{STARTED_AT_UNIX_MS}"}
--- a/rackswitch/gateway/store/tests/test_watching.py
+++ b/rackswitch/gateway/store/tests/test_watching.py
@@ -43,19 +43,20 @@
     """The copies of one daemon, and where it serves those that follow it."""
 
     def __init__(self, name: str):
-        self.told: list[str] = []
+        self.notified_keys: list[str] = []
         self.context = make_gateway_context(name, KvStore())
         self.context.daemon.links = PeerLinks("")
         self.paces = EnginePaces()
         handlers = ReplicaHandlers(
-            lambda entry: self.told.append(entry.key), lambda key: self.told.append("-" + key)
+            lambda entry: self.notified_keys.append(entry.key),
+            lambda key: self.notified_keys.append("-" + key),
         )
-        self.keeper = ReplicaManager(self.context, {PREFIX: handlers}, self.paces, PREFIX)
-        self.copies = self.keeper._copies
-        self.follower = self.keeper._follower
+        self.replica_manager = ReplicaManager(self.context, {PREFIX: handlers}, self.paces, PREFIX)
+        self.replicas = self.replica_manager._replicas
+        self.follower = self.replica_manager._follower
         self.service = GatewayPeersService(
             self.context,
-            self.keeper.server,
+            self.replica_manager.server,
             reader=None,
             jobs=None,
             passed_on=None,
@@ -76,20 +77,20 @@
     def put(self, key: str, revision: int, age_seconds: float = 0.0) -> None:
         """Take a change in as if the service had told it so long ago."""
         news = WatchNews((KvEntry(key, b"v", revision, revision),), revision)
-        self.copies.take_news(PREFIX, news)
-        self.copies.confirm(PREFIX, self.now_seconds() - age_seconds)
+        self.replicas.apply_changes(PREFIX, news)
+        self.replicas.confirm(PREFIX, self.now_seconds() - age_seconds)
 
     def now_seconds(self) -> float:
         return self.context.now_seconds()
 
     def age_seconds(self) -> float:
-        return self.now_seconds() - self.copies.by_prefix[PREFIX].confirmed_at_seconds
+        return self.now_seconds() - self.replicas.by_prefix[PREFIX].confirmed_at_seconds
 
 
-def play(scenario: Callable[..., Awaitable[None]], count: int = 2) -> None:
+def run_scenario(scenario: Callable[..., Awaitable[None]], count: int = 2) -> None:
     """Run a scenario on daemons that know each other."""
 
-    async def whole() -> None:
+    async def run_daemons() -> None:
         daemons = [Daemon(name) for name in "abcd"[:count]]
         entries = [await daemon.start() for daemon in daemons]
         for daemon in daemons:
@@ -100,22 +101,22 @@
             for daemon in daemons:
                 await daemon.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run_daemons())
 
 
 def test_a_follower_is_told_of_what_its_source_learns():
     async def scenario(source, follower):
         source.put("p/x", 5)
-        await follower.follower.ask("a", 1)
-        assert follower.told == ["p/x"]
-        waiting = asyncio.create_task(follower.follower.ask("a", 1))
+        await follower.follower.poll_source("a", 1)
+        assert follower.notified_keys == ["p/x"]
+        waiting = asyncio.create_task(follower.follower.poll_source("a", 1))
         await asyncio.sleep(0.05)
         source.put("p/y", 6)
         await waiting
-        assert follower.told == ["p/x", "p/y"]
-        assert follower.keeper.followed == "a"
+        assert follower.notified_keys == ["p/x", "p/y"]
+        assert follower.replica_manager.followed == "a"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_the_age_of_the_services_word_is_passed_on_and_never_made_younger():
@@ -123,38 +124,38 @@
     # daemon that has lost the service, and nobody below would notice.
     async def scenario(source, middle, last):
         source.put("p/x", 5, age_seconds=0.9)
-        await middle.follower.ask("a", 1)
-        assert middle.keeper.is_complete
+        await middle.follower.poll_source("a", 1)
+        assert middle.replica_manager.is_complete
         assert middle.age_seconds() >= 0.9
-        await last.follower.ask("b", 2)
+        await last.follower.poll_source("b", 2)
         assert last.age_seconds() >= 0.9
-        assert last.told == ["p/x"]
+        assert last.notified_keys == ["p/x"]
 
-    play(scenario, 3)
+    run_scenario(scenario, 3)
 
 
 def test_a_word_ages_on_its_way_too():
     async def scenario(source, follower):
         source.put("p/x", 5)
         follower.context.daemon.links = SlowLinks("")
-        await follower.follower.ask("a", 1)
+        await follower.follower.poll_source("a", 1)
         assert follower.age_seconds() >= 0.2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_daemons_that_follow_each_other_in_a_ring_find_out():
     async def scenario(one, other):
         one.put("p/x", 5, age_seconds=fresh_seconds(1) - 0.3)
-        await other.follower.ask("a", 1)
-        assert other.keeper.followed == "a"
+        await other.follower.poll_source("a", 1)
+        assert other.replica_manager.followed == "a"
         for _ in range(3):
-            await one.follower.ask("b", 1)
-            await other.follower.ask("a", 1)
-        assert not one.keeper.followed
-        assert not other.keeper.followed
+            await one.follower.poll_source("b", 1)
+            await other.follower.poll_source("a", 1)
+        assert not one.replica_manager.followed
+        assert not other.replica_manager.followed
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_source_and_its_follower_tell_each_other_which_engines_are_slow():
@@ -163,104 +164,104 @@
         now_seconds = follower.now_seconds()
         source.paces.note("e1", 0.12, now_seconds)
         follower.paces.note("e2", 0.13, now_seconds)
-        await follower.follower.ask("a", 1)
+        await follower.follower.poll_source("a", 1)
         assert follower.paces.get("e1", now_seconds) == 0.12
         assert source.paces.get("e2", now_seconds) == 0.13
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_source_whose_copy_nobody_vouches_for_is_not_followed():
     async def scenario(source, follower):
         source.put("p/x", 5, age_seconds=10.0)
-        await follower.follower.ask("a", 1)
-        assert not follower.keeper.followed
+        await follower.follower.poll_source("a", 1)
+        assert not follower.replica_manager.followed
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_daemon_that_knows_nothing_yet_is_not_taken_for_a_dead_one():
     async def scenario(source, follower):
-        await follower.follower.ask("a", 1)
-        assert not follower.keeper.followed
-        assert not follower.follower.choice._failed
+        await follower.follower.poll_source("a", 1)
+        assert not follower.replica_manager.followed
+        assert not follower.follower.selector._failed
         source.put("p/x", 5)
-        await follower.follower.ask("a", 1)
-        assert follower.keeper.followed == "a"
+        await follower.follower.poll_source("a", 1)
+        assert follower.replica_manager.followed == "a"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_waiting_follower_hears_of_each_round_of_the_services_word():
     async def scenario(source, follower):
         source.put("p/x", 5)
-        await follower.follower.ask("a", 1)
-        waiting = asyncio.create_task(follower.follower.ask("a", 1))
+        await follower.follower.poll_source("a", 1)
+        waiting = asyncio.create_task(follower.follower.poll_source("a", 1))
         await asyncio.sleep(0.1)
         before_seconds = follower.age_seconds()
         # The service said once more that nothing has changed.
-        source.copies._round_seconds -= 1.0
-        source.copies.confirm(PREFIX, source.now_seconds())
+        source.replicas._round_confirmed_at_seconds -= 1.0
+        source.replicas.confirm(PREFIX, source.now_seconds())
         await waiting
         assert follower.age_seconds() < before_seconds
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("first_dies", [False, True])
-def test_a_fleet_agrees_on_one_daemon_that_watches(first_dies):
+@pytest.mark.parametrize("root_dies", [False, True])
+def test_a_fleet_agrees_on_one_daemon_that_watches(root_dies):
     async def scenario(*daemons):
         kv = KvStore()
         for daemon in daemons:
             daemon.context.daemon.kv = WatchedKv(kv, daemon.context.rng, KvFaults())
-        duties = [asyncio.create_task(daemon.keeper.run()) for daemon in daemons]
+        tasks = [asyncio.create_task(daemon.replica_manager.run()) for daemon in daemons]
         async with asyncio.timeout(8.0):
-            await settled(daemons)
-            if first_dies:
-                root = next(n for n, d in enumerate(daemons) if not d.keeper.followed)
-                duties[root].cancel()
+            await wait_until_settled(daemons)
+            if root_dies:
+                root = next(n for n, d in enumerate(daemons) if not d.replica_manager.followed)
+                tasks[root].cancel()
                 await daemons[root].stop()
-                left = [daemon for daemon in daemons if daemon is not daemons[root]]
-                await settled(left, without=daemons[root].context.daemon_name)
-        for duty in duties:
-            duty.cancel()
-        await asyncio.gather(*duties, return_exceptions=True)
+                remaining = [daemon for daemon in daemons if daemon is not daemons[root]]
+                await wait_until_settled(remaining, excluding=daemons[root].context.daemon_name)
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def settled(daemons, without: str = "") -> None:
+    async def wait_until_settled(daemons, excluding: str = "") -> None:
         """Wait until one daemon has no other to follow, and the others follow live ones."""
         while True:
-            followed = [daemon.keeper.followed for daemon in daemons]
-            whole = all(daemon.keeper.is_complete for daemon in daemons)
-            if whole and followed.count("") == 1 and without not in set(followed) - {""}:
+            followed = [daemon.replica_manager.followed for daemon in daemons]
+            run_daemons = all(daemon.replica_manager.is_complete for daemon in daemons)
+            if run_daemons and followed.count("") == 1 and excluding not in set(followed) - {""}:
                 return
             await asyncio.sleep(0.02)
 
-    play(scenario, 4)
+    run_scenario(scenario, 4)
 
 
 def test_a_daemon_with_more_room_becomes_the_root():
     async def scenario(source, follower):
         entries = follower.context.member_entries
         entries["a"] = make_member(room=0.5)
-        assert follower.follower._present_tree().root == "a"
+        assert follower.follower._current_tree().root == "a"
         members = follower.context.daemon.membership
         entry = VmEntry("e", "127.0.0.1", 1, "z", False)
         entries["e"] = make_member(room=0.9)
         members.learn_listed([entry], 0.0)
-        assert follower.follower._present_tree().root == "e"
+        assert follower.follower._current_tree().root == "e"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_follower_hears_through_its_source_that_the_service_is_back():
     async def scenario(source, follower):
         source.put("p/x", 5)
         follower.context.contact.failed(follower.now_seconds(), "no answer")
-        await follower.follower.ask("a", 1)
+        await follower.follower.poll_source("a", 1)
         # What the source last heard is older than the failure.
         assert follower.context.contact.is_away
         source.put("p/y", 6)
-        await follower.follower.ask("a", 1)
+        await follower.follower.poll_source("a", 1)
         assert not follower.context.contact.is_away
 
-    play(scenario)
+    run_scenario(scenario)
--- a/rackswitch/gateway/store/watching.py
+++ b/rackswitch/gateway/store/watching.py
@@ -8,7 +8,7 @@
 
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.engine_paces import EnginePaces
-from rackswitch.gateway.store.peer_replicas import PeerFollower
+from rackswitch.gateway.store.peer_follower import PeerFollower
 from rackswitch.gateway.store.replica_server import ReplicaServer
 from rackswitch.gateway.store.replica_set import ReplicaHandlers, ReplicaSet
 from rackswitch.gateway.store.replicas import PrefixReplica
@@ -37,7 +37,7 @@
         Answers daemons that follow this one.
     """
 
-    __slots__ = ("_copies", "_follower", "_watch", "server")
+    __slots__ = ("_replicas", "_follower", "_watch", "server")
 
     def __init__(
         self,
@@ -46,30 +46,30 @@
         paces: EnginePaces,
         members_prefix: str,
     ):
-        self._copies = ReplicaSet(handlers)
-        self._watch = ServiceWatch(context, self._copies, members_prefix)
-        self._follower = PeerFollower(context, self._copies, self._watch, paces, members_prefix)
-        self.server = ReplicaServer(context, self._copies, paces, self._watch)
+        self._replicas = ReplicaSet(handlers)
+        self._watch = ServiceWatch(context, self._replicas, members_prefix)
+        self._follower = PeerFollower(context, self._replicas, self._watch, paces, members_prefix)
+        self.server = ReplicaServer(context, self._replicas, paces, self._watch)
 
     @property
     def copies(self) -> dict[str, PrefixReplica]:
         """The copies, by prefix."""
-        return self._copies.by_prefix
+        return self._replicas.by_prefix
 
     @property
     def is_complete(self) -> bool:
         """Whether the service has vouched for every copy."""
-        return self._copies.is_complete
+        return self._replicas.is_complete
 
     @property
     def followed(self) -> str:
         """The daemon whose copies are taken over; empty if the service is watched itself."""
-        return self._follower.choice.followed
+        return self._follower.selector.followed
 
     @property
     def looked(self) -> asyncio.Event:
         """Set once this daemon has looked who else is there, and for a predecessor's entry."""
-        return self._follower.looked
+        return self._follower.members_read
 
     async def run(self) -> None:
         """Keep the copies current until cancelled."""
