--- a/rackswitch/gateway/store/__init__.py
+++ b/rackswitch/gateway/store/__init__.py
@@ -1,1 +1,1 @@
-"""The key-value service: the ways to it, this daemon's session, and copies of its entries."""
+"""The key-value service: paths to it, this daemon's leases, and replicas of its entries."""
--- a/rackswitch/gateway/store/control_entries.py
+++ b/rackswitch/gateway/store/control_entries.py
@@ -1,4 +1,4 @@
-"""Handing on what daemons write for each other: members, jobs, owners and orders."""
+"""Dispatch of the control entries that daemons write for each other."""
 
 import msgspec
 
@@ -21,29 +21,29 @@
 __all__ = ["CONTROL_PREFIX", "ControlEntries"]
 
 CONTROL_PREFIX = "control/"
-"""Members, job markers, job owners and records of orders: small entries that every daemon
-follows."""
+"""Prefix of members, job markers, job owners, roles, orders and quarantine records: small entries
+that every daemon replicates."""
 
 
 class ControlEntries:
-    """Takes in the entries under `CONTROL_PREFIX`.
+    """Dispatches the entries under `CONTROL_PREFIX`.
 
     Parameters
     ----------
     context : GatewayContext
-        The daemon, whose membership learns of members.
+        The daemon, whose membership receives the members.
     jobs : JobManager
-        Told of jobs and their owners.
+        Receives job markers and owners.
     versions : VersionManager
-        Told of the records of orders.
+        Receives the records of orders.
     roles : RoleEntries
-        Told which roles have a holder.
-    keeper : RoleManager
-        Told of holders, of whom an earlier process of this daemon may be one.
+        Receives which roles have a holder.
+    role_manager : RoleManager
+        Receives the holders, and ends the lease of an earlier process of this daemon.
     duty_turns : TurnManager
-        Told who calls the operators' API.
+        Receives the record of who calls the operators' API.
     quarantine : QuarantineManager
-        Told of targets that ended, and of requests on trial.
+        Receives the ends of targets and the requests on trial.
     """
 
     __slots__ = (
@@ -79,13 +79,13 @@
         self._members_changed = False
 
     def handlers(self) -> ReplicaHandlers:
-        """Return what takes in the entries."""
+        """Return the handlers of the entries."""
         return ReplicaHandlers(self._put, self._deleted, on_batch_end=self._update_membership)
 
     def _put(self, entry: KvEntry) -> None:
-        """Hand an entry on; one that nobody of this fleet wrote changes nothing.
+        """Dispatch an entry; log and ignore one that cannot be decoded.
 
-        Raised here, it would end the daemon: following the service is a duty.
+        An exception raised here would end the daemon.
         """
         try:
             self._dispatch(entry)
@@ -136,10 +136,9 @@
         self._context.member_entries[name] = member
 
     def _update_membership(self) -> None:
-        """Tell of the members once, whatever number of entries came together.
+        """Update the membership once for each batch of entries.
 
-        A fleet's whole list taken in again for each of 330 entries of a first reading is some
-        100,000 steps on a starting daemon.
+        An update for each entry would make the first snapshot quadratic in the fleet's size.
         """
         if not self._members_changed:
             return
--- a/rackswitch/gateway/store/lease_renewal.py
+++ b/rackswitch/gateway/store/lease_renewal.py
@@ -1,4 +1,4 @@
-"""Renewing a lease of this daemon, and noting how that went."""
+"""Renewal of this daemon's leases, with a record of the outcome."""
 
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.context import GatewayContext
@@ -18,7 +18,7 @@
         return True
     context.contact.answered(context.now_seconds())
     if lease_id != (lease.lease_id or 0):
-        # Another call has shown meanwhile that this one was over.
+        # Another call has found in the meantime that this lease is over.
         return True
     if renewal:
         lease.renewed(requested_at_seconds)
@@ -31,7 +31,7 @@
 def record_lease_failure(
     context: GatewayContext, lease: SessionLease, failure: KvUnavailable | None
 ) -> None:
-    """Note that a call about a lease failed; None if the service answered and did not do it."""
+    """Record a failed call about a lease; `failure` is None if the service rejected the call."""
     now_seconds = context.now_seconds()
     if failure is not None:
         context.contact.failed(now_seconds, failure.detail)
--- a/rackswitch/gateway/store/member_entries.py
+++ b/rackswitch/gateway/store/member_entries.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of themselves in the key-value service."""
+"""Membership entries, which daemons store about themselves in the key-value service."""
 
 import msgspec
 
@@ -10,16 +10,17 @@
 
 
 class MemberEntry(msgspec.Struct, frozen=True):
-    """What a daemon tells the others about itself.
+    """A daemon's membership entry.
 
     Attributes
     ----------
     lease_id : int
-        The lease that the entry is on; the daemon's next process goes on with it.
+        The lease of the entry, which the daemon's next process reuses.
     leaving : bool
-        Whether it is stopping as planned: it takes no jobs and no roles, and gives its own away.
+        Whether the daemon is stopping as planned: it takes no jobs or roles and hands over its
+        own.
     processor_share : float
-        Part of a processor that its VM has; 0 if that is not known.
+        Share of a processor that its VM has; 0 if unknown.
     """
 
     host: str
@@ -32,15 +33,15 @@
 
 
 def decode_member(value: bytes) -> MemberEntry:
-    """Return what a member tells about itself."""
+    """Return the membership entry stored as `value`."""
     return msgspec.json.decode(value, type=MemberEntry)
 
 
 def member_address(name: str, entry: MemberEntry) -> MemberUpdate:
-    """Return where a member is reached."""
+    """Return a member's address as a membership update."""
     return MemberUpdate(name, entry.host, entry.peer_port, entry.zone, 0, MemberState.ALIVE)
 
 
 def vm_entry(name: str, entry: MemberEntry) -> VmEntry:
-    """Return a member's entry as the membership takes it."""
+    """Return a member's entry in the form that the membership expects."""
     return VmEntry(name, entry.host, entry.peer_port, entry.zone, entry.leaving)
--- a/rackswitch/gateway/store/peer_follower.py
+++ b/rackswitch/gateway/store/peer_replicas.py
@@ -1,4 +1,4 @@
-"""Keeping copies current from another daemon."""
+"""Keeping replicas current by following another daemon."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,40 +19,44 @@
 __all__ = ["PeerFollower"]
 
 FOLLOW_WAIT_SECONDS = 0.8
-"""How long a follower's question is held open: somewhat longer than a watch of the service, whose
-round answers it otherwise."""
+"""How long the source holds a follower's request open; somewhat longer than a watch of the
+service, so that the request is usually answered by the next change or confirmation."""
 
 FOLLOW_SLACK_SECONDS = 0.3
-"""How much later than that an answer may come before the other daemon counts as silent."""
+"""Additional time after which a request to the source fails with a timeout."""
 
 POLL_INTERVAL_SECONDS = 0.1
-"""Between looks of a daemon that has nobody to ask now: as long as a daemon that is not ready
-is left alone."""
+"""Interval between checks for a source while none is available."""
 
 RECOVERY_WINDOW_SECONDS = 1.0
-"""For so long after the service's return, daemons whose copies are still old are asked again after
-a short pause only; otherwise they are left alone for as long as this."""
+"""How long after the service is reachable again stale sources have only a short cooldown."""
 
 STARTUP_MEMBER_READS = 5
-"""Readings of the members, a tenth of a call each, by which a daemon looks for others at its
-start before it takes itself for the only one."""
+"""How often a starting daemon reads the members before it assumes that there are no others."""
 
 
 class PeerFollower:
-    """Follows the daemon that the tree names, and has the service watched where it must be.
+    """Follows a source in the distribution tree, and enables the service watch if needed.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    copies : ReplicaSet
-        What is kept current.
+    replicas : ReplicaSet
+        The replicas to keep current.
     watch : ServiceWatch
-        Switched on while this daemon must watch the service by itself.
+        Enabled while this daemon has to watch the service itself.
     paces : EnginePaces
-        Told along with the copies, both ways.
+        Engines' paces, exchanged with the source in both directions.
     members_prefix : str
-        The prefix that tells of the other daemons.
+        The prefix that contains the membership entries.
+
+    Attributes
+    ----------
+    selector : SourceSelector
+        Selects the source to follow.
+    members_read : asyncio.Event
+        Set once the members have been read for the first time.
     """
 
     __slots__ = (
@@ -95,10 +99,10 @@
             await self._follow_once()
 
     async def _read_initial_state(self) -> None:
-        """Learn how things were lately, from readings that may be old: they cost a tenth.
+        """Read the initial state, which may be stale, since stale reads are cheaper.
 
-        So a daemon that comes back serves callers at once. What it follows then tells what has
-        changed since.
+        A restarted daemon can thus serve callers at once; it receives later changes from its
+        source or its watch.
         """
         others = [prefix for prefix in self._replicas.by_prefix if prefix != self._members_prefix]
         await asyncio.gather(
@@ -115,13 +119,13 @@
             await asyncio.sleep(POLL_INTERVAL_SECONDS * (0.5 + self._context.rng.random()))
 
     async def _read_stale(self, prefix: str) -> None:
-        """Take in a reading of a prefix that may be old; nobody vouches for it."""
+        """Apply a possibly stale snapshot of a prefix, without confirming the replica."""
         read = await self._context.kv.read(prefix, is_prefix=True, may_be_stale=True)
         if not isinstance(read, KvUnavailable):
             self._replicas.apply_snapshot(prefix, read.entries, read.revision)
 
     async def _follow_once(self) -> None:
-        """Decide whom to follow now, and ask that daemon once."""
+        """Select a source and poll it once, or wait if there is none."""
         tree = self._current_tree()
         own = self._context.daemon_name
         sources, level = tree.sources(own), tree.level(own)
@@ -138,10 +142,10 @@
             await self.poll_source(name, level)
 
     def _retry_sources_after_outage(self) -> None:
-        """Ask all sources again at once when the service is back.
+        """Clear the cooldowns of all sources once the service is reachable again.
 
-        After an outage for all, every daemon that waited to ask again would watch the service by
-        itself meanwhile, when everything in it changes.
+        Otherwise, after an outage of the whole fleet, every daemon would watch the service itself
+        until its sources' cooldowns end, at a time of many changes.
         """
         back_seconds = self._context.contact.back_seconds
         if back_seconds > self._recovered_at_seconds:
@@ -158,9 +162,9 @@
         return self._tree
 
     async def poll_source(self, name: str, level: int) -> None:
-        """Ask another daemon for what changed, and note how that went.
+        """Request changes from another daemon and record the outcome.
 
-        One that is followed already holds the question open; a new one answers at once.
+        The source that is followed already holds the request open; a new one replies at once.
         """
         peer = self._context.daemon.membership.address(name)
         if peer is None:
@@ -188,7 +192,7 @@
             self._context.log.write(Follows(daemon_followed=name))
 
     def _record_stale_source(self, name: str, now_seconds: float) -> None:
-        """Leave a daemon alone that has only old word, shortly while the service is just back."""
+        """Start the cooldown of a stale source: a short one soon after an outage."""
         if now_seconds < self._recovered_at_seconds + RECOVERY_WINDOW_SECONDS:
             self.selector.not_ready(name, now_seconds)
         else:
@@ -206,40 +210,40 @@
     def _record_follow_failure(
         self, record_failure: Callable[[str, float], None], name: str, reason: str
     ) -> None:
-        """Note with the choice that a daemon cannot be followed, and log why."""
+        """Record that a daemon cannot be followed, and log why."""
         record_failure(name, self._context.now_seconds())
         self._context.log.write(CannotFollow(daemon_asked=name, reason=reason))
 
     def _apply_reply(
         self, reply: pb.FollowReply, requested_at_seconds: float, now_seconds: float
     ) -> float:
-        """Take in a reply; return how old (seconds) the oldest word of the service in it is.
+        """Apply a reply; return the age (seconds) of its oldest confirmation by the service.
 
-        A word has also aged on its way, which took the time of the call but for that which the
-        other daemon held it: without that each slow link on the tree makes it younger.
+        The age includes the time in transit: the duration of the call less the time for which the
+        other daemon held the request. Otherwise replicas would seem fresher after each hop.
         """
         transit_seconds = max(0.0, now_seconds - requested_at_seconds - reply.held_ms / 1000)
         oldest_seconds = 0.0
-        for news in reply.news:
-            replica = self._replicas.by_prefix.get(news.prefix)
+        for message in reply.news:
+            replica = self._replicas.by_prefix.get(message.prefix)
             if replica is None:
                 continue
-            if news.revision > replica.revision:
-                self._apply_prefix_changes(news)
-            age_seconds = news.age_ms / 1000 + transit_seconds
-            # The other daemon's revision may be behind this copy's for a moment, after this
-            # daemon has watched the service itself; its word counts if it is fresh.
+            if message.revision > replica.revision:
+                self._apply_prefix_changes(message)
+            age_seconds = message.age_ms / 1000 + transit_seconds
+            # After this daemon has watched the service itself, the source's revision may be older
+            # than this replica's for a moment; the source's age counts nevertheless.
             oldest_seconds = max(oldest_seconds, age_seconds)
-            if news.revision >= replica.revision:
-                self._replicas.confirm(news.prefix, now_seconds - age_seconds)
+            if message.revision >= replica.revision:
+                self._replicas.confirm(message.prefix, now_seconds - age_seconds)
         if self._context.policy.calls_through_peers:
             self._context.contact.record_peer_contact(now_seconds - oldest_seconds, now_seconds)
         self._paces.hear(reply.paces, now_seconds)
         return oldest_seconds
 
-    def _apply_prefix_changes(self, news: pb.CopyNews) -> None:
-        changes = decode_changes(news)
-        if news.whole:
-            self._replicas.apply_snapshot(news.prefix, changes.entries, news.revision)
+    def _apply_prefix_changes(self, message: pb.CopyNews) -> None:
+        changes = decode_changes(message)
+        if message.whole:
+            self._replicas.apply_snapshot(message.prefix, changes.entries, message.revision)
         else:
-            self._replicas.apply_changes(news.prefix, changes)
+            self._replicas.apply_changes(message.prefix, changes)
--- a/rackswitch/gateway/store/presence.py
+++ b/rackswitch/gateway/store/presence.py
@@ -1,7 +1,7 @@
-"""This daemon's entry among the members, by which the others know and reach it.
+"""This daemon's membership entry, through which other daemons discover and reach it.
 
-The entry outlasts most trouble of the daemon and its way to the service. Nothing that must go
-with the daemon hangs on it: jobs are owned under the lease of a `Session`, roles under their own.
+The entry outlives short failures of the daemon or its connection to the service. Jobs and roles
+do not depend on it: jobs are owned under the lease of a `Session`, roles under their own leases.
 """
 
 import asyncio
@@ -22,28 +22,27 @@
 __all__ = ["Presence"]
 
 LEASE_TTL_SECONDS = 15.0
-"""Life of the entry's lease. With 2 s the renewals of 165 daemons were a quarter of a calm day's
-calls (14,850, a tenth each, of 5,703 in all). Who calls a daemon that is gone finds that out by
-the call; only one that never comes back leaves its entry behind, for so long."""
+"""TTL of the entry's lease: long, to save renewals. A call to a daemon that is gone fails by
+itself, so a stale entry does little harm."""
 
 MIN_POLL_INTERVAL_SECONDS = 0.1
-"""Between two looks whether the lease is due."""
+"""Minimum delay between checks whether the lease is due for renewal."""
 
 LEAVING_TIMEOUT_SECONDS = 0.4
-"""How long a stop waits for the service to take the word that this daemon leaves."""
+"""How long a planned stop waits for the service to store that this daemon is leaving."""
 
 
 class Presence:
-    """Keeps this daemon's entry among the members.
+    """Maintains this daemon's membership entry.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     peer_port : int
-        Where other daemons reach this one.
-    looked : asyncio.Event
-        Set once the members have been looked at, a predecessor's entry among them.
+        Port on which other daemons reach this one.
+    members_read : asyncio.Event
+        Set once the members have been read, including an entry of an earlier process.
     """
 
     __slots__ = ("_context", "_members_read", "_peer_port", "lease")
@@ -55,11 +54,11 @@
         self.lease = SessionLease(max(LEASE_TTL_SECONDS, context.settings.lease_least_seconds))
 
     def is_sure(self) -> bool:
-        """Return whether the entry is known to last at this moment."""
+        """Return whether the entry's lease is known to be valid now."""
         return self.lease.is_sure(self._context.now_seconds())
 
     async def run(self) -> None:
-        """Make the entry and keep it."""
+        """Create the entry and renew its lease until cancelled."""
         await self._members_read.wait()
         await self._resume_predecessor_lease()
         while True:
@@ -71,10 +70,9 @@
             await asyncio.sleep(max(MIN_POLL_INTERVAL_SECONDS, remaining_seconds))
 
     async def tell_leaving(self) -> None:
-        """Tell the others that this daemon is stopping, so that they take over at once.
+        """Announce that this daemon is stopping, so that others take over its jobs at once.
 
-        A job that is handed over otherwise waits for its former owner to come back for it:
-        0.46 to 1.56 s (47 hand-overs on 30 days).
+        Otherwise they would first wait for it to resume the jobs itself.
         """
         if self.lease.lease_id is None:
             return
@@ -82,7 +80,7 @@
             async with asyncio.timeout(LEAVING_TIMEOUT_SECONDS):
                 result = await self._put_entry(self.lease.lease_id)
         except TimeoutError:
-            # Then the others wait as for a daemon that may come back.
+            # The others then wait, as they do for a daemon that may recover.
             result = KvUnavailable("no answer in time", effect_unknown=True)
         outcome = result.detail if isinstance(result, KvUnavailable) else "told"
         self._context.log.write(LeavingTold(outcome=outcome))
@@ -92,9 +90,9 @@
         return MEMBERS_PREFIX + self._context.daemon_name
 
     async def _resume_predecessor_lease(self) -> None:
-        """Go on with the lease of an earlier process of this daemon, if it lasts.
+        """Reuse the lease of an earlier process of this daemon if it is still valid.
 
-        That costs a renewal and one write, in place of the end of a lease, a new one and a write.
+        This saves revoking that lease and acquiring a new one.
         """
         entry = self._context.member_entries.get(self._context.daemon_name)
         if entry is None:
@@ -109,7 +107,7 @@
             self._context.log.write(EntryContinued(lease=entry.lease_id))
 
     async def _put_entry(self, lease_id: int) -> list[TxnPartDone] | KvUnavailable:
-        """Write this daemon's entry among the members, on a lease."""
+        """Write this daemon's membership entry under a lease."""
         entry = MemberEntry(
             self._context.settings.host,
             self._peer_port,
--- a/rackswitch/gateway/store/reachability.py
+++ b/rackswitch/gateway/store/reachability.py
@@ -15,18 +15,18 @@
 
 @dataclass(slots=True)
 class StoreReachability:
-    """Contact with the key-value service, as its calls show it.
+    """Whether the key-value service is reachable, judged by the outcome of calls to it.
 
     Attributes
     ----------
     away_since_seconds : float or None
-        When the first of the calls that went unanswered was made; None while all is well.
+        When the first call of the current outage failed; None while the service is reachable.
     back_seconds : float
-        When the service last answered again after being away; minus infinity if never.
+        When the service last became reachable again; minus infinity if never.
     outage : OutageTracker
-        How long the service was away before, and is now.
-    failed_seconds : float
-        When the last call went unanswered; minus infinity if none ever did.
+        Durations of the current and of earlier outages.
+    last_failure_at_seconds : float
+        When the last call failed; minus infinity if none has.
     """
 
     log: DecisionLog
@@ -37,18 +37,18 @@
 
     @property
     def is_away(self) -> bool:
-        """Whether the last call went unanswered."""
+        """Whether the service is unreachable."""
         return self.away_since_seconds is not None
 
     def note(self, now_seconds: float, answer: object) -> None:
-        """Note what a call brought: `KvUnavailable`, or else an answer."""
+        """Record the outcome of a call: `KvUnavailable`, or else an answer."""
         if isinstance(answer, KvUnavailable):
             self.failed(now_seconds, answer.detail)
         else:
             self.answered(now_seconds)
 
     def answered(self, now_seconds: float) -> None:
-        """Note an answer."""
+        """Record that the service answered."""
         if self.away_since_seconds is None:
             return
         away_seconds = now_seconds - self.away_since_seconds
@@ -58,16 +58,16 @@
         self.log.write(DependencyRegained(dependency=KEY_VALUE, away_seconds=away_seconds))
 
     def record_peer_contact(self, at_seconds: float, now_seconds: float) -> None:
-        """Note that the service answered another daemon at a moment, which passes calls on.
+        """Record that the service answered another daemon at `at_seconds`.
 
-        A daemon that only follows others would learn of the service's return by its next renewal
-        alone, seconds later, and claim no jobs until then.
+        Peers forward calls, so the service is reachable through that daemon. Otherwise a follower
+        would notice this only at its next lease renewal, and claim no jobs until then.
         """
         if self.is_away and at_seconds > self.last_failure_at_seconds:
             self.answered(now_seconds)
 
     def failed(self, now_seconds: float, detail: str) -> None:
-        """Note a call without an answer."""
+        """Record a call that got no answer."""
         self.last_failure_at_seconds = now_seconds
         if self.away_since_seconds is not None:
             return
--- a/rackswitch/gateway/store/replica_server.py
+++ b/rackswitch/gateway/store/replica_server.py
@@ -1,4 +1,4 @@
-"""Serving daemons that keep their copies current from this one."""
+"""Serving replica changes to daemons that follow this one."""
 
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.engine_paces import EnginePaces
@@ -10,8 +10,9 @@
 __all__ = ["ReplicaServer", "paces_to_send"]
 
 STARTUP_HOLD_SECONDS = 0.25
-"""How long a daemon that knows nothing yet holds a follower's question, so that after a loss of all
-daemons what the first one reads passes down the tree at once: shorter than the follower's slack."""
+"""How long a daemon without complete replicas holds a follower's request, so that the first
+snapshot after a start of the whole fleet reaches followers at once. Shorter than the follower's
+`FOLLOW_SLACK_SECONDS`."""
 
 
 class ReplicaServer:
@@ -21,12 +22,12 @@
     ----------
     context : GatewayContext
         The daemon.
-    copies : ReplicaSet
-        What is told.
+    replicas : ReplicaSet
+        The replicas whose changes are served.
     paces : EnginePaces
-        Told along with the copies, both ways.
+        Engines' paces, exchanged with followers in both directions.
     watch : ServiceWatch
-        Whether the service answers this daemon, if it is this one that watches it.
+        Tells whether this daemon, as the root, is cut off from the service.
     """
 
     __slots__ = ("_context", "_replicas", "_paces", "_watch")
@@ -40,11 +41,10 @@
         self._paces = paces
 
     async def serve(self, request: pb.FollowRequest) -> pb.FollowReply:
-        """Answer at once if the follower misses something, else with the service's next word.
+        """Reply at once if the follower lacks changes, else at the next change or confirmation.
 
-        A daemon that turns out to be cut off from the service says so at once: in six runs of 40
-        daemons whose root was turned away, a change then reached all others after 0.78 to 0.90 s
-        with 4 to 5 calls, and after 1.6 to 1.9 s with 35 to 132 when left to the word's age.
+        If this daemon is cut off from the service, it replies at once as well, so that followers
+        switch to another source before the replicas' age shows the outage.
         """
         self._paces.hear(request.paces, self._context.now_seconds())
         if not await self._wait_until_complete():
@@ -64,7 +64,7 @@
         return reply
 
     async def _wait_until_complete(self) -> bool:
-        """Wait a little for the first word of the service; return whether it is there."""
+        """Wait briefly for complete replicas; return whether they are complete."""
         deadline_seconds = self._context.now_seconds() + STARTUP_HOLD_SECONDS
         while not self._replicas.is_complete:
             if not await self._replicas.wait_for_update(deadline_seconds):
@@ -83,7 +83,7 @@
                 return
 
     def _has_changes(self, revisions: dict[str, int]) -> bool:
-        """Return whether a follower misses entries; a mere rise of the revision can wait."""
+        """Return whether a follower lacks entries; a higher revision alone does not count."""
         for prefix, revision in revisions.items():
             replica = self._replicas.by_prefix.get(prefix)
             changes = replica.changes_since(revision) if replica is not None else None
@@ -93,5 +93,5 @@
 
 
 def paces_to_send(context: GatewayContext, paces: EnginePaces) -> list[pb.EnginePace]:
-    """Return the paces of engines that go along with copies."""
+    """Return the engines' paces to send with replica changes."""
     return paces.to_tell(context.now_seconds()) if context.policy.paces_told else []
--- a/rackswitch/gateway/store/replica_set.py
+++ b/rackswitch/gateway/store/replica_set.py
@@ -1,4 +1,4 @@
-"""The copies of all followed prefixes, and the signals by which others learn of changes."""
+"""The replicas of all followed prefixes, and notifications of their changes."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -10,19 +10,24 @@
 __all__ = ["ReplicaHandlers", "ReplicaSet"]
 
 CONFIRMATION_STEP_SECONDS = 0.5
-"""By how much newer the service's word must be before daemons that wait for news are told it
-without any: somewhat less than a watch's time, so that they hear of each round of watches once,
-and the word is hardly older at the last step of the tree than at the first."""
+"""Minimum time between confirmations sent to waiting followers when nothing has changed. Somewhat
+less than the duration of a watch, so that each round of watches is passed on once."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaHandlers:
-    """Who is told of changes under a prefix, and of when the service last vouched for it.
+    """Handlers of changes under a prefix and of confirmations by the service.
 
     Attributes
     ----------
-    on_told : callable
-        Called once after all changes that came together.
+    on_put : callable
+        Called with each entry that was added or changed.
+    on_deleted : callable
+        Called with the key of each deleted entry.
+    on_confirmed : callable
+        Called with the time (monotonic) at which the service last confirmed the replica.
+    on_batch_end : callable
+        Called once after all changes of a batch.
     """
 
     on_put: Callable[[KvEntry], None]
@@ -32,21 +37,21 @@
 
 
 class ReplicaSet:
-    """The copies of one daemon.
+    """The replicas of one daemon.
 
     Parameters
     ----------
     handlers : dict of str to ReplicaHandlers
-        Who is told, by prefix.
+        Handlers of changes, by prefix.
 
     Attributes
     ----------
     by_prefix : dict of str to PrefixReplica
-        The copies.
-    told : asyncio.Event
-        Set when there is news for others, and replaced then.
-    rounds : int
-        How often the service's word for all copies became newer by a step.
+        The replicas.
+    updated : asyncio.Event
+        Set, and replaced by a new event, when waiting tasks have to check for changes.
+    confirmation_rounds : int
+        How often the oldest confirmation advanced by at least `CONFIRMATION_STEP_SECONDS`.
     """
 
     __slots__ = (
@@ -66,24 +71,24 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the service has vouched for every copy, directly or through others."""
+        """Whether the service has confirmed every replica, directly or through other daemons."""
         return self.oldest_confirmed_at_seconds() > float("-inf")
 
     def oldest_confirmed_at_seconds(self) -> float:
-        """Return when (monotonic) the service vouched for the copy that it did longest ago."""
+        """Return the oldest confirmation time (monotonic) of all replicas."""
         return min(replica.confirmed_at_seconds for replica in self.by_prefix.values())
 
     def apply_snapshot(self, prefix: str, entries: Iterable[KvEntry], revision: int) -> None:
-        """Take in all entries under a prefix."""
+        """Replace a replica by a snapshot of all entries under its prefix."""
         self._notify_handlers(prefix, self.by_prefix[prefix].replace(entries, revision))
 
-    def apply_changes(self, prefix: str, news: WatchNews) -> None:
-        """Take in changes under a prefix."""
-        self.by_prefix[prefix].apply(news)
-        self._notify_handlers(prefix, news)
+    def apply_changes(self, prefix: str, update: WatchNews) -> None:
+        """Apply changes under a prefix."""
+        self.by_prefix[prefix].apply(update)
+        self._notify_handlers(prefix, update)
 
     def confirm(self, prefix: str, at_seconds: float) -> None:
-        """Note that the service vouched for a copy at a moment (monotonic)."""
+        """Record that the service confirmed a replica at `at_seconds` (monotonic)."""
         replica = self.by_prefix[prefix]
         replica.confirmed_at_seconds = max(replica.confirmed_at_seconds, at_seconds)
         self._handlers[prefix].on_confirmed(replica.confirmed_at_seconds)
@@ -94,7 +99,7 @@
             self.notify_waiters()
 
     async def wait_for_update(self, deadline_seconds: float) -> bool:
-        """Wait for news for others; return False if there is none before a moment (monotonic)."""
+        """Wait for a change or confirmation; return False if the deadline (monotonic) passes."""
         try:
             async with asyncio.timeout_at(deadline_seconds):
                 await self.updated.wait()
@@ -102,17 +107,17 @@
             return False
         return True
 
-    def _notify_handlers(self, prefix: str, news: WatchNews) -> None:
+    def _notify_handlers(self, prefix: str, update: WatchNews) -> None:
         handlers = self._handlers[prefix]
-        for entry in news.entries:
+        for entry in update.entries:
             handlers.on_put(entry)
-        for key in news.deleted:
+        for key in update.deleted:
             handlers.on_deleted(key)
         handlers.on_batch_end()
-        if news.entries or news.deleted:
+        if update.entries or update.deleted:
             self.notify_waiters()
 
     def notify_waiters(self) -> None:
-        """Have all who wait for news look again."""
+        """Wake all waiting tasks so that they check for changes."""
         self.updated.set()
         self.updated = asyncio.Event()
--- a/rackswitch/gateway/store/replicas.py
+++ b/rackswitch/gateway/store/replicas.py
@@ -1,7 +1,6 @@
-"""A copy of all keys under a prefix of the key-value service, with its latest changes.
+"""Replica of all keys under a prefix of the key-value service, with its latest changes.
 
-A daemon that follows the service keeps the copy current, and hands changes on
-to daemons that follow it in turn.
+A daemon keeps the replica current and passes its changes on to daemons that follow it.
 """
 
 from collections import deque
@@ -13,12 +12,12 @@
 __all__ = ["PrefixReplica", "ReplicaChanges"]
 
 MAX_REMEMBERED_CHANGES = 2000
-"""Changes kept for followers; a follower seldom lags by more than a few."""
+"""Changes kept for followers; one that lags further gets all entries."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaChanges:
-    """What a follower misses; `whole` if the entries are all there are."""
+    """Changes that a follower lacks; if `is_complete`, all entries of the replica instead."""
 
     revision: int
     entries: tuple[KvEntry, ...]
@@ -40,9 +39,9 @@
     Attributes
     ----------
     revision : int
-        The service's revision that the copy is complete up to; 0 before the first reading.
+        The service's revision up to which the replica is complete; 0 before the first snapshot.
     confirmed_at_seconds : float
-        When (monotonic) the service last vouched for the copy, directly or through another
+        When (monotonic) the service last confirmed the replica, directly or through another
         daemon.
     """
 
@@ -54,9 +53,9 @@
     _oldest_revision: int = 0
 
     def replace(self, entries: Iterable[KvEntry], revision: int) -> WatchNews:
-        """Take in a whole reading; return what it changes.
+        """Replace the entries by a snapshot; return the changes.
 
-        An older reading than the copy changes nothing.
+        A snapshot older than the replica changes nothing.
         """
         if revision < self.revision:
             return WatchNews((), self.revision)
@@ -67,29 +66,29 @@
             if key not in self.entries or self.entries[key].mod_revision != entry.mod_revision
         )
         deleted = tuple(key for key in self.entries if key not in listed)
-        news = WatchNews(changed, revision, deleted)
-        self.apply(news)
-        return news
+        update = WatchNews(changed, revision, deleted)
+        self.apply(update)
+        return update
 
-    def apply(self, news: WatchNews) -> None:
-        """Take in changes."""
+    def apply(self, update: WatchNews) -> None:
+        """Apply changes."""
         if self.revision == 0:
-            self._oldest_revision = news.revision
-        self.revision = max(self.revision, news.revision)
-        for entry in news.entries:
+            self._oldest_revision = update.revision
+        self.revision = max(self.revision, update.revision)
+        for entry in update.entries:
             self.entries[entry.key] = entry
             self._changes.append(_Change(self.revision, entry.key, entry))
-        for key in news.deleted:
+        for key in update.deleted:
             self.entries.pop(key, None)
             self._changes.append(_Change(self.revision, key, None))
         while len(self._changes) > MAX_REMEMBERED_CHANGES:
             self._oldest_revision = self._changes.popleft().revision
 
     def changes_since(self, revision: int) -> ReplicaChanges | None:
-        """Return what a follower at a revision misses; None if that is nothing.
+        """Return the changes that a follower at `revision` lacks; None if there are none.
 
-        Changes are remembered under the revision that this copy had after them, which a
-        follower took over with them; so a follower never skips one.
+        Each change is stored with the replica's revision after its batch. A follower adopts that
+        revision together with the whole batch, so it never skips a change.
         """
         if self.revision == 0 or revision >= self.revision:
             return None
--- a/rackswitch/gateway/store/role_entries.py
+++ b/rackswitch/gateway/store/role_entries.py
@@ -1,17 +1,17 @@
-"""Who holds each role, as the copies of the key-value service tell."""
+"""Which roles have a holder, according to the replicas of the key-value service."""
 
 from dataclasses import dataclass, field
 
 __all__ = ["ROLES_PREFIX", "RoleEntries"]
 
 ROLES_PREFIX = "control/roles/"
-"""Roles of gateways lie where every daemon follows them. So nobody asks the service whether a role
-has become vacant: 48 calls of a calm day of 16 daemons, and one more by each daemon's start."""
+"""Prefix of the gateways' roles. Every daemon replicates it, so no calls are needed to find out
+whether a role is vacant."""
 
 
 @dataclass(slots=True)
 class RoleEntries:
-    """Since when roles have been vacant.
+    """Which roles are held, and since when the others have been vacant.
 
     Attributes
     ----------
@@ -23,12 +23,12 @@
     _vacant_since_seconds: dict[str, float] = field(default_factory=dict)
 
     def put(self, role: str) -> None:
-        """Note that a role has a holder."""
+        """Record that a role has a holder."""
         self.held.add(role)
         self._vacant_since_seconds.pop(role, None)
 
     def deleted(self, role: str) -> None:
-        """Note that a role has no holder any more."""
+        """Record that a role has no holder any more."""
         self.held.discard(role)
 
     def vacant_seconds(self, role: str, now_seconds: float) -> float | None:
--- a/rackswitch/gateway/store/service_watch.py
+++ b/rackswitch/gateway/store/service_watch.py
@@ -1,4 +1,4 @@
-"""Keeping copies current from the key-value service itself, while nobody can be followed."""
+"""Keeping replicas current by watching the key-value service itself."""
 
 import asyncio
 
@@ -11,24 +11,23 @@
 __all__ = ["ServiceWatch"]
 
 INITIAL_RETRY_DELAY_SECONDS = 0.1
-"""Pause after a broken watch; a change must be in force within 2 s, most of which a silent
-watch may have used up already."""
+"""Delay before the first retry after a failed watch; short, since a watch that timed out has
+already delayed changes."""
 
 MAX_RETRY_DELAY_SECONDS = 0.4
-"""The pause doubles up to this while tries fail: each try is a call that counts, and who waits
-for the service's return gains less than half of it by asking more often."""
+"""Upper bound of the exponential retry delay."""
 
 BATCH_DELAY_SECONDS = 0.05
-"""How long changes are gathered before the next question: a fleet that starts at once writes an
-entry for each daemon, each of which would be a call of its own."""
+"""Delay after changes before the watch continues, so that changes that follow each other closely
+(such as the entries of a starting fleet) arrive in one batch."""
 
 RECOVERY_GRACE_SECONDS = 0.4
-"""How long after the service's return the root's word may take to reach everybody; who watches
-only because nobody could be followed reads no more than it needs until then."""
+"""How long after the service is reachable again a daemon other than the root waits for the root's
+changes before it reads more than the members itself."""
 
 CUT_OFF_FAILURES = 2
-"""Calls in a row without an answer after which followers are told to look elsewhere. One alone may
-be a lost answer or a watch that the service has ended; the second follows 0.1 s later."""
+"""Consecutive failures after which followers are told to use another source. A single failure may
+be a lost answer or a watch that the service has ended."""
 
 
 class ServiceWatch:
@@ -38,11 +37,11 @@
     ----------
     context : GatewayContext
         The daemon.
-    copies : ReplicaSet
-        What is kept current.
+    replicas : ReplicaSet
+        The replicas to keep current.
     members_prefix : str
-        The prefix that tells of the other daemons. It is read before the others, since it may
-        show that there is somebody to follow; and it alone is tried while the service is away.
+        The prefix that contains the membership entries. It is read before the others, since it
+        may name a daemon to follow; while the service is unreachable, only this prefix is retried.
     """
 
     __slots__ = ("_context", "_replicas", "_failures", "_is_root", "_members_prefix", "_enabled")
@@ -57,21 +56,21 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether this daemon watches for the fleet and gets no answer.
+        """Whether this daemon is the root and gets no answer from the service.
 
-        One that watches because it could follow nobody does not say so: in an outage for all, each
-        would send those behind it to the service too.
+        Always false for a daemon that watches only because it has no source to follow: in an
+        outage of the whole fleet, it would send its followers to the service as well.
         """
         failures = self._failures[self._members_prefix]
         return self.is_enabled and self._is_root and failures >= CUT_OFF_FAILURES
 
     @property
     def is_enabled(self) -> bool:
-        """Whether the service is watched."""
+        """Whether this daemon watches the service."""
         return self._enabled.is_set()
 
     def set_enabled(self, enabled: bool, is_root: bool = False) -> None:
-        """Begin or cease to watch; `for_all` if this daemon is the one that all others follow."""
+        """Enable or disable the watch; `is_root` if all other daemons follow this one."""
         self._is_root = is_root
         if enabled == self.is_enabled:
             return
@@ -82,7 +81,7 @@
             self._enabled.clear()
 
     async def run(self) -> None:
-        """Watch all prefixes, while switched on, until cancelled."""
+        """Watch all prefixes while enabled, until cancelled."""
         await asyncio.gather(*(self._keep_current(prefix) for prefix in self._replicas.by_prefix))
 
     async def _keep_current(self, prefix: str) -> None:
@@ -96,27 +95,28 @@
                 must_read = not await self._read(prefix)
                 has_failed = must_read
             else:
-                # A watch that goes on from its revision misses nothing, unless history is gone.
+                # A watch resumed from the replica's revision misses no change unless the service
+                # has discarded that part of the history.
                 has_failed, must_read = await self._watch(prefix)
             self._set_failures(prefix, self._failures[prefix] + 1 if has_failed else 0)
             if has_failed:
                 await self._sleep_before_retry(self._failures[prefix])
 
     def _set_failures(self, prefix: str, failures: int) -> None:
-        """Tell followers at once when this daemon turns out to be cut off."""
+        """Set a prefix's failure count; notify waiting followers once this daemon is cut off."""
         was_cut_off = self.is_cut_off
         self._failures[prefix] = failures
         if self.is_cut_off and not was_cut_off:
             self._replicas.notify_waiters()
 
     def _waits_for_members(self, prefix: str) -> bool:
-        """Return whether a prefix waits for what the members' prefix brings."""
+        """Return whether a prefix has to wait, because the members may name a source to follow."""
         if prefix == self._members_prefix:
             return False
         contact = self._context.contact
-        recovered_at_seconds = contact.back_seconds + RECOVERY_GRACE_SECONDS
+        grace_until_seconds = contact.back_seconds + RECOVERY_GRACE_SECONDS
         if contact.is_away or (
-            not self._is_root and self._context.now_seconds() < recovered_at_seconds
+            not self._is_root and self._context.now_seconds() < grace_until_seconds
         ):
             return True
         return self._replicas.by_prefix[self._members_prefix].confirmed_at_seconds == float("-inf")
@@ -128,7 +128,7 @@
         await asyncio.sleep(delay_seconds * (0.5 + self._context.rng.random()))
 
     async def _read(self, prefix: str) -> bool:
-        """Read a whole prefix; return whether the service answered."""
+        """Read all entries of a prefix; return whether the service answered."""
         requested_at_seconds = self._context.now_seconds()
         read = await self._context.kv.read(prefix, is_prefix=True)
         self._context.contact.note(self._context.now_seconds(), read)
@@ -139,28 +139,28 @@
         return True
 
     async def _watch(self, prefix: str) -> tuple[bool, bool]:
-        """Take in the service's changes while switched on.
+        """Watch a prefix and apply its changes while enabled.
 
         Returns
         -------
         (bool, bool)
-            Whether the watch broke, and whether the prefix must be read anew.
+            Whether the watch failed, and whether the prefix must be read again.
         """
         revision = self._replicas.by_prefix[prefix].revision
-        async for news in self._context.kv.watch(prefix, revision):
+        async for update in self._context.kv.watch(prefix, revision):
             now_seconds = self._context.now_seconds()
-            if isinstance(news, KvUnavailable):
-                if not news.history_lost:
-                    self._context.contact.failed(now_seconds, f"watch: {news.detail}")
-                return True, news.history_lost
+            if isinstance(update, KvUnavailable):
+                if not update.history_lost:
+                    self._context.contact.failed(now_seconds, f"watch: {update.detail}")
+                return True, update.history_lost
             self._context.contact.answered(now_seconds)
-            # A watch that goes well never ends, so failures are taken back here: else followers
-            # would go on keeping away from a daemon that is answered again.
+            # A working watch never ends, so the failure count is reset here; otherwise followers
+            # would go on avoiding a daemon whose connection has recovered.
             self._set_failures(prefix, 0)
-            self._replicas.apply_changes(prefix, news)
+            self._replicas.apply_changes(prefix, update)
             self._replicas.confirm(prefix, now_seconds)
             if not self.is_enabled:
                 break
-            if news.entries or news.deleted:
+            if update.entries or update.deleted:
                 await asyncio.sleep(BATCH_DELAY_SECONDS)
         return False, False
--- a/rackswitch/gateway/store/session.py
+++ b/rackswitch/gateway/store/session.py
@@ -1,7 +1,7 @@
 """This daemon's session with the key-value service: the lease under which it owns jobs.
 
-A daemon that owns nothing needs none, so there is one only while jobs are owned and for a short
-time after. It is short, since a job whose owner died waits for its end.
+The lease exists only while the daemon owns jobs and for a short time after. Its TTL is short,
+since a job whose owner died is taken over only when the lease expires.
 """
 
 import asyncio
@@ -21,31 +21,30 @@
 __all__ = ["Session"]
 
 LEASE_TTL_SECONDS = 2.0
-"""Life of the lease. A job whose daemon died is taken over after it, and a step is due
-within seconds; renewing three times a life costs little."""
+"""TTL of the lease. A job whose daemon died is taken over after this time."""
 
 IDLE_HOLD_SECONDS = 10.0
-"""How long the lease is kept though nothing is owned: a daemon that took a trainer's job often
-gets the next one some 4 s later, and a lease costs as much as ten renewals, 7 s of them."""
+"""How long the lease is renewed while nothing is owned: the next job often follows within seconds,
+and a new lease costs as much as several renewals."""
 
 NO_LEASE_ID = 0
-"""Stands for no lease: the service gives none this identity."""
+"""Identifier that the service assigns to no lease."""
 
 RENEWAL_CHECK_INTERVAL_SECONDS = 0.1
 REVOKE_TIMEOUT_SECONDS = 0.4
 
 
 class Session:
-    """Keeps the lease while it is needed.
+    """Maintains the lease while it is needed.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     on_lost : callable
-        Told that the lease is over, and with it all that hung on it.
+        Called when the lease is lost, and with it the ownership of all jobs.
     is_needed : callable
-        Returns whether anything hangs on the lease.
+        Returns whether anything is owned under the lease.
     """
 
     __slots__ = (
@@ -76,19 +75,19 @@
 
     @property
     def lease_id(self) -> int | None:
-        """The lease in the service, or None if there is none now."""
+        """The current lease, or None if there is none."""
         return self.lease.lease_id
 
     def is_sure(self) -> bool:
-        """Return whether the lease is known to last at this moment."""
+        """Return whether the lease is known to be valid now."""
         return self.lease.is_sure(self._context.now_seconds())
 
     def is_own(self, lease_id: int) -> bool:
-        """Return whether a lease was taken by this process."""
+        """Return whether this process acquired a lease."""
         return lease_id in self._own_leases
 
     async def hold(self) -> int | None:
-        """Return the lease for something that is about to be owned; None if there is none."""
+        """Return the lease for a new ownership, acquiring it if needed; None if that fails."""
         self._needed_until_seconds = self._context.now_seconds() + IDLE_HOLD_SECONDS
         async with self._acquire_lock:
             if self.lease.lease_id is None:
@@ -96,7 +95,7 @@
         return self.lease.lease_id
 
     def over(self, lease_id: int) -> None:
-        """Note that the service, asked for something else, did not know a lease any more."""
+        """Record that another call found that the service no longer knows a lease."""
         if lease_id != self.lease.lease_id:
             return
         self.lease.lost()
@@ -104,10 +103,10 @@
         self._on_lost()
 
     async def probe(self) -> None:
-        """Find out whether the service answers again, and whether it still knows the lease.
+        """Check whether the service is reachable, and renew the lease if there is one.
 
-        Unlike a renewal that is due, this waits for no earlier call, which may hang until its time
-        is up though the service is back.
+        Unlike a regular renewal, this does not wait for an earlier call, which may hang until its
+        timeout although the service is reachable again.
         """
         requested_at_seconds = self._context.now_seconds()
         lease_id = self.lease.lease_id
@@ -131,12 +130,12 @@
                 if not await renew_lease(self._context, self.lease):
                     self._on_lost()
             else:
-                # It runs out by itself, which costs no call.
+                # The lease expires by itself, which saves a call.
                 self._log_end(self.lease.lease_id, "not needed")
                 self.lease.lost()
 
     async def end(self) -> None:
-        """Give the lease back, so that others need not wait for its end."""
+        """Revoke the lease, so that others need not wait until it expires."""
         lease_id = self.lease.lease_id
         if lease_id is None:
             return
@@ -147,14 +146,14 @@
             if failure is not None:
                 outcome = failure.detail
         except TimeoutError:
-            # The lease runs out by itself; a stop does not wait for the service.
+            # The lease expires by itself; a stop does not wait for the service.
             outcome = "no answer in time"
         self._log_end(lease_id, outcome)
 
     async def end_predecessors(self, lease_id: int) -> None:
-        """End the lease of an earlier process of this daemon, which can no longer act.
+        """Revoke the lease of an earlier process of this daemon.
 
-        Others then take its jobs at once.
+        Other daemons can then take over its jobs at once.
         """
         if lease_id in self._revoked_predecessors or self.is_own(lease_id):
             return
--- a/rackswitch/gateway/store/state_manager.py
+++ b/rackswitch/gateway/store/state_manager.py
@@ -1,4 +1,4 @@
-"""The desired state and the list of targets, as this daemon knows them."""
+"""Handling of changes to the desired state and the list of targets."""
 
 from rackswitch.clients.kv import KvEntry, KvUnavailable, Operation, TxnPart
 from rackswitch.gateway.context import GatewayContext
@@ -30,18 +30,18 @@
 
 SAME_ZONE_LATENCY_SECONDS = 0.0002
 OTHER_ZONE_LATENCY_SECONDS = 0.001
-"""Network distances that routing starts from; the platform does not tell them."""
+"""Initial network latencies for routing; the platform does not report them."""
 
 
 class StateManager:
-    """Follows what operators, trainers and targets write to the platform's service.
+    """Applies what operators, trainers and targets write to the key-value service.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     ends : EndDetector
-        Told of targets that the list shows to have ended.
+        Receives the targets that have ended according to the list.
     """
 
     __slots__ = ("_context", "_ends")
@@ -51,12 +51,12 @@
         self._ends = ends
 
     def operator_handlers(self) -> ReplicaHandlers:
-        """Return what takes in the operators' and trainers' entries."""
-        # Entries that go say nothing: the newest table and versions stay in force.
+        """Return the handlers of the operators' and trainers' entries."""
+        # Deletions are ignored: the newest table and versions stay in force.
         return ReplicaHandlers(self._operator_put, lambda key: None)
 
     def target_handlers(self) -> ReplicaHandlers:
-        """Return what takes in the list of targets."""
+        """Return the handlers of the list of targets."""
         return ReplicaHandlers(self._target_put, self._target_deleted, self._record_list_confirmed)
 
     def _operator_put(self, entry: KvEntry) -> None:
@@ -104,7 +104,7 @@
             )
 
     async def _acknowledge_retirement(self, vm: str) -> None:
-        """Say that a VM may be taken: nothing that must last is kept on VMs."""
+        """Confirm that a VM may be retired, unless confirmed already; VMs store nothing durable."""
         key, value = encode_retired(vm)
         read = await self._context.kv.read(key)
         if isinstance(read, KvUnavailable) or read.entries:
@@ -119,7 +119,7 @@
         target = decode_target(instance, entry.value)
         if isinstance(target, MalformedEntry):
             self._log_unreadable(entry, target)
-            # Whatever stands there now, it is no word of a target that can be used.
+            # A malformed entry describes no usable target.
             self._context.directory.disown(instance)
             return
         previous = self._context.directory.entries.get(instance)
@@ -138,10 +138,10 @@
             )
 
     def _report_ended_starts(self, previous: ListedTarget | None, target: ListedTarget) -> None:
-        """Tell of starts that cannot be there any more, now that another one is listed.
+        """Report the starts that a newly listed start has replaced.
 
-        Only while any target is asked after: nobody else wants to know, and looking through the
-        whole list for each of its entries makes the first reading of a long list quadratic.
+        Skipped while no inquiry is open: searching the whole list for each entry would make the
+        first snapshot of a long list quadratic.
         """
         if not self._ends.inquiries.any_open:
             return
@@ -167,10 +167,10 @@
         self._context.log.write(TargetGone(target=instance, still_used=is_lapsed))
 
     def _track_start(self, listed: ListedTarget) -> None:
-        """Begin to learn of a start of a target.
+        """Create the estimates for a new start of a target.
 
-        What was learnt of an earlier one under the same identity goes: its breaker, its load and
-        speed, the prompts that it kept and the loads that it was ordered.
+        Those of an earlier start of the same instance are discarded: its circuit breaker, load,
+        speed, cached prompts and ordered model loads.
         """
         known = self._context.targets.get(listed.instance)
         if known is not None and known.start == listed.start:
--- a/rackswitch/gateway/store/store_relay.py
+++ b/rackswitch/gateway/store/store_relay.py
@@ -1,4 +1,4 @@
-"""Calls to the key-value service over this daemon's own path or through a peer."""
+"""Calls to the key-value service, made directly or forwarded by a peer."""
 
 import asyncio
 
@@ -25,31 +25,33 @@
 __all__ = ["ForwardedCalls", "RelayTransport"]
 
 PEER_TIMEOUT_MARGIN_SECONDS = 0.1
-"""How much longer than the service a peer may take to pass an answer on; some zones' round
-trips of a few milliseconds, and a busy loop."""
+"""Additional timeout of a call that a peer forwards, for the network and a busy event loop."""
 
 MAX_FORWARDED_CALLS = 32
-"""Calls of peers under way at once. A daemon makes some ten calls a second and waits for few
-of them at a time, so this serves several peers and bounds what a fault of theirs costs."""
+"""Concurrency limit for calls forwarded for peers; it bounds the load that a faulty peer causes."""
 
 
 class RelayTransport:
-    """Chooses the path of each call.
+    """Selects the path of each call.
 
-    Guards against a daemon that alone cannot reach the service: on a quiet day one of six was
-    cut off for 7.7 s, refused its trainers' steps all the while and lost the role that orders
-    versions, so that none was ordered for 6 s and a step of each trainer came late.
+    A daemon that cannot reach the service itself makes its calls through peers, so that it keeps
+    its leases, jobs and roles.
 
     Parameters
     ----------
     direct : StoreTransport
-        The own path.
+        The direct path to the service.
     links, membership : PeerLinks, Membership
-        The other daemons.
+        Connections to the other daemons, and their addresses.
     log : DecisionLog
-        Told of changes of the path.
+        Receives changes of the direct path's state.
     through_peers : bool
-        Whether peers are asked at all.
+        Whether peers are used at all.
+
+    Attributes
+    ----------
+    path_selector : PathSelector
+        Orders the paths by their recent outcomes.
     """
 
     __slots__ = ("_direct", "_through_peers", "_links", "_log", "_membership", "path_selector")
@@ -70,13 +72,15 @@
         self.path_selector = PathSelector(membership.own.zone)
 
     async def send(self, call: StoreCall) -> StoreAnswer | KvUnavailable:
-        """Make a call by the first path that brings an answer.
+        """Make a call over the paths in turn until one brings an answer.
 
-        A call that may have taken effect is made once more only if it is repeatable; an
-        unknown outcome stays one.
+        A call that may have taken effect is retried only if it is repeatable; otherwise the
+        unknown outcome is returned.
         """
         paths = self.path_selector.paths(self._peers(), call.repeatable, _now_seconds())
-        last_result: StoreAnswer | KvUnavailable = KvUnavailable("no path", effect_unknown=False)
+        last_result: StoreAnswer | KvUnavailable = KvUnavailable(
+            "no path to the service is available", effect_unknown=False
+        )
         for path in paths:
             last_result = await self._send_via(path, call, has_alternatives=len(paths) > 1)
             if isinstance(last_result, StoreAnswer) and not last_result.turned_away:
@@ -90,14 +94,14 @@
         return last_result
 
     def _peers(self) -> list[tuple[str, str]]:
-        """Return the other daemons that may be asked, with their zones."""
+        """Return the other daemons that may forward calls, with their zones."""
         if not self._through_peers:
             return []
         own = self._membership.own.daemon
         return [entry for entry in self._membership.live_zones() if entry[0] != own]
 
     async def send_direct(self, call: StoreCall) -> StoreAnswer | KvUnavailable:
-        """Make a call over the own path, and learn from that how good it is."""
+        """Make a call over the direct path and record its outcome in the path selector."""
         started_at_seconds = _now_seconds()
         answer = await self._direct.send(call)
         if _is_failure(answer):
@@ -122,7 +126,7 @@
         return answer
 
     def _with_shorter_timeout(self, call: StoreCall) -> StoreCall:
-        """Return a call with the time that the own path is given where there are others."""
+        """Return a call with the direct path's timeout for the case that there are other paths."""
         if not call.repeatable or call.held:
             return call
         limit_seconds = self.path_selector.patience_seconds(call.limit_seconds)
@@ -153,14 +157,14 @@
 
 
 class ForwardedCalls:
-    """Makes calls for daemons that cannot reach the service, over the own path only.
+    """Forwards calls for daemons that cannot reach the service, over the direct path only.
 
     Parameters
     ----------
     context : GatewayContext
-        Tells who may ask; told of what is refused for its form.
+        The daemon, which knows the members and logs rejected requests.
     relay : RelayTransport
-        The own path, and whether it is good.
+        The direct path and its state.
     """
 
     __slots__ = ("_context", "_relay", "_in_flight")
@@ -171,17 +175,17 @@
         self._in_flight = 0
 
     async def serve(self, request: pb.PassOnRequest) -> pb.PassOnReply:
-        """Make a peer's call, or say why not; what is refused was not made."""
-        # A daemon whose session was ended is asked for here most of all.
+        """Make a peer's call, or reply why it was refused; a refused call was not made."""
+        # `member_entries` keeps daemons whose lease has ended: they need forwarding most.
         if request.daemon not in self._context.member_entries:
-            return self._refuse(request, "`daemon` is not known here")
+            return self._refuse(request, "`daemon` is not a known member")
         call = decode_call(request.call)
         if isinstance(call, MalformedCall):
             return self._refuse(request, call.detail)
         if not self._relay.path_selector.own_is_good:
             return pb.PassOnReply(refused="no path to the service here either")
         if self._in_flight >= MAX_FORWARDED_CALLS:
-            return pb.PassOnReply(refused="too many calls are being passed on")
+            return pb.PassOnReply(refused="too many forwarded calls are in progress")
         self._in_flight += 1
         try:
             answer = await self._relay.send_direct(call)
@@ -197,7 +201,7 @@
 
 
 def _now_seconds() -> float:
-    """Return the monotonic clock."""
+    """Return the event loop's monotonic time."""
     return asyncio.get_running_loop().time()
 
 
@@ -210,5 +214,5 @@
 
 
 def _elapsed_seconds(call: StoreCall, started_at_seconds: float) -> float:
-    """Return how long an answer took; 0 where the service was asked to wait with it."""
+    """Return how long an answer took; 0 for a call that the service holds open."""
     return 0.0 if call.held else _now_seconds() - started_at_seconds
--- a/rackswitch/gateway/store/watching.py
+++ b/rackswitch/gateway/store/watching.py
@@ -1,14 +1,14 @@
-"""Keeping copies of the key-value service's prefixes current.
+"""Replication of the key-value service's prefixes.
 
 One daemon of the fleet watches the service, and the others follow it along a tree. A daemon
-that cannot follow anybody watches the service itself.
+that has no source to follow watches the service itself.
 """
 
 import asyncio
 
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.items.engine_paces import EnginePaces
-from rackswitch.gateway.store.peer_follower import PeerFollower
+from rackswitch.gateway.store.peer_replicas import PeerFollower
 from rackswitch.gateway.store.replica_server import ReplicaServer
 from rackswitch.gateway.store.replica_set import ReplicaHandlers, ReplicaSet
 from rackswitch.gateway.store.replicas import PrefixReplica
@@ -18,18 +18,18 @@
 
 
 class ReplicaManager:
-    """The copies of one daemon.
+    """Keeps the replicas of one daemon current.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     handlers : dict of str to ReplicaHandlers
-        Who is told, by prefix.
+        Handlers of changes, by prefix.
     paces : EnginePaces
-        Told along with the copies, both ways.
+        Engines' paces, exchanged with other daemons in both directions.
     members_prefix : str
-        The prefix that tells of the other daemons.
+        The prefix that contains the membership entries.
 
     Attributes
     ----------
@@ -53,24 +53,24 @@
 
     @property
     def copies(self) -> dict[str, PrefixReplica]:
-        """The copies, by prefix."""
+        """The replicas, by prefix."""
         return self._replicas.by_prefix
 
     @property
     def is_complete(self) -> bool:
-        """Whether the service has vouched for every copy."""
+        """Whether every replica has been confirmed by the service."""
         return self._replicas.is_complete
 
     @property
     def followed(self) -> str:
-        """The daemon whose copies are taken over; empty if the service is watched itself."""
+        """The daemon that is followed; empty if this daemon follows none."""
         return self._follower.selector.followed
 
     @property
     def looked(self) -> asyncio.Event:
-        """Set once this daemon has looked who else is there, and for a predecessor's entry."""
+        """Set once the members have been read, including an entry of an earlier process."""
         return self._follower.members_read
 
     async def run(self) -> None:
-        """Keep the copies current until cancelled."""
+        """Keep the replicas current until cancelled."""
         await asyncio.gather(self._watch.run(), self._follower.run())
