--- a/rackswitch/gateway/store/tests/spread_run.py
+++ b/rackswitch/gateway/store/tests/spread_run.py
@@ -1,4 +1,4 @@
-"""Fleets that keep copies current, without a network, on a clock that jumps."""
+"""Simulated fleets that keep replicas current, without a network, on a virtual clock."""
 
 import asyncio
 import random
@@ -32,12 +32,12 @@
 
 @dataclass(slots=True)
 class Service:
-    """The key-value service: its entries, and a sign of each change.
+    """The key-value service: its entries, and a notification of each change.
 
     Attributes
     ----------
     priced : float
-        Calls so far; a renewal or an old reading counts a tenth.
+        Calls so far; a lease renewal or a stale read counts as 0.1 calls.
     """
 
     store: KvStore = field(default_factory=KvStore)
@@ -59,7 +59,7 @@
             self.changed.set()
             self.changed = asyncio.Event()
 
-    def news(self, prefix: str, revision: int) -> WatchNews:
+    def changes_after(self, prefix: str, revision: int) -> WatchNews:
         self.note_changes()
         newer = [
             change
@@ -74,7 +74,7 @@
 
 
 class WatchedKv(FaultyKv):
-    """One daemon's connection to a service that can be watched."""
+    """One daemon's connection to the service, with watches."""
 
     def __init__(self, service: Service, rng: random.Random):
         super().__init__(service.store, rng, KvFaults())
@@ -104,25 +104,25 @@
         while True:
             self._service.priced += 1.0
             deadline_seconds = asyncio.get_running_loop().time() + wait_seconds
-            news = self._service.news(key, revision)
-            while not (news.entries or news.deleted):
+            update = self._service.changes_after(key, revision)
+            while not (update.entries or update.deleted):
                 try:
                     async with asyncio.timeout_at(deadline_seconds):
                         await self._service.changed.wait()
                 except TimeoutError:
                     break
-                news = self._service.news(key, revision)
+                update = self._service.changes_after(key, revision)
             await asyncio.sleep(self.faults.delay_seconds)
             if self._rng.random() < self.faults.refused:
                 yield KvUnavailable("turned away", effect_unknown=False)
                 return
-            revision = max(revision, news.revision)
+            revision = max(revision, update.revision)
             wait_seconds = WATCH_SECONDS
-            yield WatchNews(news.entries, revision, news.deleted)
+            yield WatchNews(update.entries, revision, update.deleted)
 
 
 class SimulatedDaemon:
-    """One daemon: its copies, its entry, and when it learnt of each change."""
+    """One daemon: its replicas, its entry, and when it received each change."""
 
     def __init__(self, name: str, zone: str, service: Service, rng: random.Random):
         self.context = make_gateway_context(name, service.store, rng.randrange(1 << 30))
@@ -162,74 +162,76 @@
 
 
 class FleetLinks:
-    """Calls between the daemons of a run; one that is dead does not answer."""
+    """Calls between the daemons of a run; a dead daemon does not answer."""
 
     def __init__(self, run: "SpreadRun", zone: str):
         self._run = run
         self._zone = zone
 
     async def call(self, peer, method, message, timeout_seconds, stub_kind):
-        node = self._run.nodes[peer.daemon]
-        same_zone = node.zone == self._zone
+        daemon = self._run.nodes[peer.daemon]
+        same_zone = daemon.zone == self._zone
         transit_seconds = SAME_ZONE_LATENCY_SECONDS if same_zone else OTHER_ZONE_LATENCY_SECONDS
-        if not node.alive:
+        if not daemon.alive:
             await asyncio.sleep(timeout_seconds)
             return PeerUnreachable("no answer")
         try:
             async with asyncio.timeout(timeout_seconds):
                 await asyncio.sleep(transit_seconds)
-                reply = await node.replica_manager.server.serve(message)
-                await asyncio.sleep(transit_seconds if node.alive else timeout_seconds)
+                reply = await daemon.replica_manager.server.serve(message)
+                await asyncio.sleep(transit_seconds if daemon.alive else timeout_seconds)
         except TimeoutError:
             return PeerUnreachable("no answer in time")
-        node.served += 1
+        daemon.served += 1
         return reply
 
 
 class SpreadRun:
-    """A fleet that starts within a moment, as after a loss of everything."""
+    """A fleet whose daemons all start within `START_SECONDS`."""
 
     def __init__(self, daemons: int, zones: int = 6, seed: int = 1):
         self.rng = random.Random(seed)
         self.service = Service()
-        names = [(f"d{number:03d}", f"z{number % zones}") for number in range(daemons)]
+        daemon_zones = [(f"d{number:03d}", f"z{number % zones}") for number in range(daemons)]
         self.nodes = {
-            name: SimulatedDaemon(name, zone, self.service, self.rng) for name, zone in names
+            name: SimulatedDaemon(name, zone, self.service, self.rng) for name, zone in daemon_zones
         }
         self._tasks: list[tuple[SimulatedDaemon, asyncio.Task[None]]] = []
 
     async def start(self) -> None:
         self.service.put(STATE + "a", b"first")
-        for node in self.nodes.values():
-            node.context.daemon.links = FleetLinks(self, node.zone)
-            for task in (node.replica_manager.run(), node.presence.run()):
+        for daemon in self.nodes.values():
+            daemon.context.daemon.links = FleetLinks(self, daemon.zone)
+            for coroutine in (daemon.replica_manager.run(), daemon.presence.run()):
                 delay_seconds = self.rng.uniform(0.0, START_SECONDS)
-                self._tasks.append((node, asyncio.create_task(_run_after(delay_seconds, task))))
+                self._tasks.append(
+                    (daemon, asyncio.create_task(_run_after(delay_seconds, coroutine)))
+                )
 
     async def stop(self) -> None:
         for _, task in self._tasks:
             task.cancel()
         await asyncio.gather(*(task for _, task in self._tasks), return_exceptions=True)
 
-    def kill(self, node: SimulatedDaemon) -> None:
-        """End a daemon without a word, as a loss of power does."""
-        node.alive = False
+    def kill(self, daemon: SimulatedDaemon) -> None:
+        """End a daemon without a planned stop."""
+        daemon.alive = False
         for owner, task in self._tasks:
-            if owner is node:
+            if owner is daemon:
                 task.cancel()
 
-    def turn_away(self, node: SimulatedDaemon) -> None:
-        """Have the service refuse all calls of a daemon from now on."""
-        node.context.kv.faults.refused = 1.0
+    def reject_calls(self, daemon: SimulatedDaemon) -> None:
+        """Make the service reject all calls of a daemon."""
+        daemon.context.kv.faults.refused = 1.0
 
     def living(self) -> list[SimulatedDaemon]:
-        return [node for node in self.nodes.values() if node.alive]
+        return [daemon for daemon in self.nodes.values() if daemon.alive]
 
     def watchers(self) -> list[SimulatedDaemon]:
-        return [node for node in self.living() if not node.replica_manager.followed]
+        return [daemon for daemon in self.living() if not daemon.replica_manager.followed]
 
     async def settled(self, limit_seconds: float = 10.0) -> float:
-        """Wait until one daemon watches and all others follow; return how long that took."""
+        """Wait until one daemon watches and all others follow; return the time taken."""
         loop = asyncio.get_running_loop()
         started_at_seconds = loop.time()
         async with asyncio.timeout(limit_seconds):
@@ -239,23 +241,23 @@
 
     def _is_settled(self) -> bool:
         living = self.living()
-        names = {node.context.daemon_name for node in living}
-        is_complete = all(node.replica_manager.is_complete for node in living)
-        followed = {node.replica_manager.followed for node in living} - {""}
-        return is_complete and len(self.watchers()) == 1 and followed <= names
+        living_names = {daemon.context.daemon_name for daemon in living}
+        all_complete = all(daemon.replica_manager.is_complete for daemon in living)
+        followed = {daemon.replica_manager.followed for daemon in living} - {""}
+        return all_complete and len(self.watchers()) == 1 and followed <= living_names
 
     async def spread(self, value: str, limit_seconds: float = 10.0) -> list[float]:
-        """Change something; return after how long each daemon knew of it that can hear of it."""
+        """Change an entry; return the sorted delays until each reachable daemon received it."""
         loop = asyncio.get_running_loop()
         started_at_seconds = loop.time()
         self.service.put(STATE + "a", value.encode())
-        living = [node for node in self.living() if not node.context.kv.faults.refused]
+        living = [daemon for daemon in self.living() if not daemon.context.kv.faults.refused]
         async with asyncio.timeout(limit_seconds):
-            while not all(value in node.received_at_seconds for node in living):
+            while not all(value in daemon.received_at_seconds for daemon in living):
                 await asyncio.sleep(0.01)
-        return sorted(node.received_at_seconds[value] - started_at_seconds for node in living)
+        return sorted(daemon.received_at_seconds[value] - started_at_seconds for daemon in living)
 
 
-async def _run_after(delay_seconds: float, task) -> None:
+async def _run_after(delay_seconds: float, coroutine) -> None:
     await asyncio.sleep(delay_seconds)
-    await task
+    await coroutine
--- a/rackswitch/gateway/store/tests/test_path_store.py
+++ b/rackswitch/gateway/store/tests/test_path_store.py
@@ -1,4 +1,4 @@
-"""Daemons and the key-value service, on loopback."""
+"""Complete daemons and the key-value service over loopback."""
 
 import asyncio
 from dataclasses import replace
@@ -7,7 +7,7 @@
 from rackswitch.standins.platform_fleet import desired_state
 
 
-def test_a_change_is_in_force_everywhere_although_the_store_forgets_its_history():
+def test_a_change_reaches_all_daemons_after_the_store_discarded_its_history():
     async def scenario(fleet):
         fleet.store.put("op/config", desired_state(5, routes=[]))
         fleet.store.forget_history()
@@ -21,12 +21,12 @@
     play(scenario)
 
 
-def test_a_daemon_that_the_store_turns_away_learns_from_the_others():
+def test_a_daemon_whose_store_calls_fail_receives_changes_from_peers():
     async def scenario(fleet):
         gateways = fleet.gateways.values()
         await wait_for(lambda: sum(bool(g.copies.followed) for g in gateways) == 2)
         follower = next(gateway for gateway in gateways if gateway.copies.followed)
-        # Its own calls fail from here on; what it follows does not.
+        # Its direct calls fail from here on; its source still answers.
         follower.direct.url = "http://127.0.0.1:9"
         fleet.store.put("op/config", desired_state(9, routes=[]))
         await wait_for(lambda: follower.context.table_revision == 9, 2.0)
@@ -34,24 +34,22 @@
     play(scenario, daemons=3)
 
 
-def test_a_planned_stop_ends_in_time_although_the_store_is_silent():
-    # Found in a hunt (association, scale-1, seed 255389782199): processes ended with an
-    # unhandled time-out of the session's end.
+def test_a_planned_stop_does_not_wait_for_an_unresponsive_store():
+    # The timeout of the lease's revocation must not end the process with an exception.
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
         gateway.settings = replace(gateway.settings, stop_grace_seconds=4.0)
         assert await fleet.submit("d0", "j1", [300, 300]) == 202
         fleet.store.faults.down = "silent"
-        began = asyncio.get_running_loop().time()
+        started_at_seconds = asyncio.get_running_loop().time()
         await gateway.stop()
-        assert asyncio.get_running_loop().time() - began < 6.0
+        assert asyncio.get_running_loop().time() - started_at_seconds < 6.0
 
     play(scenario)
 
 
-def test_an_entry_that_went_and_came_back_within_one_watch_is_there():
-    # Found by the state machine of copies: deletions were taken in after all entries, so a
-    # target that lapsed and came back at once stayed unknown until its next change.
+def test_an_entry_deleted_and_recreated_within_one_watch_is_kept():
+    # Applying a batch's deletions after its entries would lose a recreated entry.
     async def scenario(fleet):
         gateways = list(fleet.gateways.values())
         fleet.store.delete("servers/s0")
@@ -63,7 +61,7 @@
     play(scenario)
 
 
-def test_entries_that_no_daemon_wrote_end_no_daemon():
+def test_malformed_control_entries_do_not_end_daemons():
     async def scenario(fleet):
         for number, prefix in enumerate(
             ("members/", "jobs/", "owners/", "orders/", "roles/", "ends/", "trials/", "duties")
--- a/rackswitch/gateway/store/tests/test_replica_machine.py
+++ b/rackswitch/gateway/store/tests/test_replica_machine.py
@@ -1,8 +1,7 @@
-"""Configuration through copies of copies: never backwards, and in the end the same everywhere.
+"""State machine test of replicas: tables never revert, and all replicas converge.
 
-A state machine drives a service that forgets history and cuts watches, two daemons that
-watch it and two that follow these in turn. What each has in force is compared with what
-it had before, and in the end with the service.
+It drives a service that discards its history, daemons that watch it, and daemons that follow
+others. Each daemon's table is compared with its earlier one, and at the end with the service.
 """
 
 import hypothesis.strategies as st
@@ -21,7 +20,7 @@
 
 
 class Service:
-    """The key-value service: all entries, and the changes it still remembers."""
+    """The key-value service: its entries, and the changes in its history."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -41,7 +40,7 @@
         self.history.append((self.revision, key, None))
 
     def changes_after(self, revision: int) -> WatchNews | None:
-        """Return what a watch brings; None if that history is gone."""
+        """Return the changes of a watch; None if that part of the history is discarded."""
         if revision < self.oldest_known_revision:
             return None
         newer = [change for change in self.history if change[0] > revision]
@@ -53,20 +52,20 @@
 
 
 class Daemon:
-    """A copy, and the table that its entries bring into force."""
+    """A replica, and the table in force according to its entries."""
 
     def __init__(self) -> None:
         self.replica = PrefixReplica("op/")
         self.view = TableView()
 
-    def apply_table_changes(self, news: WatchNews) -> None:
-        for entry in news.entries:
+    def apply_table_changes(self, update: WatchNews) -> None:
+        for entry in update.entries:
             if entry.key == CONFIG:
                 self.view.offer(TableDocument(revision=int(entry.value)))
 
 
 class ReplicaStateMachine(RuleBasedStateMachine):
-    """Changes, watches, readings and followers in any order."""
+    """Changes, watches, snapshots and followers in any order."""
 
     @initialize()
     def set_up_fleet(self) -> None:
@@ -114,14 +113,14 @@
     @rule(name=st.sampled_from(WATCHERS))
     def daemon_watches(self, name: str) -> None:
         daemon = self.daemons[name]
-        news = (
+        update = (
             self.service.changes_after(daemon.replica.revision) if daemon.replica.revision else None
         )
-        if news is None:
+        if update is None:
             self.daemon_reads_snapshot(name)
             return
-        daemon.replica.apply(news)
-        daemon.apply_table_changes(news)
+        daemon.replica.apply(update)
+        daemon.apply_table_changes(update)
 
     @rule(name=st.sampled_from(DAEMONS), source=st.sampled_from(DAEMONS))
     def follow(self, name: str, source: str) -> None:
@@ -134,9 +133,9 @@
         if changes.is_complete:
             daemon.apply_table_changes(daemon.replica.replace(changes.entries, changes.revision))
             return
-        news = WatchNews(changes.entries, changes.revision, changes.deleted)
-        daemon.replica.apply(news)
-        daemon.apply_table_changes(news)
+        update = WatchNews(changes.entries, changes.revision, changes.deleted)
+        daemon.replica.apply(update)
+        daemon.apply_table_changes(update)
 
     @rule(name=st.sampled_from(DAEMONS))
     def daemon_restarts(self, name: str) -> None:
--- a/rackswitch/gateway/store/tests/test_replicas.py
+++ b/rackswitch/gateway/store/tests/test_replicas.py
@@ -19,22 +19,22 @@
         follower.apply(WatchNews(changes.entries, changes.revision, changes.deleted))
 
 
-def test_a_reading_tells_only_what_changed():
+def test_a_snapshot_returns_only_the_changes():
     replica = PrefixReplica("p/")
     replica.replace([entry("p/a", 1), entry("p/b", 2)], 5)
-    news = replica.replace([entry("p/b", 2), entry("p/c", 7)], 8)
-    assert [item.key for item in news.entries] == ["p/c"]
-    assert news.deleted == ("p/a",)
+    update = replica.replace([entry("p/b", 2), entry("p/c", 7)], 8)
+    assert [item.key for item in update.entries] == ["p/c"]
+    assert update.deleted == ("p/a",)
 
 
-def test_an_older_reading_changes_nothing():
+def test_an_older_snapshot_is_ignored():
     replica = PrefixReplica("p/")
     replica.replace([entry("p/a", 7)], 8)
     assert replica.replace([], 5) == WatchNews((), 8)
     assert set(replica.entries) == {"p/a"}
 
 
-def test_a_new_follower_gets_the_whole():
+def test_a_new_follower_gets_all_entries():
     leader, follower = PrefixReplica("p/"), PrefixReplica("p/")
     leader.replace([entry("p/a", 1)], 5)
     changes = leader.changes_since(0)
@@ -44,7 +44,7 @@
     assert leader.changes_since(follower.revision) is None
 
 
-def test_a_follower_that_is_a_little_behind_gets_only_what_it_misses():
+def test_a_lagging_follower_gets_only_the_changes_it_lacks():
     leader = PrefixReplica("p/")
     leader.replace([entry("p/a", 1), entry("p/b", 2)], 5)
     leader.apply(WatchNews((entry("p/c", 6),), 6))
@@ -57,7 +57,7 @@
 
 
 @given(st.lists(change_strategy, max_size=60))
-def test_a_follower_that_asks_now_and_then_has_the_same_entries(steps):
+def test_a_follower_that_polls_irregularly_has_the_same_entries(steps):
     leader, follower = PrefixReplica("p/"), PrefixReplica("p/")
     leader.replace([], 1)
     revision = 1
--- a/rackswitch/gateway/store/tests/test_service_watch.py
+++ b/rackswitch/gateway/store/tests/test_service_watch.py
@@ -1,10 +1,7 @@
-"""What the daemon that watches for all tells its followers, on a clock that jumps.
+"""Detection that the root is cut off from the service, on a virtual clock.
 
-What an operator saw: after an outage of the key-value service the daemon that had watched for all
-watched again, and told everybody for the rest of its life that it was cut off. Its followers
-asked it each second and followed another daemon that watched as well.
-
-The cause: failures were counted when a watch ended, and one that goes well does not end.
+Guards against a root that reports "cut off" forever: a working watch never ends, so failures must
+be reset while it runs.
 """
 
 import asyncio
@@ -20,7 +17,7 @@
 
 
 class RecoveringKv:
-    """Breaks the first watches, answers the next one for a while and breaks that as well."""
+    """Fails `failures_left` watches; later ones work until it is set again."""
 
     def __init__(self, failures: int):
         self.failures_left = failures
@@ -33,7 +30,7 @@
         yield KvUnavailable("silent", effect_unknown=False)
 
 
-def test_who_watches_for_all_and_is_answered_again_is_cut_off_no_more():
+def test_the_root_is_not_cut_off_after_its_watch_recovers():
     async def scenario():
         context = make_gateway_context("a", KvStore())
         handlers = ReplicaHandlers(lambda entry: None, lambda key: None)
@@ -42,12 +39,12 @@
         watch = ServiceWatch(context, replicas, PREFIX)
         context.daemon.kv = RecoveringKv(CUT_OFF_FAILURES)
         watch.set_enabled(enabled=True, is_root=True)
-        running = asyncio.create_task(watch.run())
+        watch_task = asyncio.create_task(watch.run())
         observed = [await is_ever_cut_off(watch), watch.is_cut_off]
-        # One more answer that is lost is no cut.
+        # A single failure does not count as cut off.
         context.daemon.kv.failures_left = 1
         observed.append(await is_ever_cut_off(watch))
-        running.cancel()
+        watch_task.cancel()
         return observed
 
     assert run_virtual(scenario()) == [True, False, False]
--- a/rackswitch/gateway/store/tests/test_session.py
+++ b/rackswitch/gateway/store/tests/test_session.py
@@ -1,4 +1,4 @@
-"""The entry among the members, and the lease that jobs are owned under, on a clock that jumps."""
+"""The membership entry and the lease of a daemon's jobs, on a virtual clock."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
 
 
 async def run_presence(kv: KvStore, seconds: float = 0.5) -> Presence:
-    """Let a process of the daemon live for some time after it has read who is there."""
+    """Run a process of the daemon for some time, with the members already read."""
     context = make_gateway_context("a", kv)
     previous = read_member_entry(kv)
     if previous is not None:
@@ -39,34 +39,34 @@
     return presence
 
 
-def test_the_next_process_goes_on_with_the_lease_of_the_one_before():
+def test_a_restarted_daemon_reuses_the_lease_of_the_previous_process():
     async def scenario():
         kv = KvStore()
-        first = await run_presence(kv)
-        second = await run_presence(kv)
-        assert second.lease.lease_id == first.lease.lease_id
+        first_presence = await run_presence(kv)
+        second_presence = await run_presence(kv)
+        assert second_presence.lease.lease_id == first_presence.lease.lease_id
         started = read_member_entry(kv).started_at_unix_seconds
-        assert started == second._context.process_started_unix_seconds
-        # A write and a renewal, where a new lease would take two writes.
-        assert second._context.kv.calls == 2
+        assert started == second_presence._context.process_started_unix_seconds
+        # One renewal and one write.
+        assert second_presence._context.kv.calls == 2
 
     run_virtual(scenario())
 
 
-def test_an_entry_that_ran_out_is_made_anew():
+def test_an_expired_entry_is_recreated_under_a_new_lease():
     async def scenario():
         kv = KvStore()
-        first = await run_presence(kv)
-        lease_id = first.lease.lease_id
+        first_presence = await run_presence(kv)
+        lease_id = first_presence.lease.lease_id
         kv.end_lease(lease_id)
-        second = await run_presence(kv)
-        assert second.lease.lease_id not in (None, lease_id)
-        assert read_member_entry(kv).lease_id == second.lease.lease_id
+        second_presence = await run_presence(kv)
+        assert second_presence.lease.lease_id not in (None, lease_id)
+        assert read_member_entry(kv).lease_id == second_presence.lease.lease_id
 
     run_virtual(scenario())
 
 
-def test_an_entry_outlasts_a_cut_that_is_shorter_than_its_life_and_costs_few_renewals():
+def test_an_entry_outlives_an_outage_shorter_than_its_ttl_with_few_renewals():
     async def scenario():
         kv = KvStore()
         presence = await run_presence(kv, 60.0)
@@ -81,7 +81,7 @@
     run_virtual(scenario())
 
 
-def test_a_daemon_that_owns_nothing_has_no_lease_for_it():
+def test_a_daemon_holds_a_lease_only_while_it_owns_jobs():
     async def scenario():
         kv = KvStore()
         context = make_gateway_context("a", kv)
@@ -108,7 +108,7 @@
     run_virtual(scenario())
 
 
-def test_jobs_taken_at_the_same_time_share_one_lease():
+def test_jobs_claimed_concurrently_share_one_lease():
     async def scenario():
         kv = KvStore()
         session = Session(make_gateway_context("a", kv), lambda: None, lambda: True)
@@ -119,21 +119,21 @@
     run_virtual(scenario())
 
 
-@pytest.mark.parametrize("own", [True, False])
-def test_only_a_predecessors_lease_is_ended(own):
+@pytest.mark.parametrize("is_own", [True, False])
+def test_only_a_previous_process_lease_is_revoked(is_own):
     async def scenario():
         kv = KvStore()
         session = Session(make_gateway_context("a", kv), lambda: None, lambda: True)
-        lease_id = await session.hold() if own else kv.grant(100.0, 0.0)
+        lease_id = await session.hold() if is_own else kv.grant(100.0, 0.0)
         await session.end_predecessors(lease_id)
         await session.end_predecessors(lease_id)
-        assert (lease_id in kv.leases) is own
+        assert (lease_id in kv.leases) is is_own
         assert session._context.kv.calls == 1
 
     run_virtual(scenario())
 
 
-def test_without_the_service_there_is_no_lease_and_a_later_try_brings_one():
+def test_a_lease_is_acquired_once_the_service_is_reachable_again():
     async def scenario():
         faults = KvFaults(down=True)
         context = make_gateway_context("a", KvStore(), faults=faults)
@@ -146,22 +146,22 @@
     run_virtual(scenario())
 
 
-def test_a_lease_that_a_write_found_over_is_given_up_once():
+def test_a_lease_reported_lost_by_a_write_is_dropped_once():
     async def scenario():
         kv = KvStore()
         lost_leases = []
         session = Session(
             make_gateway_context("a", kv), lambda: lost_leases.append(1), lambda: True
         )
-        first = await session.hold()
-        kv.end_lease(first)
-        session.over(first)
+        first_lease = await session.hold()
+        kv.end_lease(first_lease)
+        session.over(first_lease)
         assert session.lease_id is None
-        second = await session.hold()
-        assert second not in (None, first)
-        # Another write that was on its way under the first one.
-        session.over(first)
-        assert session.lease_id == second
+        second_lease = await session.hold()
+        assert second_lease not in (None, first_lease)
+        # Another write under the first lease reports the loss late.
+        session.over(first_lease)
+        assert session.lease_id == second_lease
         assert session.is_sure()
         assert len(lost_leases) == 1
 
@@ -169,13 +169,13 @@
 
 
 @pytest.mark.parametrize("is_renewed", [True, False])
-def test_a_renewals_answer_changes_nothing_of_a_lease_taken_meanwhile(is_renewed):
+def test_a_late_renewal_answer_does_not_affect_a_newer_lease(is_renewed):
     async def scenario():
         kv = KvStore()
         context = make_gateway_context("a", kv)
         lost_leases = []
         session = Session(context, lambda: lost_leases.append(1), lambda: True)
-        first = await session.hold()
+        first_lease = await session.hold()
         renewal_answer = asyncio.get_running_loop().create_future()
         renewed_leases = []
 
@@ -188,13 +188,13 @@
         while not renewed_leases:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.1)
-        session.over(first)
-        second = await session.hold()
+        session.over(first_lease)
+        second_lease = await session.hold()
         sure_until_seconds = session.lease.sure_until_seconds
         renewal_answer.set_result(is_renewed)
         await asyncio.sleep(0.01)
-        assert renewed_leases == [first]
-        assert session.lease_id == second != first
+        assert renewed_leases == [first_lease]
+        assert session.lease_id == second_lease != first_lease
         assert session.lease.sure_until_seconds == sure_until_seconds
         assert len(lost_leases) == 1
         task.cancel()
--- a/rackswitch/gateway/store/tests/test_store_relay.py
+++ b/rackswitch/gateway/store/tests/test_store_relay.py
@@ -1,4 +1,4 @@
-"""A daemon that cannot reach the key-value service goes on through its peers."""
+"""A daemon that cannot reach the key-value service makes its calls through peers."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 UNREACHABLE_URL = "http://127.0.0.1:9"
 LONG_ITEM_PIECES = 3000
-"""Pieces of an item that is not whole before a test ends, so that its job stays owned."""
+"""Pieces of an item that does not complete before a test ends, so that its job stays owned."""
 
 READ = StoreCall(
     method="GET",
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("through_peers", [True, False])
-def test_a_daemon_cut_from_the_service_keeps_its_session_and_takes_jobs(through_peers):
+def test_a_daemon_cut_off_from_the_service_keeps_its_session_and_accepts_jobs(through_peers):
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
         assert await fleet.submit("d0", "j0", [LONG_ITEM_PIECES]) == 202
@@ -52,7 +52,7 @@
     play(scenario, policy=PolicySettings(calls_through_peers=through_peers))
 
 
-def test_it_takes_a_new_session_after_the_service_has_ended_its_own():
+def test_a_cut_off_daemon_acquires_a_new_session_after_its_lease_ended():
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
         assert await fleet.submit("d0", "j0", [LONG_ITEM_PIECES]) == 202
@@ -63,11 +63,11 @@
         assert await fleet.submit("d0", "j1", [3]) == 202
         assert gateway.session.lease_id not in (previous_lease_id, None)
 
-    # Otherwise the job may go to the daemon that has taken the other one over.
+    # Otherwise the job may be placed at the daemon that has taken over the other one.
     play(scenario, policy=PolicySettings(jobs_gathered=False))
 
 
-def test_it_returns_to_its_own_path():
+def test_a_daemon_returns_to_the_direct_path_once_it_recovers():
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
         reachable_url = gateway.direct.url
@@ -80,7 +80,7 @@
     play(scenario)
 
 
-def test_no_call_passes_through_two_daemons():
+def test_a_call_is_forwarded_at_most_once():
     async def scenario(fleet):
         for gateway in fleet.gateways.values():
             gateway.direct.url = UNREACHABLE_URL
@@ -97,7 +97,7 @@
 
 
 class FakePath:
-    """A path whose answers are set; counts the calls."""
+    """A path with a preset answer that records its calls."""
 
     def __init__(self, answer):
         self.answer = answer
@@ -112,7 +112,7 @@
 
 
 class FakeLinks:
-    """Brings calls to peers as `FakePath` objects."""
+    """Connections to peers with preset replies."""
 
     def __init__(self, replies):
         self.replies = replies
@@ -124,7 +124,7 @@
 
 
 class RecordingLog:
-    """A log that keeps its lines."""
+    """A log that keeps its events."""
 
     def __init__(self):
         self.events = []
@@ -134,7 +134,7 @@
 
 
 class FakeMembership:
-    """Knows the peers' addresses."""
+    """A membership of live peers."""
 
     def __init__(self, names):
         self.own = MemberUpdate("a", "h", 1, "x", 0, MemberState.ALIVE)
@@ -148,7 +148,7 @@
 
 
 def make_relay(direct, replies):
-    """Return a relay with peers that reply so, in the order of their names."""
+    """Return a relay whose peers, in the given order, have preset replies; and its links."""
     links = FakeLinks(replies)
     return RelayTransport(direct, links, FakeMembership(replies), RecordingLog(), True), links
 
@@ -166,16 +166,14 @@
         (READ, StoreAnswer(503, b""), ["b"], True),
         (WRITE, NOT_SENT, ["b"], True),
         (WRITE, StoreAnswer(429, b""), ["b"], True),
-        # It may have been done, or may be done later: the caller has to find out.
+        # The call may have taken effect, or may do so later.
         (WRITE, LOST, [], False),
-        # An answer that says no is an answer.
+        # A rejection by the service is an answer.
         (WRITE, StoreAnswer(412, b"{}"), [], True),
         (READ, StoreAnswer(410, b""), [], True),
     ],
 )
-def test_a_call_is_made_again_only_if_that_does_no_harm(
-    call, direct_answer, asked_peers, is_answered
-):
+def test_a_call_is_retried_only_if_that_is_safe(call, direct_answer, asked_peers, is_answered):
     async def scenario():
         relay, links = make_relay(FakePath(direct_answer), {"b": ANSWERED, "c": ANSWERED})
         answer = await relay.send(call)
@@ -198,7 +196,7 @@
     asyncio.run(scenario())
 
 
-def test_a_peer_that_refuses_has_not_made_the_call():
+def test_a_refused_call_is_sent_to_the_next_peer():
     async def scenario():
         refusal = pb.PassOnReply(refused="no path to the service here either")
         relay, links = make_relay(FakePath(NOT_SENT), {"b": refusal, "c": ANSWERED})
@@ -208,7 +206,7 @@
     asyncio.run(scenario())
 
 
-def test_a_repeatable_call_does_not_wait_out_a_silent_path():
+def test_a_repeatable_call_has_a_shorter_timeout_on_the_direct_path():
     async def scenario():
         direct = FakePath(LOST)
         relay, _ = make_relay(direct, {"b": ANSWERED})
@@ -230,25 +228,25 @@
         ({"limit_seconds": 0.0}, "`limit_seconds`"),
     ],
 )
-def test_a_call_that_may_not_be_passed_on_is_refused_by_its_field(change, field):
+def test_a_call_that_may_not_be_forwarded_is_refused_naming_its_field(change, field):
     refused = decode_call(encode_call(msgspec.structs.replace(READ, **change)))
     assert field in refused.detail
 
 
-def test_what_is_passed_on_is_checked_bounded_and_logged():
+def test_forwarded_calls_are_validated_limited_and_logged():
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
         relay = gateway.context.kv._transport
-        events = RecordingLog()
+        recording_log = RecordingLog()
         forwarded_calls = ForwardedCalls(gateway.context, relay)
-        gateway.context.daemon.log, original_log = events, gateway.context.daemon.log
+        gateway.context.daemon.log, original_log = recording_log, gateway.context.daemon.log
         valid = pb.PassOnRequest(daemon="d1", call=encode_call(READ))
         unknown_daemon = pb.PassOnRequest(daemon="nobody", call=encode_call(READ))
         malformed = pb.PassOnRequest(daemon="d1", call=b"\xff\x00")
         assert (await forwarded_calls.serve(valid)).status == 404
         assert "`daemon`" in (await forwarded_calls.serve(unknown_daemon)).refused
         assert "`call`" in (await forwarded_calls.serve(malformed)).refused
-        assert [line.daemon_asking for line in events.events] == ["nobody", "d1"]
+        assert [event.daemon_asking for event in recording_log.events] == ["nobody", "d1"]
         forwarded_calls._in_flight = MAX_FORWARDED_CALLS
         assert (await forwarded_calls.serve(valid)).refused
         gateway.context.daemon.log = original_log
--- a/rackswitch/gateway/store/tests/test_target_list.py
+++ b/rackswitch/gateway/store/tests/test_target_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of targets, as it becomes what this daemon knows of them."""
+"""Handling of changes to the platform's list of targets."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class TargetList:
-    """The list as one daemon takes it in."""
+    """The list of targets as one daemon receives it."""
 
     def __init__(self):
         self.context = make_gateway_context("a", KvStore())
@@ -25,7 +25,7 @@
         self.handlers = StateManager(self.context, self.quarantine.watch).target_handlers()
         self._revision = 0
 
-    def put(self, instance, born=STARTED_AT_UNIX_MS, **changes):
+    def put(self, instance, started_at_unix_ms=STARTED_AT_UNIX_MS, **changes):
         entry = {
             "service": "engines",
             "address": "127.0.0.3:80",
@@ -34,7 +34,7 @@
             "state": "ready",
             "models": [{"name": "m", "version": 3}],
             "seq": 1,
-            "born": born,
+            "born": started_at_unix_ms,
             **changes,
         }
         self.put_bytes(instance, msgspec.json.encode(entry))
@@ -44,127 +44,129 @@
         self.handlers.on_put(KvEntry(f"servers/{instance}", value, 1, self._revision))
 
     def usable(self):
-        found = self.context.directory.usable("engines", self.context.now_seconds())
-        return [target.instance for target in found]
+        usable_targets = self.context.directory.usable("engines", self.context.now_seconds())
+        return [target.instance for target in usable_targets]
 
 
-def test_what_was_learnt_of_an_engine_goes_when_it_is_back_under_its_identity():
-    """Breaker, load, speed, prompts kept and loads under way are of the former start."""
+def test_estimates_are_discarded_when_an_engine_restarts_under_its_name():
+    """Covers the circuit breaker, outstanding load, cached prompts and ordered model loads."""
 
     async def scenario():
-        listed = TargetList()
-        listed.put("i-1")
-        now_seconds = listed.context.now_seconds()
-        previous_target = listed.context.targets["i-1"]
+        target_list = TargetList()
+        target_list.put("i-1")
+        now_seconds = target_list.context.now_seconds()
+        previous_target = target_list.context.targets["i-1"]
         previous_target.begin(500.0, (1, 2, 3))
         previous_target.went_silent(now_seconds)
-        listed.context.loads.told("i-1", "m", 4, now_seconds)
-        listed.put("i-1", STARTED_AT_UNIX_MS, seq=2)
-        assert listed.context.targets["i-1"] is previous_target
-        listed.put("i-1", STARTED_AT_UNIX_MS + 3000, models=[{"name": "m", "version": 1}], seq=0)
-        restarted_target = listed.context.targets["i-1"]
+        target_list.context.loads.told("i-1", "m", 4, now_seconds)
+        target_list.put("i-1", STARTED_AT_UNIX_MS, seq=2)
+        assert target_list.context.targets["i-1"] is previous_target
+        target_list.put(
+            "i-1", STARTED_AT_UNIX_MS + 3000, models=[{"name": "m", "version": 1}], seq=0
+        )
+        restarted_target = target_list.context.targets["i-1"]
         assert restarted_target.open_until_seconds <= now_seconds
         assert restarted_target.outstanding_tokens() == 0.0
         assert restarted_target.cached_share((1, 2, 3)) == 0.0
-        assert not listed.context.loads.is_loading("i-1", "m", now_seconds)
-        assert listed.context.directory.entries["i-1"].versions == {"m": 1}
+        assert not target_list.context.loads.is_loading("i-1", "m", now_seconds)
+        assert target_list.context.directory.entries["i-1"].versions == {"m": 1}
 
     run_virtual(scenario())
 
 
-def test_that_holds_too_if_its_entry_had_gone_in_between():
+def test_estimates_are_discarded_when_the_entry_was_deleted_before_the_restart():
 
     async def scenario():
-        listed = TargetList()
-        listed.put("i-1")
-        listed.context.targets["i-1"].went_silent(listed.context.now_seconds())
-        listed.handlers.on_deleted("servers/i-1")
-        listed.put("i-1", STARTED_AT_UNIX_MS + 3000)
-        assert listed.context.targets["i-1"].open_until_seconds == 0.0
+        target_list = TargetList()
+        target_list.put("i-1")
+        target_list.context.targets["i-1"].went_silent(target_list.context.now_seconds())
+        target_list.handlers.on_deleted("servers/i-1")
+        target_list.put("i-1", STARTED_AT_UNIX_MS + 3000)
+        assert target_list.context.targets["i-1"].open_until_seconds == 0.0
 
     run_virtual(scenario())
 
 
-def test_any_bytes_in_the_list_name_no_engine_and_the_others_hold():
+def test_malformed_entries_name_no_engine_and_leave_others_usable():
 
     async def scenario():
-        listed = TargetList()
-        listed.put("i-1")
-        listed.put("i-2", address="127.0.0.4:80")
-        listed.put_bytes("i-3", b"\xff\x00")
-        listed.put("i-4", state="zombie")
-        assert listed.usable() == ["i-1", "i-2"]
-        listed.put_bytes("i-1", b"{")
-        assert listed.usable() == ["i-2"]
-        listed.put("i-1", STARTED_AT_UNIX_MS)
-        assert set(listed.usable()) == {"i-1", "i-2"}
+        target_list = TargetList()
+        target_list.put("i-1")
+        target_list.put("i-2", address="127.0.0.4:80")
+        target_list.put_bytes("i-3", b"\xff\x00")
+        target_list.put("i-4", state="zombie")
+        assert target_list.usable() == ["i-1", "i-2"]
+        target_list.put_bytes("i-1", b"{")
+        assert target_list.usable() == ["i-2"]
+        target_list.put("i-1", STARTED_AT_UNIX_MS)
+        assert set(target_list.usable()) == {"i-1", "i-2"}
 
     run_virtual(scenario())
 
 
-def test_an_engine_whose_entry_goes_has_ended_under_what_broke_there_unless_it_was_leaving():
+def test_a_deleted_entry_is_evidence_of_an_end_unless_the_engine_was_draining():
     async def scenario():
-        listed = TargetList()
-        watch = listed.quarantine.watch
+        target_list = TargetList()
+        watch = target_list.quarantine.watch
         for instance, host in (("i-1", "127.0.0.3"), ("i-2", "127.0.0.4"), ("i-3", "127.0.0.5")):
-            listed.put(instance, address=f"{host}:80")
-        listed.put("i-2", address="127.0.0.4:80", state="draining")
-        targets = dict(listed.context.directory.entries)
+            target_list.put(instance, address=f"{host}:80")
+        target_list.put("i-2", address="127.0.0.4:80", state="draining")
+        targets = dict(target_list.context.directory.entries)
         for target in targets.values():
-            # The first is asked after, the second is leaving, the third runs on.
+            # i-1 is under inquiry, i-2 is draining and i-3 had no failure.
             if target.instance != "i-3":
                 watch.broke(f"under {target.instance}", target)
         for instance in ("i-1", "i-2", "i-3"):
-            listed.handlers.on_deleted(f"servers/{instance}")
-        evidence = listed.quarantine._evidence
+            target_list.handlers.on_deleted(f"servers/{instance}")
+        evidence = target_list.quarantine._evidence
         assert evidence.count("under i-1") == 1
         assert evidence.count("under i-2") == 0
 
     run_virtual(scenario())
 
 
-def test_another_start_at_an_engines_address_shows_its_end():
+def test_another_start_at_an_engines_address_is_evidence_of_its_end():
     async def scenario():
-        listed = TargetList()
-        listed.put("i-1")
-        listed.quarantine.watch.broke("f", listed.context.directory.entries["i-1"])
-        listed.put("i-9", STARTED_AT_UNIX_MS + 3000)
-        assert listed.quarantine._evidence.count("f") == 1
+        target_list = TargetList()
+        target_list.put("i-1")
+        target_list.quarantine.watch.broke("f", target_list.context.directory.entries["i-1"])
+        target_list.put("i-9", STARTED_AT_UNIX_MS + 3000)
+        assert target_list.quarantine._evidence.count("f") == 1
 
     run_virtual(scenario())
 
 
-def test_the_list_is_not_looked_through_while_no_engine_is_asked_after(monkeypatch):
-    """The first reading of a long list must not look through it once for each entry."""
+def test_the_list_is_not_searched_while_no_inquiry_is_open(monkeypatch):
+    """Otherwise the first snapshot of a long list would take quadratic time."""
 
     async def scenario():
-        listed = TargetList()
+        target_list = TargetList()
         searched_hosts = []
         monkeypatch.setattr(
             TargetDirectory,
             "at_address",
             lambda self, host, port: searched_hosts.append(host) or [],
         )
-        listed.put("i-1")
-        listed.put("i-2", address="127.0.0.4:80")
+        target_list.put("i-1")
+        target_list.put("i-2", address="127.0.0.4:80")
         assert not searched_hosts
-        listed.quarantine.watch.broke("f", listed.context.directory.entries["i-1"])
-        listed.put("i-3", address="127.0.0.5:80")
+        target_list.quarantine.watch.broke("f", target_list.context.directory.entries["i-1"])
+        target_list.put("i-3", address="127.0.0.5:80")
         assert searched_hosts == ["127.0.0.5"]
 
     run_virtual(scenario())
 
 
-def test_the_load_picture_forgets_a_start_whose_grace_is_over():
+def test_the_load_estimate_of_an_unlisted_start_is_removed_after_its_grace_period():
     async def scenario():
-        listed = TargetList()
-        context = listed.context
+        target_list = TargetList()
+        context = target_list.context
         for instance in ("i-1", "i-2"):
-            listed.put(instance)
+            target_list.put(instance)
             target = context.directory.entries[instance]
             context.load_estimator.heard(target.start, "engines", ReportedLoad(1, 0, 4, 1.0, 0.0))
         context.contact.back_seconds = context.now_seconds()
-        listed.handlers.on_deleted("servers/i-1")
+        target_list.handlers.on_deleted("servers/i-1")
         context.forget_unlisted()
         during = context.load_estimator.starts()
         await asyncio.sleep(LAPSE_GRACE_SECONDS + 0.1)
--- a/rackswitch/gateway/store/tests/test_watching.py
+++ b/rackswitch/gateway/store/tests/test_watching.py
@@ -1,4 +1,4 @@
-"""Copies that follow other daemons, over a real connection."""
+"""Replicas that follow other daemons, over a real connection."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,7 +21,7 @@
 
 
 class WatchedKv(FaultyKv):
-    """Tells now and then that nothing has changed."""
+    """Confirms periodically that nothing has changed."""
 
     async def watch(self, key, from_revision):
         while True:
@@ -30,7 +30,7 @@
 
 
 class SlowLinks(PeerLinks):
-    """Takes a tenth of a second each way."""
+    """Adds a latency of 0.1 s in each direction."""
 
     async def call(self, *args):
         await asyncio.sleep(0.1)
@@ -40,7 +40,7 @@
 
 
 class Daemon:
-    """The copies of one daemon, and where it serves those that follow it."""
+    """The replicas of one daemon, and its service for followers."""
 
     def __init__(self, name: str):
         self.notified_keys: list[str] = []
@@ -75,9 +75,9 @@
         await self.service.stop()
 
     def put(self, key: str, revision: int, age_seconds: float = 0.0) -> None:
-        """Take a change in as if the service had told it so long ago."""
-        news = WatchNews((KvEntry(key, b"v", revision, revision),), revision)
-        self.replicas.apply_changes(PREFIX, news)
+        """Apply a change as if the service had sent it `age_seconds` ago."""
+        update = WatchNews((KvEntry(key, b"v", revision, revision),), revision)
+        self.replicas.apply_changes(PREFIX, update)
         self.replicas.confirm(PREFIX, self.now_seconds() - age_seconds)
 
     def now_seconds(self) -> float:
@@ -88,7 +88,7 @@
 
 
 def run_scenario(scenario: Callable[..., Awaitable[None]], count: int = 2) -> None:
-    """Run a scenario on daemons that know each other."""
+    """Run a scenario with daemons that are members of one fleet."""
 
     async def run_daemons() -> None:
         daemons = [Daemon(name) for name in "abcd"[:count]]
@@ -104,24 +104,23 @@
     asyncio.run(run_daemons())
 
 
-def test_a_follower_is_told_of_what_its_source_learns():
+def test_a_follower_receives_the_changes_of_its_source():
     async def scenario(source, follower):
         source.put("p/x", 5)
         await follower.follower.poll_source("a", 1)
         assert follower.notified_keys == ["p/x"]
-        waiting = asyncio.create_task(follower.follower.poll_source("a", 1))
+        poll_task = asyncio.create_task(follower.follower.poll_source("a", 1))
         await asyncio.sleep(0.05)
         source.put("p/y", 6)
-        await waiting
+        await poll_task
         assert follower.notified_keys == ["p/x", "p/y"]
         assert follower.replica_manager.followed == "a"
 
     run_scenario(scenario)
 
 
-def test_the_age_of_the_services_word_is_passed_on_and_never_made_younger():
-    # A follower that took each answer for fresh as of its arrival would follow for ever a
-    # daemon that has lost the service, and nobody below would notice.
+def test_the_age_of_a_confirmation_is_passed_on_and_never_decreases():
+    # Otherwise followers would never detect that their source has lost the service.
     async def scenario(source, middle, last):
         source.put("p/x", 5, age_seconds=0.9)
         await middle.follower.poll_source("a", 1)
@@ -134,7 +133,7 @@
     run_scenario(scenario, 3)
 
 
-def test_a_word_ages_on_its_way_too():
+def test_the_age_of_a_confirmation_includes_time_in_transit():
     async def scenario(source, follower):
         source.put("p/x", 5)
         follower.context.daemon.links = SlowLinks("")
@@ -144,7 +143,7 @@
     run_scenario(scenario)
 
 
-def test_daemons_that_follow_each_other_in_a_ring_find_out():
+def test_daemons_that_follow_each_other_in_a_cycle_stop_following():
     async def scenario(one, other):
         one.put("p/x", 5, age_seconds=fresh_seconds(1) - 0.3)
         await other.follower.poll_source("a", 1)
@@ -158,7 +157,7 @@
     run_scenario(scenario)
 
 
-def test_a_source_and_its_follower_tell_each_other_which_engines_are_slow():
+def test_a_source_and_its_follower_exchange_engine_paces():
     async def scenario(source, follower):
         source.put("p/x", 5)
         now_seconds = follower.now_seconds()
@@ -171,7 +170,7 @@
     run_scenario(scenario)
 
 
-def test_a_source_whose_copy_nobody_vouches_for_is_not_followed():
+def test_a_source_with_a_stale_replica_is_not_followed():
     async def scenario(source, follower):
         source.put("p/x", 5, age_seconds=10.0)
         await follower.follower.poll_source("a", 1)
@@ -180,7 +179,7 @@
     run_scenario(scenario)
 
 
-def test_a_daemon_that_knows_nothing_yet_is_not_taken_for_a_dead_one():
+def test_a_starting_source_does_not_count_as_failed():
     async def scenario(source, follower):
         await follower.follower.poll_source("a", 1)
         assert not follower.replica_manager.followed
@@ -192,24 +191,24 @@
     run_scenario(scenario)
 
 
-def test_a_waiting_follower_hears_of_each_round_of_the_services_word():
+def test_a_waiting_follower_receives_each_round_of_confirmations():
     async def scenario(source, follower):
         source.put("p/x", 5)
         await follower.follower.poll_source("a", 1)
-        waiting = asyncio.create_task(follower.follower.poll_source("a", 1))
+        poll_task = asyncio.create_task(follower.follower.poll_source("a", 1))
         await asyncio.sleep(0.1)
         before_seconds = follower.age_seconds()
-        # The service said once more that nothing has changed.
+        # The service confirms again that nothing has changed.
         source.replicas._round_confirmed_at_seconds -= 1.0
         source.replicas.confirm(PREFIX, source.now_seconds())
-        await waiting
+        await poll_task
         assert follower.age_seconds() < before_seconds
 
     run_scenario(scenario)
 
 
 @pytest.mark.parametrize("root_dies", [False, True])
-def test_a_fleet_agrees_on_one_daemon_that_watches(root_dies):
+def test_a_fleet_converges_on_one_root(root_dies):
     async def scenario(*daemons):
         kv = KvStore()
         for daemon in daemons:
@@ -228,18 +227,18 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def wait_until_settled(daemons, excluding: str = "") -> None:
-        """Wait until one daemon has no other to follow, and the others follow live ones."""
+        """Wait until one daemon is the root, and the others follow live daemons."""
         while True:
             followed = [daemon.replica_manager.followed for daemon in daemons]
-            run_daemons = all(daemon.replica_manager.is_complete for daemon in daemons)
-            if run_daemons and followed.count("") == 1 and excluding not in set(followed) - {""}:
+            all_complete = all(daemon.replica_manager.is_complete for daemon in daemons)
+            if all_complete and followed.count("") == 1 and excluding not in set(followed) - {""}:
                 return
             await asyncio.sleep(0.02)
 
     run_scenario(scenario, 4)
 
 
-def test_a_daemon_with_more_room_becomes_the_root():
+def test_a_daemon_with_a_larger_processor_share_becomes_the_root():
     async def scenario(source, follower):
         entries = follower.context.member_entries
         entries["a"] = make_member(room=0.5)
@@ -253,12 +252,12 @@
     run_scenario(scenario)
 
 
-def test_a_follower_hears_through_its_source_that_the_service_is_back():
+def test_a_follower_learns_from_its_source_that_the_service_is_reachable_again():
     async def scenario(source, follower):
         source.put("p/x", 5)
         follower.context.contact.failed(follower.now_seconds(), "no answer")
         await follower.follower.poll_source("a", 1)
-        # What the source last heard is older than the failure.
+        # The source's last confirmation is older than the failure.
         assert follower.context.contact.is_away
         source.put("p/y", 6)
         await follower.follower.poll_source("a", 1)
