--- a/rackswitch/gateway/store/tests/spread_run.py
+++ b/rackswitch/gateway/store/tests/spread_run.py
@@ -47,9 +47,9 @@
 
     def put(self, key: str, value: bytes) -> None:
         self.store.txn([TxnPart((), (Operation(key, value),))])
-        self.note_changes()
+        self.record_changes()
 
-    def note_changes(self) -> None:
+    def record_changes(self) -> None:
         changes = [(entry.mod_revision, entry.key, entry) for entry in self.store.changed]
         changes += [(revision, key, None) for key, revision in self.store.deleted]
         self.store.changed.clear()
@@ -60,7 +60,7 @@
             self.changed = asyncio.Event()
 
     def changes_after(self, prefix: str, revision: int) -> WatchNews:
-        self.note_changes()
+        self.record_changes()
         newer = [
             change
             for change in self.history
@@ -94,9 +94,9 @@
 
     async def txn(self, parts):
         self._service.priced += 1.0
-        done = await super().txn(parts)
-        self._service.note_changes()
-        return done
+        result = await super().txn(parts)
+        self._service.record_changes()
+        return result
 
     async def watch(self, key, from_revision):
         revision = from_revision
@@ -114,7 +114,7 @@
                 update = self._service.changes_after(key, revision)
             await asyncio.sleep(self.faults.delay_seconds)
             if self._rng.random() < self.faults.refused:
-                yield KvUnavailable("turned away", effect_unknown=False)
+                yield KvUnavailable("call rejected", effect_unknown=False)
                 return
             revision = max(revision, update.revision)
             wait_seconds = WATCH_SECONDS
--- a/rackswitch/gateway/store/tests/test_path_store.py
+++ b/rackswitch/gateway/store/tests/test_path_store.py
@@ -34,7 +34,7 @@
     play(scenario, daemons=3)
 
 
-def test_a_planned_stop_does_not_wait_for_an_unresponsive_store():
+def test_a_planned_stop_ends_in_time_with_an_unresponsive_store():
     # The timeout of the lease's revocation must not end the process with an exception.
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
--- a/rackswitch/gateway/store/tests/test_session.py
+++ b/rackswitch/gateway/store/tests/test_session.py
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("is_own", [True, False])
-def test_only_a_previous_process_lease_is_revoked(is_own):
+def test_only_the_lease_of_an_earlier_process_is_revoked(is_own):
     async def scenario():
         kv = KvStore()
         session = Session(make_gateway_context("a", kv), lambda: None, lambda: True)
--- a/rackswitch/gateway/store/tests/test_spread_runs.py
+++ b/rackswitch/gateway/store/tests/test_spread_runs.py
@@ -60,7 +60,7 @@
         (root,) = run.watchers()
         run.reject_calls(root)
         # The rest of its watch, two retries, and one request to another daemon.
-        assert (await run.spread("after it was turned away"))[-1] < 1.25
+        assert (await run.spread("after it was cut off"))[-1] < 1.25
         await run.stop()
 
     run_virtual(scenario())
