--- a/rackswitch/gateway/store/control_entries.py
+++ b/rackswitch/gateway/store/control_entries.py
@@ -1,4 +1,4 @@
-"""Handing on what daemons write for each other: members, jobs, owners and orders."""
+"""Dispatch of the control entries that daemons write for each other."""
 
 import msgspec
 
@@ -21,36 +21,36 @@
 __all__ = ["CONTROL_PREFIX", "ControlEntries"]
 
 CONTROL_PREFIX = "control/"
-"""Members, job markers, job owners and records of orders: small entries that every daemon
-follows."""
+"""Prefix of members, job markers, job owners, roles, orders and quarantine records: small entries
+that every daemon replicates."""
 
 
 class ControlEntries:
-    """Takes in the entries under `CONTROL_PREFIX`.
+    """Dispatches the entries under `CONTROL_PREFIX`.
 
     Parameters
     ----------
     context : GatewayContext
-        The daemon, whose membership learns of members.
+        The daemon, whose membership receives the members.
     jobs : JobManager
-        Told of jobs and their owners.
+        Receives job markers and owners.
     versions : VersionManager
-        Told of the records of orders.
+        Receives the records of orders.
     roles : RoleEntries
-        Told which roles have a holder.
-    keeper : RoleManager
-        Told of holders, of whom an earlier process of this daemon may be one.
+        Receives which roles have a holder.
+    role_manager : RoleManager
+        Receives the holders, and ends the lease of an earlier process of this daemon.
     duty_turns : TurnManager
-        Told who calls the operators' API.
+        Receives the record of who calls the operators' API.
     quarantine : QuarantineManager
-        Told of targets that ended, and of requests on trial.
+        Receives the ends of targets and the requests on trial.
     """
 
     __slots__ = (
         "_context",
         "_duty_turns",
         "_jobs",
-        "_keeper",
+        "_role_manager",
         "_members",
         "_members_changed",
         "_quarantine",
@@ -64,14 +64,14 @@
         jobs: JobManager,
         versions: VersionManager,
         roles: RoleEntries,
-        keeper: RoleManager,
+        role_manager: RoleManager,
         duty_turns: TurnManager,
         quarantine: QuarantineManager,
     ):
         self._quarantine = quarantine
         self._duty_turns = duty_turns
         self._roles = roles
-        self._keeper = keeper
+        self._role_manager = role_manager
         self._context = context
         self._jobs = jobs
         self._versions = versions
@@ -79,24 +79,24 @@
         self._members_changed = False
 
     def handlers(self) -> ReplicaHandlers:
-        """Return what takes in the entries."""
-        return ReplicaHandlers(self._put, self._deleted, on_told=self._tell_members)
+        """Return the handlers of the entries."""
+        return ReplicaHandlers(self._put, self._deleted, on_batch_end=self._update_membership)
 
     def _put(self, entry: KvEntry) -> None:
-        """Hand an entry on; one that nobody of this fleet wrote changes nothing.
+        """Dispatch an entry; log and ignore one that cannot be decoded.
 
-        Raised here, it would end the daemon: following the service is a duty.
+        An exception raised here would end the daemon.
         """
         try:
-            self._hand_on(entry)
+            self._dispatch(entry)
         except msgspec.DecodeError as error:
             self._context.log.write(
                 EntryUnreadable(key=entry.key, revision=entry.mod_revision, detail=str(error))
             )
 
-    def _hand_on(self, entry: KvEntry) -> None:
+    def _dispatch(self, entry: KvEntry) -> None:
         if entry.key.startswith(MEMBERS_PREFIX):
-            self._take_member(entry)
+            self._put_member(entry)
         elif entry.key.startswith(JOBS_PREFIX):
             self._jobs.marker_put(entry)
         elif entry.key.startswith(OWNERS_PREFIX):
@@ -111,7 +111,7 @@
             note_record(self._duty_turns, entry)
         elif entry.key.startswith(ROLES_PREFIX):
             self._roles.put(entry.key.removeprefix(ROLES_PREFIX))
-            self._context.daemon.spawn(self._keeper.end_predecessors_lease(entry.value))
+            self._context.daemon.spawn(self._role_manager.end_predecessors_lease(entry.value))
 
     def _deleted(self, key: str) -> None:
         if key.startswith(MEMBERS_PREFIX):
@@ -128,18 +128,17 @@
         elif key.startswith(ROLES_PREFIX):
             self._roles.deleted(key.removeprefix(ROLES_PREFIX))
 
-    def _take_member(self, entry: KvEntry) -> None:
+    def _put_member(self, entry: KvEntry) -> None:
         name = entry.key.removeprefix(MEMBERS_PREFIX)
         member = decode_member(entry.value)
         self._members[name] = vm_entry(name, member)
         self._members_changed = True
         self._context.member_entries[name] = member
 
-    def _tell_members(self) -> None:
-        """Tell of the members once, whatever number of entries came together.
+    def _update_membership(self) -> None:
+        """Update the membership once for each batch of entries.
 
-        A fleet's whole list taken in again for each of 330 entries of a first reading is some
-        100,000 steps on a starting daemon.
+        An update for each entry would make the first snapshot quadratic in the fleet's size.
         """
         if not self._members_changed:
             return
--- a/rackswitch/gateway/store/state_manager.py
+++ b/rackswitch/gateway/store/state_manager.py
@@ -1,4 +1,4 @@
-"""The desired state and the list of targets, as this daemon knows them."""
+"""Handling of changes to the desired state and the list of targets."""
 
 from rackswitch.clients.kv import KvEntry, KvUnavailable, Operation, TxnPart
 from rackswitch.gateway.context import GatewayContext
@@ -28,20 +28,20 @@
 
 __all__ = ["StateManager"]
 
-SAME_ZONE_SECONDS = 0.0002
-OTHER_ZONE_SECONDS = 0.001
-"""Network distances that routing starts from; the platform does not tell them."""
+SAME_ZONE_LATENCY_SECONDS = 0.0002
+OTHER_ZONE_LATENCY_SECONDS = 0.001
+"""Initial network latencies for routing; the platform does not report them."""
 
 
 class StateManager:
-    """Follows what operators, trainers and targets write to the platform's service.
+    """Applies what operators, trainers and targets write to the key-value service.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     ends : EndDetector
-        Told of targets that the list shows to have ended.
+        Receives the targets that have ended according to the list.
     """
 
     __slots__ = ("_context", "_ends")
@@ -51,83 +51,83 @@
         self._ends = ends
 
     def operator_handlers(self) -> ReplicaHandlers:
-        """Return what takes in the operators' and trainers' entries."""
-        # Entries that go say nothing: the newest table and versions stay in force.
+        """Return the handlers of the operators' and trainers' entries."""
+        # Deletions are ignored: the newest table and versions stay in force.
         return ReplicaHandlers(self._operator_put, lambda key: None)
 
     def target_handlers(self) -> ReplicaHandlers:
-        """Return what takes in the list of targets."""
-        return ReplicaHandlers(self._target_put, self._target_deleted, self._list_confirmed)
+        """Return the handlers of the list of targets."""
+        return ReplicaHandlers(self._target_put, self._target_deleted, self._record_list_confirmed)
 
     def _operator_put(self, entry: KvEntry) -> None:
         decoded = decode_operator_entry(entry.key, entry.value)
         if isinstance(decoded, MalformedEntry):
-            self._unreadable(entry, decoded)
+            self._log_unreadable(entry, decoded)
         elif isinstance(decoded, TableDocument):
-            self._take_table(decoded)
+            self._apply_table(decoded)
         elif isinstance(decoded, NamedVersion):
-            self._take_version(decoded)
+            self._apply_version(decoded)
         elif isinstance(decoded, RetireOrder):
-            self._context.daemon.spawn(self._answer_retire(decoded.vm))
+            self._context.daemon.spawn(self._acknowledge_retirement(decoded.vm))
 
-    def _list_confirmed(self, at_seconds: float) -> None:
+    def _record_list_confirmed(self, at_seconds: float) -> None:
         self._context.list_confirmed_at_seconds = at_seconds
 
-    def _unreadable(self, entry: KvEntry, fault: MalformedEntry) -> None:
+    def _log_unreadable(self, entry: KvEntry, fault: MalformedEntry) -> None:
         self._context.log.write(
             EntryUnreadable(key=entry.key, revision=entry.mod_revision, detail=fault.detail)
         )
 
-    def _take_table(self, document: TableDocument) -> None:
-        before = self._context.table_revision
+    def _apply_table(self, document: TableDocument) -> None:
+        previous = self._context.table_revision
         if self._context.daemon.view.offer(document):
             self._context.routes = index_routes(document)
             self._context.tenants = index_tenants(document, self._context.tenants)
-            self._take_limits()
+            self._apply_limits()
             self._context.log.write(
-                TableInForce(revision=document.revision, revision_before=before)
+                TableInForce(revision=document.revision, revision_before=previous)
             )
 
-    def _take_limits(self) -> None:
+    def _apply_limits(self) -> None:
         row = self._context.daemon.view.row(LimitsRow, LIMITS_NAME)
         if row is not None:
             limits = self._context.connection_limits
             limits.header_timeout_seconds = row.header_timeout_seconds
             limits.idle_timeout_seconds = row.idle_timeout_seconds
 
-    def _take_version(self, named: NamedVersion) -> None:
-        before = self._context.named_versions.get(named.model, 0)
-        if named.version > before:
+    def _apply_version(self, named: NamedVersion) -> None:
+        previous = self._context.named_versions.get(named.model, 0)
+        if named.version > previous:
             self._context.named_versions[named.model] = named.version
             self._context.log.write(
-                VersionNamed(model=named.model, version=named.version, version_before=before)
+                VersionNamed(model=named.model, version=named.version, version_before=previous)
             )
 
-    async def _answer_retire(self, vm: str) -> None:
-        """Say that a VM may be taken: nothing that must last is kept on VMs."""
+    async def _acknowledge_retirement(self, vm: str) -> None:
+        """Confirm that a VM may be retired, unless confirmed already; VMs store nothing durable."""
         key, value = encode_retired(vm)
         read = await self._context.kv.read(key)
         if isinstance(read, KvUnavailable) or read.entries:
             return
         part = TxnPart((), (Operation(key, value),))
-        done = await self._context.kv.txn([part])
-        outcome = done.detail if isinstance(done, KvUnavailable) else "told"
+        result = await self._context.kv.txn([part])
+        outcome = result.detail if isinstance(result, KvUnavailable) else "told"
         self._context.log.write(RetireAnswered(vm=vm, outcome=outcome))
 
     def _target_put(self, entry: KvEntry) -> None:
         instance = target_instance(entry.key)
         target = decode_target(instance, entry.value)
         if isinstance(target, MalformedEntry):
-            self._unreadable(entry, target)
-            # Whatever stands there now, it is no word of a target that can be used.
+            self._log_unreadable(entry, target)
+            # A malformed entry describes no usable target.
             self._context.directory.disown(instance)
             return
-        before = self._context.directory.entries.get(instance)
-        self._tell_of_ends(before, target)
+        previous = self._context.directory.entries.get(instance)
+        self._report_ended_starts(previous, target)
         self._context.directory.put(target)
-        self._learn(target)
+        self._track_start(target)
         self._context.loads.listed(instance, target.versions, self._context.now_seconds())
-        if before is None or before.draining != target.draining:
+        if previous is None or previous.draining != target.draining:
             self._context.log.write(
                 TargetListed(
                     target=instance,
@@ -137,40 +137,40 @@
                 )
             )
 
-    def _tell_of_ends(self, before: ListedTarget | None, target: ListedTarget) -> None:
-        """Tell of starts that cannot be there any more, now that another one is listed.
+    def _report_ended_starts(self, previous: ListedTarget | None, target: ListedTarget) -> None:
+        """Report the starts that a newly listed start has replaced.
 
-        Only while any target is asked after: nobody else wants to know, and looking through the
-        whole list for each of its entries makes the first reading of a long list quadratic.
+        Skipped while no inquiry is open: searching the whole list for each entry would make the
+        first snapshot of a long list quadratic.
         """
         if not self._ends.inquiries.any_open:
             return
-        if before is not None and before.start != target.start:
-            self._ends.ended(before.start, EndEvidence.REPLACED)
+        if previous is not None and previous.start != target.start:
+            self._ends.ended(previous.start, EndEvidence.REPLACED)
         for other in self._context.directory.at_address(target.host, target.port):
             if other.instance != target.instance:
                 self._ends.ended(other.start, EndEvidence.REPLACED)
 
     def _target_deleted(self, key: str) -> None:
         instance = target_instance(key)
-        before = self._context.directory.entries.get(instance)
+        previous = self._context.directory.entries.get(instance)
         now_seconds = self._context.now_seconds()
         back_seconds = self._context.contact.back_seconds
         self._context.directory.remove(instance, now_seconds, back_seconds)
-        lapsed = instance in self._context.directory.lapsed
-        if not lapsed:
+        is_lapsed = instance in self._context.directory.lapsed
+        if not is_lapsed:
             self._context.loads.gone(instance)
-            if before is not None:
-                self._context.load_estimator.forget(before.start)
-            if before is not None and not before.draining:
-                self._ends.ended(before.start, EndEvidence.UNLISTED)
-        self._context.log.write(TargetGone(target=instance, still_used=lapsed))
+            if previous is not None:
+                self._context.load_estimator.forget(previous.start)
+            if previous is not None and not previous.draining:
+                self._ends.ended(previous.start, EndEvidence.UNLISTED)
+        self._context.log.write(TargetGone(target=instance, still_used=is_lapsed))
 
-    def _learn(self, listed: ListedTarget) -> None:
-        """Begin to learn of a start of a target.
+    def _track_start(self, listed: ListedTarget) -> None:
+        """Create the estimates for a new start of a target.
 
-        What was learnt of an earlier one under the same identity goes: its breaker, its load and
-        speed, the prompts that it kept and the loads that it was ordered.
+        Those of an earlier start of the same instance are discarded: its circuit breaker, load,
+        speed, cached prompts and ordered model loads.
         """
         known = self._context.targets.get(listed.instance)
         if known is not None and known.start == listed.start:
@@ -179,7 +179,7 @@
         if known is not None:
             self._context.load_estimator.forget(known.start)
         same_zone = listed.zone == self._context.settings.zone
-        distance_seconds = SAME_ZONE_SECONDS if same_zone else OTHER_ZONE_SECONDS
+        distance_seconds = SAME_ZONE_LATENCY_SECONDS if same_zone else OTHER_ZONE_LATENCY_SECONDS
         self._context.targets[listed.instance] = Target(
             listed.instance, listed.url, listed.zone, distance_seconds, start=listed.start
         )
--- a/rackswitch/gateway/store/tests/spread_run.py
+++ b/rackswitch/gateway/store/tests/spread_run.py
@@ -1,4 +1,4 @@
-"""Fleets that keep copies current, without a network, on a clock that jumps."""
+"""Simulated fleets that keep replicas current, without a network, on a virtual clock."""
 
 import asyncio
 import random
@@ -26,18 +26,18 @@
 STATE = "op/"
 WATCH_SECONDS = 0.7
 START_SECONDS = 0.3
-SAME_ZONE_SECONDS = 0.0002
-OTHER_ZONE_SECONDS = 0.001
+SAME_ZONE_LATENCY_SECONDS = 0.0002
+OTHER_ZONE_LATENCY_SECONDS = 0.001
 
 
 @dataclass(slots=True)
 class Service:
-    """The key-value service: its entries, and a sign of each change.
+    """The key-value service: its entries, and a notification of each change.
 
     Attributes
     ----------
     priced : float
-        Calls so far; a renewal or an old reading counts a tenth.
+        Calls so far; a lease renewal or a stale read counts as 0.1 calls.
     """
 
     store: KvStore = field(default_factory=KvStore)
@@ -47,9 +47,9 @@
 
     def put(self, key: str, value: bytes) -> None:
         self.store.txn([TxnPart((), (Operation(key, value),))])
-        self.note_changes()
+        self.record_changes()
 
-    def note_changes(self) -> None:
+    def record_changes(self) -> None:
         changes = [(entry.mod_revision, entry.key, entry) for entry in self.store.changed]
         changes += [(revision, key, None) for key, revision in self.store.deleted]
         self.store.changed.clear()
@@ -59,22 +59,22 @@
             self.changed.set()
             self.changed = asyncio.Event()
 
-    def news(self, prefix: str, revision: int) -> WatchNews:
-        self.note_changes()
-        later = [
+    def changes_after(self, prefix: str, revision: int) -> WatchNews:
+        self.record_changes()
+        newer = [
             change
             for change in self.history
             if change[0] > revision and change[1].startswith(prefix)
         ]
         return latest_news(
-            [entry for _, _, entry in later if entry is not None],
-            [(key, at) for at, key, entry in later if entry is None],
+            [entry for _, _, entry in newer if entry is not None],
+            [(key, at) for at, key, entry in newer if entry is None],
             self.store.revision,
         )
 
 
 class WatchedKv(FaultyKv):
-    """One daemon's connection to a service that can be watched."""
+    """One daemon's connection to the service, with watches."""
 
     def __init__(self, service: Service, rng: random.Random):
         super().__init__(service.store, rng, KvFaults())
@@ -94,9 +94,9 @@
 
     async def txn(self, parts):
         self._service.priced += 1.0
-        done = await super().txn(parts)
-        self._service.note_changes()
-        return done
+        result = await super().txn(parts)
+        self._service.record_changes()
+        return result
 
     async def watch(self, key, from_revision):
         revision = from_revision
@@ -104,25 +104,25 @@
         while True:
             self._service.priced += 1.0
             deadline_seconds = asyncio.get_running_loop().time() + wait_seconds
-            news = self._service.news(key, revision)
-            while not (news.entries or news.deleted):
+            update = self._service.changes_after(key, revision)
+            while not (update.entries or update.deleted):
                 try:
                     async with asyncio.timeout_at(deadline_seconds):
                         await self._service.changed.wait()
                 except TimeoutError:
                     break
-                news = self._service.news(key, revision)
+                update = self._service.changes_after(key, revision)
             await asyncio.sleep(self.faults.delay_seconds)
             if self._rng.random() < self.faults.refused:
-                yield KvUnavailable("turned away", effect_unknown=False)
+                yield KvUnavailable("call rejected", effect_unknown=False)
                 return
-            revision = max(revision, news.revision)
+            revision = max(revision, update.revision)
             wait_seconds = WATCH_SECONDS
-            yield WatchNews(news.entries, revision, news.deleted)
+            yield WatchNews(update.entries, revision, update.deleted)
 
 
-class Node:
-    """One daemon: its copies, its entry, and when it learnt of each change."""
+class SimulatedDaemon:
+    """One daemon: its replicas, its entry, and when it received each change."""
 
     def __init__(self, name: str, zone: str, service: Service, rng: random.Random):
         self.context = make_gateway_context(name, service.store, rng.randrange(1 << 30))
@@ -133,127 +133,131 @@
         self.zone = zone
         self.alive = True
         self.served = 0
-        self.learnt_seconds: dict[str, float] = {}
+        self.received_at_seconds: dict[str, float] = {}
         self._members: dict[str, object] = {}
         handlers = {
             CONTROL: ReplicaHandlers(self._member_put, self._member_deleted),
             STATE: ReplicaHandlers(self._state_put, lambda key: None),
         }
-        self.keeper = ReplicaManager(self.context, handlers, EnginePaces(), CONTROL)
-        self.presence = Presence(self.context, 1, self.keeper.looked)
+        self.replica_manager = ReplicaManager(self.context, handlers, EnginePaces(), CONTROL)
+        self.presence = Presence(self.context, 1, self.replica_manager.looked)
 
     def _member_put(self, entry: KvEntry) -> None:
         name = entry.key.removeprefix(MEMBERS_PREFIX)
         member = decode_member(entry.value)
         self.context.member_entries[name] = member
         self._members[name] = vm_entry(name, member)
-        self._tell_members()
+        self._update_membership()
 
     def _member_deleted(self, key: str) -> None:
         self._members.pop(key.removeprefix(MEMBERS_PREFIX), None)
-        self._tell_members()
+        self._update_membership()
 
-    def _tell_members(self) -> None:
+    def _update_membership(self) -> None:
         members = list(self._members.values())
         self.context.daemon.membership.learn_listed(members, self.context.now_seconds())
 
     def _state_put(self, entry: KvEntry) -> None:
-        self.learnt_seconds.setdefault(entry.value.decode(), self.context.now_seconds())
+        self.received_at_seconds.setdefault(entry.value.decode(), self.context.now_seconds())
 
 
 class FleetLinks:
-    """Calls between the daemons of a run; one that is dead does not answer."""
+    """Calls between the daemons of a run; a dead daemon does not answer."""
 
     def __init__(self, run: "SpreadRun", zone: str):
         self._run = run
         self._zone = zone
 
     async def call(self, peer, method, message, timeout_seconds, stub_kind):
-        node = self._run.nodes[peer.daemon]
-        same_zone = node.zone == self._zone
-        way_seconds = SAME_ZONE_SECONDS if same_zone else OTHER_ZONE_SECONDS
-        if not node.alive:
+        daemon = self._run.nodes[peer.daemon]
+        same_zone = daemon.zone == self._zone
+        transit_seconds = SAME_ZONE_LATENCY_SECONDS if same_zone else OTHER_ZONE_LATENCY_SECONDS
+        if not daemon.alive:
             await asyncio.sleep(timeout_seconds)
             return PeerUnreachable("no answer")
         try:
             async with asyncio.timeout(timeout_seconds):
-                await asyncio.sleep(way_seconds)
-                reply = await node.keeper.server.serve(message)
-                await asyncio.sleep(way_seconds if node.alive else timeout_seconds)
+                await asyncio.sleep(transit_seconds)
+                reply = await daemon.replica_manager.server.serve(message)
+                await asyncio.sleep(transit_seconds if daemon.alive else timeout_seconds)
         except TimeoutError:
             return PeerUnreachable("no answer in time")
-        node.served += 1
+        daemon.served += 1
         return reply
 
 
 class SpreadRun:
-    """A fleet that starts within a moment, as after a loss of everything."""
+    """A fleet whose daemons all start within `START_SECONDS`."""
 
     def __init__(self, daemons: int, zones: int = 6, seed: int = 1):
         self.rng = random.Random(seed)
         self.service = Service()
-        names = [(f"d{number:03d}", f"z{number % zones}") for number in range(daemons)]
-        self.nodes = {name: Node(name, zone, self.service, self.rng) for name, zone in names}
-        self._duties: list[tuple[Node, asyncio.Task[None]]] = []
+        daemon_zones = [(f"d{number:03d}", f"z{number % zones}") for number in range(daemons)]
+        self.nodes = {
+            name: SimulatedDaemon(name, zone, self.service, self.rng) for name, zone in daemon_zones
+        }
+        self._tasks: list[tuple[SimulatedDaemon, asyncio.Task[None]]] = []
 
     async def start(self) -> None:
         self.service.put(STATE + "a", b"first")
-        for node in self.nodes.values():
-            node.context.daemon.links = FleetLinks(self, node.zone)
-            for duty in (node.keeper.run(), node.presence.run()):
+        for daemon in self.nodes.values():
+            daemon.context.daemon.links = FleetLinks(self, daemon.zone)
+            for coroutine in (daemon.replica_manager.run(), daemon.presence.run()):
                 delay_seconds = self.rng.uniform(0.0, START_SECONDS)
-                self._duties.append((node, asyncio.create_task(_after(delay_seconds, duty))))
+                self._tasks.append(
+                    (daemon, asyncio.create_task(_run_after(delay_seconds, coroutine)))
+                )
 
     async def stop(self) -> None:
-        for _, duty in self._duties:
-            duty.cancel()
-        await asyncio.gather(*(duty for _, duty in self._duties), return_exceptions=True)
+        for _, task in self._tasks:
+            task.cancel()
+        await asyncio.gather(*(task for _, task in self._tasks), return_exceptions=True)
 
-    def kill(self, node: Node) -> None:
-        """End a daemon without a word, as a loss of power does."""
-        node.alive = False
-        for owner, duty in self._duties:
-            if owner is node:
-                duty.cancel()
+    def kill(self, daemon: SimulatedDaemon) -> None:
+        """End a daemon without a planned stop."""
+        daemon.alive = False
+        for owner, task in self._tasks:
+            if owner is daemon:
+                task.cancel()
 
-    def turn_away(self, node: Node) -> None:
-        """Have the service refuse all calls of a daemon from now on."""
-        node.context.kv.faults.refused = 1.0
+    def reject_calls(self, daemon: SimulatedDaemon) -> None:
+        """Make the service reject all calls of a daemon."""
+        daemon.context.kv.faults.refused = 1.0
 
-    def living(self) -> list[Node]:
-        return [node for node in self.nodes.values() if node.alive]
+    def living(self) -> list[SimulatedDaemon]:
+        return [daemon for daemon in self.nodes.values() if daemon.alive]
 
-    def watchers(self) -> list[Node]:
-        return [node for node in self.living() if not node.keeper.followed]
+    def watchers(self) -> list[SimulatedDaemon]:
+        return [daemon for daemon in self.living() if not daemon.replica_manager.followed]
 
     async def settled(self, limit_seconds: float = 10.0) -> float:
-        """Wait until one daemon watches and all others follow; return how long that took."""
+        """Wait until one daemon watches and all others follow; return the time taken."""
         loop = asyncio.get_running_loop()
-        began_seconds = loop.time()
+        started_at_seconds = loop.time()
         async with asyncio.timeout(limit_seconds):
             while not self._is_settled():
                 await asyncio.sleep(0.01)
-        return loop.time() - began_seconds
+        return loop.time() - started_at_seconds
 
     def _is_settled(self) -> bool:
         living = self.living()
-        names = {node.context.daemon_name for node in living}
-        whole = all(node.keeper.is_complete for node in living)
-        followed = {node.keeper.followed for node in living} - {""}
-        return whole and len(self.watchers()) == 1 and followed <= names
+        living_names = {daemon.context.daemon_name for daemon in living}
+        all_complete = all(daemon.replica_manager.is_complete for daemon in living)
+        followed = {daemon.replica_manager.followed for daemon in living} - {""}
+        return all_complete and len(self.watchers()) == 1 and followed <= living_names
 
     async def spread(self, value: str, limit_seconds: float = 10.0) -> list[float]:
-        """Change something; return after how long each daemon knew of it that can hear of it."""
+        """Change an entry; return the sorted delays until each reachable daemon received it."""
         loop = asyncio.get_running_loop()
-        began_seconds = loop.time()
+        started_at_seconds = loop.time()
         self.service.put(STATE + "a", value.encode())
-        living = [node for node in self.living() if not node.context.kv.faults.refused]
+        living = [daemon for daemon in self.living() if not daemon.context.kv.faults.refused]
         async with asyncio.timeout(limit_seconds):
-            while not all(value in node.learnt_seconds for node in living):
+            while not all(value in daemon.received_at_seconds for daemon in living):
                 await asyncio.sleep(0.01)
-        return sorted(node.learnt_seconds[value] - began_seconds for node in living)
+        return sorted(daemon.received_at_seconds[value] - started_at_seconds for daemon in living)
 
 
-async def _after(delay_seconds: float, duty) -> None:
+async def _run_after(delay_seconds: float, coroutine) -> None:
     await asyncio.sleep(delay_seconds)
-    await duty
+    await coroutine
--- a/rackswitch/gateway/store/tests/test_store_relay.py
+++ b/rackswitch/gateway/store/tests/test_store_relay.py
@@ -1,4 +1,4 @@
-"""A daemon that cannot reach the key-value service goes on through its peers."""
+"""A daemon that cannot reach the key-value service makes its calls through peers."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.policy import PolicySettings
-from rackswitch.gateway.store.store_relay import MAX_PASSED_ON, ForwardedCalls, RelayTransport
+from rackswitch.gateway.store.store_relay import MAX_FORWARDED_CALLS, ForwardedCalls, RelayTransport
 from rackswitch.gateway.tests.path import check_whole, play, wait_for
 from rackswitch.membership import MemberState, MemberUpdate
 from rackswitch.peers import gateway_pb2 as pb
@@ -15,9 +15,9 @@
 from rackswitch.platform.store_messages import StoreAnswer
 from rackswitch.relay import OWN_PATH
 
-NOWHERE = "http://127.0.0.1:9"
-LONG_TEXT = 3000
-"""Pieces of an item that is not whole before a test ends, so that its job stays owned."""
+UNREACHABLE_URL = "http://127.0.0.1:9"
+LONG_ITEM_PIECES = 3000
+"""Pieces of an item that does not complete before a test ends, so that its job stays owned."""
 
 READ = StoreCall(
     method="GET",
@@ -36,11 +36,11 @@
 
 
 @pytest.mark.parametrize("through_peers", [True, False])
-def test_a_daemon_cut_from_the_service_keeps_its_session_and_takes_jobs(through_peers):
+def test_a_daemon_cut_off_from_the_service_keeps_its_session_and_accepts_jobs(through_peers):
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
-        assert await fleet.submit("d0", "j0", [LONG_TEXT]) == 202
-        gateway.direct.url = NOWHERE
+        assert await fleet.submit("d0", "j0", [LONG_ITEM_PIECES]) == 202
+        gateway.direct.url = UNREACHABLE_URL
         await wait_for(lambda: gateway.session.is_sure() is through_peers, 5.0)
         await asyncio.sleep(0 if not through_peers else 2.5)
         assert gateway.session.is_sure() is through_peers
@@ -52,40 +52,42 @@
     play(scenario, policy=PolicySettings(calls_through_peers=through_peers))
 
 
-def test_it_takes_a_new_session_after_the_service_has_ended_its_own():
+def test_a_cut_off_daemon_acquires_a_new_session_after_its_lease_ended():
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
-        assert await fleet.submit("d0", "j0", [LONG_TEXT]) == 202
-        before = gateway.session.lease_id
-        gateway.direct.url = NOWHERE
-        fleet.store.end_lease(before)
-        await wait_for(lambda: gateway.session.lease_id != before)
+        assert await fleet.submit("d0", "j0", [LONG_ITEM_PIECES]) == 202
+        previous_lease_id = gateway.session.lease_id
+        gateway.direct.url = UNREACHABLE_URL
+        fleet.store.end_lease(previous_lease_id)
+        await wait_for(lambda: gateway.session.lease_id != previous_lease_id)
         assert await fleet.submit("d0", "j1", [3]) == 202
-        assert gateway.session.lease_id not in (before, None)
+        assert gateway.session.lease_id not in (previous_lease_id, None)
 
-    # Otherwise the job may go to the daemon that has taken the other one over.
+    # Otherwise the job may be placed at the daemon that has taken over the other one.
     play(scenario, policy=PolicySettings(jobs_gathered=False))
 
 
-def test_it_returns_to_its_own_path():
+def test_a_daemon_returns_to_the_direct_path_once_it_recovers():
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
-        good = gateway.direct.url
-        gateway.direct.url = NOWHERE
-        choice = gateway.context.kv._transport.choice
-        await wait_for(lambda: not choice.own_is_good)
-        gateway.direct.url = good
-        await wait_for(lambda: choice.own_is_good, 3.0)
+        reachable_url = gateway.direct.url
+        gateway.direct.url = UNREACHABLE_URL
+        path_selector = gateway.context.kv._transport.path_selector
+        await wait_for(lambda: not path_selector.own_is_good)
+        gateway.direct.url = reachable_url
+        await wait_for(lambda: path_selector.own_is_good, 3.0)
 
     play(scenario)
 
 
-def test_no_call_passes_through_two_daemons():
+def test_a_call_is_forwarded_at_most_once():
     async def scenario(fleet):
         for gateway in fleet.gateways.values():
-            gateway.direct.url = NOWHERE
-        choices = [g.context.kv._transport.choice for g in fleet.gateways.values()]
-        await wait_for(lambda: not any(choice.own_is_good for choice in choices))
+            gateway.direct.url = UNREACHABLE_URL
+        path_selectors = [g.context.kv._transport.path_selector for g in fleet.gateways.values()]
+        await wait_for(
+            lambda: not any(path_selector.own_is_good for path_selector in path_selectors)
+        )
         request = pb.PassOnRequest(daemon="d1", call=encode_call(READ))
         reply = await fleet.gateways["d0"]._peers._passed_on.serve(request)
         assert reply.refused
@@ -95,44 +97,44 @@
 
 
 class FakePath:
-    """A path whose answers are set; counts the calls."""
+    """A path with a preset answer that records its calls."""
 
     def __init__(self, answer):
         self.answer = answer
         self.calls: list[StoreCall] = []
-        self.gate = asyncio.Event()
-        self.gate.set()
+        self.answer_allowed = asyncio.Event()
+        self.answer_allowed.set()
 
     async def send(self, call: StoreCall):
         self.calls.append(call)
-        await self.gate.wait()
+        await self.answer_allowed.wait()
         return self.answer
 
 
 class FakeLinks:
-    """Brings calls to peers as `FakePath` objects."""
+    """Connections to peers with preset replies."""
 
     def __init__(self, replies):
         self.replies = replies
-        self.asked: list[str] = []
+        self.asked_peers: list[str] = []
 
     async def call(self, peer, method, message, timeout_seconds, stub_kind):
-        self.asked.append(peer.daemon)
+        self.asked_peers.append(peer.daemon)
         return self.replies[peer.daemon]
 
 
-class Lines:
-    """A log that keeps its lines."""
+class RecordingLog:
+    """A log that keeps its events."""
 
     def __init__(self):
-        self.lines = []
+        self.events = []
 
     def write(self, event):
-        self.lines.append(event)
+        self.events.append(event)
 
 
 class FakeMembership:
-    """Knows the peers' addresses."""
+    """A membership of live peers."""
 
     def __init__(self, names):
         self.own = MemberUpdate("a", "h", 1, "x", 0, MemberState.ALIVE)
@@ -146,9 +148,9 @@
 
 
 def make_relay(direct, replies):
-    """Return a relay with peers that reply so, in the order of their names."""
+    """Return a relay whose peers, in the given order, have preset replies; and its links."""
     links = FakeLinks(replies)
-    return RelayTransport(direct, links, FakeMembership(replies), Lines(), True), links
+    return RelayTransport(direct, links, FakeMembership(replies), RecordingLog(), True), links
 
 
 ANSWERED = pb.PassOnReply(answered=True, status=200, content=b"{}")
@@ -157,26 +159,26 @@
 
 
 @pytest.mark.parametrize(
-    ("call", "own", "asked", "is_answered"),
+    ("call", "direct_answer", "asked_peers", "is_answered"),
     [
         (READ, LOST, ["b"], True),
         (READ, NOT_SENT, ["b"], True),
         (READ, StoreAnswer(503, b""), ["b"], True),
         (WRITE, NOT_SENT, ["b"], True),
         (WRITE, StoreAnswer(429, b""), ["b"], True),
-        # It may have been done, or may be done later: the caller has to find out.
+        # The call may have taken effect, or may do so later.
         (WRITE, LOST, [], False),
-        # An answer that says no is an answer.
+        # A rejection by the service is an answer.
         (WRITE, StoreAnswer(412, b"{}"), [], True),
         (READ, StoreAnswer(410, b""), [], True),
     ],
 )
-def test_a_call_is_made_again_only_if_that_does_no_harm(call, own, asked, is_answered):
+def test_a_call_is_retried_only_if_that_is_safe(call, direct_answer, asked_peers, is_answered):
     async def scenario():
-        relay, links = make_relay(FakePath(own), {"b": ANSWERED, "c": ANSWERED})
+        relay, links = make_relay(FakePath(direct_answer), {"b": ANSWERED, "c": ANSWERED})
         answer = await relay.send(call)
         assert isinstance(answer, StoreAnswer) is is_answered
-        assert links.asked == asked
+        assert links.asked_peers == asked_peers
         if not is_answered:
             assert answer.effect_unknown
 
@@ -189,22 +191,22 @@
         relay, links = make_relay(FakePath(NOT_SENT), {"b": reply, "c": ANSWERED})
         answer = await relay.send(WRITE)
         assert answer == KvUnavailable("b: TimeoutError", effect_unknown=True)
-        assert links.asked == ["b"]
+        assert links.asked_peers == ["b"]
 
     asyncio.run(scenario())
 
 
-def test_a_peer_that_refuses_has_not_made_the_call():
+def test_a_refused_call_is_sent_to_the_next_peer():
     async def scenario():
         refusal = pb.PassOnReply(refused="no path to the service here either")
         relay, links = make_relay(FakePath(NOT_SENT), {"b": refusal, "c": ANSWERED})
         assert isinstance(await relay.send(WRITE), StoreAnswer)
-        assert links.asked == ["b", "c"]
+        assert links.asked_peers == ["b", "c"]
 
     asyncio.run(scenario())
 
 
-def test_a_repeatable_call_does_not_wait_out_a_silent_path():
+def test_a_repeatable_call_has_a_shorter_timeout_on_the_direct_path():
     async def scenario():
         direct = FakePath(LOST)
         relay, _ = make_relay(direct, {"b": ANSWERED})
@@ -226,28 +228,28 @@
         ({"limit_seconds": 0.0}, "`limit_seconds`"),
     ],
 )
-def test_a_call_that_may_not_be_passed_on_is_refused_by_its_field(change, field):
+def test_a_call_that_may_not_be_forwarded_is_refused_naming_its_field(change, field):
     refused = decode_call(encode_call(msgspec.structs.replace(READ, **change)))
     assert field in refused.detail
 
 
-def test_what_is_passed_on_is_checked_bounded_and_logged():
+def test_forwarded_calls_are_validated_limited_and_logged():
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
         relay = gateway.context.kv._transport
-        lines = Lines()
-        passed_on = ForwardedCalls(gateway.context, relay)
-        gateway.context.daemon.log, log = lines, gateway.context.daemon.log
-        known = pb.PassOnRequest(daemon="d1", call=encode_call(READ))
-        stranger = pb.PassOnRequest(daemon="nobody", call=encode_call(READ))
-        garbage = pb.PassOnRequest(daemon="d1", call=b"\xff\x00")
-        assert (await passed_on.serve(known)).status == 404
-        assert "`daemon`" in (await passed_on.serve(stranger)).refused
-        assert "`call`" in (await passed_on.serve(garbage)).refused
-        assert [line.daemon_asking for line in lines.lines] == ["nobody", "d1"]
-        passed_on._under_way = MAX_PASSED_ON
-        assert (await passed_on.serve(known)).refused
-        gateway.context.daemon.log = log
-        assert relay.choice.paths([], True, 0.0) == [OWN_PATH]
+        recording_log = RecordingLog()
+        forwarded_calls = ForwardedCalls(gateway.context, relay)
+        gateway.context.daemon.log, original_log = recording_log, gateway.context.daemon.log
+        valid = pb.PassOnRequest(daemon="d1", call=encode_call(READ))
+        unknown_daemon = pb.PassOnRequest(daemon="nobody", call=encode_call(READ))
+        malformed = pb.PassOnRequest(daemon="d1", call=b"\xff\x00")
+        assert (await forwarded_calls.serve(valid)).status == 404
+        assert "`daemon`" in (await forwarded_calls.serve(unknown_daemon)).refused
+        assert "`call`" in (await forwarded_calls.serve(malformed)).refused
+        assert [event.daemon_asking for event in recording_log.events] == ["nobody", "d1"]
+        forwarded_calls._in_flight = MAX_FORWARDED_CALLS
+        assert (await forwarded_calls.serve(valid)).refused
+        gateway.context.daemon.log = original_log
+        assert relay.path_selector.paths([], True, 0.0) == [OWN_PATH]
 
     play(scenario)
--- a/rackswitch/gateway/store/watching.py
+++ b/rackswitch/gateway/store/watching.py
@@ -1,7 +1,7 @@
-"""Keeping copies of the key-value service's prefixes current.
+"""Replication of the key-value service's prefixes.
 
 One daemon of the fleet watches the service, and the others follow it along a tree. A daemon
-that cannot follow anybody watches the service itself.
+that has no source to follow watches the service itself.
 """
 
 import asyncio
@@ -18,18 +18,18 @@
 
 
 class ReplicaManager:
-    """The copies of one daemon.
+    """Keeps the replicas of one daemon current.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     handlers : dict of str to ReplicaHandlers
-        Who is told, by prefix.
+        Handlers of changes, by prefix.
     paces : EnginePaces
-        Told along with the copies, both ways.
+        Engines' paces, exchanged with other daemons in both directions.
     members_prefix : str
-        The prefix that tells of the other daemons.
+        The prefix that contains the membership entries.
 
     Attributes
     ----------
@@ -37,7 +37,7 @@
         Answers daemons that follow this one.
     """
 
-    __slots__ = ("_copies", "_follower", "_watch", "server")
+    __slots__ = ("_replicas", "_follower", "_watch", "server")
 
     def __init__(
         self,
@@ -46,31 +46,31 @@
         paces: EnginePaces,
         members_prefix: str,
     ):
-        self._copies = ReplicaSet(handlers)
-        self._watch = ServiceWatch(context, self._copies, members_prefix)
-        self._follower = PeerFollower(context, self._copies, self._watch, paces, members_prefix)
-        self.server = ReplicaServer(context, self._copies, paces, self._watch)
+        self._replicas = ReplicaSet(handlers)
+        self._watch = ServiceWatch(context, self._replicas, members_prefix)
+        self._follower = PeerFollower(context, self._replicas, self._watch, paces, members_prefix)
+        self.server = ReplicaServer(context, self._replicas, paces, self._watch)
 
     @property
     def copies(self) -> dict[str, PrefixReplica]:
-        """The copies, by prefix."""
-        return self._copies.by_prefix
+        """The replicas, by prefix."""
+        return self._replicas.by_prefix
 
     @property
     def is_complete(self) -> bool:
-        """Whether the service has vouched for every copy."""
-        return self._copies.is_complete
+        """Whether every replica has been confirmed by the service."""
+        return self._replicas.is_complete
 
     @property
     def followed(self) -> str:
-        """The daemon whose copies are taken over; empty if the service is watched itself."""
-        return self._follower.choice.followed
+        """The daemon that is followed; empty if this daemon follows none."""
+        return self._follower.selector.followed
 
     @property
     def looked(self) -> asyncio.Event:
-        """Set once this daemon has looked who else is there, and for a predecessor's entry."""
-        return self._follower.looked
+        """Set once the members have been read, including an entry of an earlier process."""
+        return self._follower.members_read
 
     async def run(self) -> None:
-        """Keep the copies current until cancelled."""
+        """Keep the replicas current until cancelled."""
         await asyncio.gather(self._watch.run(), self._follower.run())
