--- a/rackswitch/gateway/jobs/__init__.py
+++ b/rackswitch/gateway/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: taking, keeping, reading, handing over and forgetting them."""
+"""Batch jobs: submission, storage, reads, hand-over between daemons, and deletion."""
--- a/rackswitch/gateway/jobs/hand_over_receiver.py
+++ b/rackswitch/gateway/jobs/hand_over_receiver.py
@@ -1,4 +1,4 @@
-"""Taking over the jobs of daemons that stop."""
+"""Receiving side of a hand-over: takes the jobs of daemons that stop."""
 
 import asyncio
 import zlib
@@ -6,11 +6,11 @@
 import msgspec
 
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.jobs.held_claims import HeldClaims
 from rackswitch.gateway.jobs.job_checkpoints import JobCheckpoints
 from rackswitch.gateway.jobs.job_claims import JobClaims
 from rackswitch.gateway.jobs.job_outcomes import JobNotStored
 from rackswitch.gateway.jobs.job_records import unpack_checkpoint, unpack_job, unpack_results
+from rackswitch.gateway.jobs.local_job_claims import LocalJobClaims
 from rackswitch.gateway.jobs.owned_jobs import OwnedJobs
 from rackswitch.jobs import Job, JobCheckpoint, JobResult, merge_checkpoints
 from rackswitch.peers import gateway_pb2 as pb
@@ -18,46 +18,53 @@
 
 __all__ = ["HandOverReceiver"]
 
-SETTLE_SECONDS = 1.0
-"""How long a daemon that stops waits for what is just being handed over to it."""
+PENDING_HAND_OVERS_TIMEOUT_SECONDS = 1.0
+"""How long a stopping daemon waits for hand-overs to it that have begun."""
 
 
 class HandOverReceiver:
-    """Goes on with jobs that are handed over to this daemon.
+    """Takes ownership of jobs that are handed over to this daemon.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     claims : JobClaims
-        Told of the jobs.
-    held : HeldClaims
-        Becomes their owner.
+        Records the offered jobs.
+    local_claims : LocalJobClaims
+        Writes the claims.
     jobs : OwnedJobs
-        The jobs worked on here.
+        The jobs that this daemon runs.
     checkpoints : JobCheckpoints
-        Brings the latest texts.
+        Fetches the sender's final checkpoint.
     """
 
-    __slots__ = ("_checkpoints", "_claims", "_context", "_held", "_jobs", "_takings")
+    __slots__ = (
+        "_checkpoints",
+        "_claims",
+        "_context",
+        "_local_claims",
+        "_jobs",
+        "_pending_hand_overs",
+    )
 
     def __init__(
         self,
         context: GatewayContext,
         claims: JobClaims,
-        held: HeldClaims,
+        local_claims: LocalJobClaims,
         jobs: OwnedJobs,
         checkpoints: JobCheckpoints,
     ):
         self._context = context
         self._claims = claims
-        self._held = held
+        self._local_claims = local_claims
         self._jobs = jobs
         self._checkpoints = checkpoints
-        self._takings: set[asyncio.Task[pb.HandOverReply]] = set()
+        self._pending_hand_overs: set[asyncio.Task[pb.HandOverReply]] = set()
 
-    async def take(self, request: pb.HandOverRequest) -> pb.HandOverReply:
-        """Go on with a job, or say why not."""
+    async def receive(self, request: pb.HandOverRequest) -> pb.HandOverReply:
+        """Take a job over, or reply with the reason for a refusal."""
         if self._context.daemon.stopping:
             return pb.HandOverReply(detail="this daemon is stopping")
         if not self._context.policy.jobs_handed_over:
@@ -67,43 +74,43 @@
             listed = unpack_results(request.listed)
             snapshot = unpack_checkpoint(request.checkpoint)
         except (msgspec.DecodeError, zlib.error) as error:
-            return pb.HandOverReply(detail=f"not a job: {error}")
-        if job.job_id in self._jobs.by_id or job.job_id in self._jobs.arriving:
-            return pb.HandOverReply(detail="this daemon works on the job")
+            return pb.HandOverReply(detail=f"invalid hand-over request: {error}")
+        if job.job_id in self._jobs.by_id or job.job_id in self._jobs.incoming:
+            return pb.HandOverReply(detail="this daemon already runs the job")
         if not self._can_run(job):
-            return pb.HandOverReply(detail="this daemon knows no engine for the job yet")
-        # Who hands over may give up; a job that is claimed by then is worked on all the same.
-        taking = self._context.daemon.spawn(self._take(request, job, listed, snapshot))
-        self._takings.add(taking)
-        taking.add_done_callback(self._takings.discard)
-        return await asyncio.shield(taking)
+            return pb.HandOverReply(detail="this daemon does not know an engine for the job yet")
+        # Runs as a task of its own: a sender that cancels the call must not interrupt a claim.
+        receiving = self._context.daemon.spawn(self._receive(request, job, listed, snapshot))
+        self._pending_hand_overs.add(receiving)
+        receiving.add_done_callback(self._pending_hand_overs.discard)
+        return await asyncio.shield(receiving)
 
     def _can_run(self, job: Job) -> bool:
-        """Return whether an engine is known for a job: a process that has just begun has none."""
+        """Return whether an engine is known for a job; a new process may not know any yet."""
         route = self._context.routes.find(job.host, job.path)
         if route is None:
             return False
         now_seconds = self._context.now_seconds()
         return any(self._context.directory.usable(route.choices[0].serves, now_seconds))
 
-    async def settle(self) -> None:
-        """Wait for the jobs that are just being handed over, which this daemon must pass on."""
-        if self._takings:
-            await asyncio.wait(self._takings, timeout=SETTLE_SECONDS)
+    async def wait_for_pending(self) -> None:
+        """Wait for hand-overs that have begun, as a stopping daemon hands these jobs over too."""
+        if self._pending_hand_overs:
+            await asyncio.wait(self._pending_hand_overs, timeout=PENDING_HAND_OVERS_TIMEOUT_SECONDS)
 
-    async def _take(
+    async def _receive(
         self,
         request: pb.HandOverRequest,
         job: Job,
         listed: list[JobResult],
         snapshot: JobCheckpoint,
     ) -> pb.HandOverReply:
-        began_seconds = self._context.now_seconds()
-        self._jobs.arriving.add(job.job_id)
+        started_seconds = self._context.now_seconds()
+        self._jobs.incoming.add(job.job_id)
         try:
-            reply = await self._own(request, job, listed, snapshot)
+            reply = await self._claim_and_resume(request, job, listed, snapshot)
         finally:
-            self._jobs.arriving.discard(job.job_id)
+            self._jobs.incoming.discard(job.job_id)
         outcome = ("owned" if reply.owner_revision else "not owned yet") if reply.taken else ""
         self._context.log.write(
             JobReceived(
@@ -111,47 +118,53 @@
                 former_owner=request.daemon,
                 outcome=outcome or reply.detail,
                 owner_revision=reply.owner_revision,
-                elapsed_seconds=round(self._context.now_seconds() - began_seconds, 4),
+                elapsed_seconds=round(self._context.now_seconds() - started_seconds, 4),
             )
         )
         return reply
 
-    async def _own(
+    async def _claim_and_resume(
         self,
         request: pb.HandOverRequest,
         job: Job,
         listed: list[JobResult],
         snapshot: JobCheckpoint,
     ) -> pb.HandOverReply:
-        is_behind = False
+        may_miss_results = False
         claimed = await self._claim(request, job.job_id, len(listed))
         if claimed == 0:
-            # What the sender was just appending may have been kept since it sent its results.
-            is_behind = True
+            # The sender may have appended a segment after it sent its list of results.
+            may_miss_results = True
             claimed = await self._claim(request, job.job_id, None)
         if isinstance(claimed, JobNotStored) and not request.may_wait:
             return pb.HandOverReply(detail=claimed.detail, service_away=True)
         if claimed == 0:
-            return pb.HandOverReply(detail="the job is not the sender's any more")
-        self._claims.introduce(job, request.marker_revision)
+            return pb.HandOverReply(detail="the sender no longer owns the job")
+        self._claims.record_offered_job(job, request.marker_revision)
         revision = claimed if isinstance(claimed, int) else 0
-        asked_for = revision or request.owner_revision
-        texts = await self._checkpoints.ask_giver(request.daemon, job.job_id, asked_for)
-        if texts is None and not revision:
-            # Its runs may go on there, so that none may go on here.
-            return pb.HandOverReply(detail="the sender did not leave the job")
-        checkpoint = merge_checkpoints(snapshot, texts) if texts is not None else snapshot
+        claim_revision = revision or request.owner_revision
+        final_checkpoint = await self._checkpoints.fetch_from_sender(
+            request.daemon, job.job_id, claim_revision
+        )
+        if final_checkpoint is None and not revision:
+            # Without a claim, the sender may still run the items.
+            return pb.HandOverReply(detail="the sender did not release the job")
+        checkpoint = (
+            merge_checkpoints(snapshot, final_checkpoint)
+            if final_checkpoint is not None
+            else snapshot
+        )
         if not self._claims.is_open(job.job_id):
             return pb.HandOverReply(detail="the job has been ended")
-        owned = self._jobs.own(job, asked_for, listed, awaits_claim=not revision)
-        owned.is_behind = is_behind
-        self._checkpoints.go_on(owned, checkpoint)
+        owned = self._jobs.add(job, claim_revision, listed, awaits_claim=not revision)
+        owned.may_miss_results = may_miss_results
+        self._checkpoints.resume(owned, checkpoint)
         return pb.HandOverReply(taken=True, owner_revision=revision)
 
     async def _claim(
         self, request: pb.HandOverRequest, job_id: str, position: int | None
     ) -> int | JobNotStored:
-        """Claim a job under the fence of its former owner's claim."""
+        """Claim a job, conditional on the sender's owner revision."""
         if request.may_wait and self._context.contact.is_away:
-            return JobNotStored("the key-value service is away", effect_unknown=False)
-        return await self._held.claim_offered(job_id, request.owner_revision, position)
+            return JobNotStored("the key-value service is unreachable", effect_unknown=False)
+        return await self._local_claims.claim_offered(job_id, request.owner_revision, position)
--- a/rackswitch/gateway/jobs/hand_over_sender.py
+++ b/rackswitch/gateway/jobs/hand_over_sender.py
@@ -1,4 +1,4 @@
-"""Handing over the jobs of a daemon that stops."""
+"""Sending side of a hand-over: passes on the jobs of a daemon that stops."""
 
 import asyncio
 
@@ -26,23 +26,23 @@
 __all__ = ["HandOverSender"]
 
 OFFER_TIMEOUT_SECONDS = 1.8
-"""How long a successor may take: it may wait in vain for the key-value service, and then asks for
-the texts. The job's runs go on meanwhile."""
+"""Covers a successor's timeout at the key-value service and its request for the texts. The job's
+items keep running meanwhile."""
 
-OFFERS_SECONDS = 3.0
-"""After so long no further successor of a job is asked, so that the rest of the stop's time is left
-for releasing it through the key-value service."""
+OFFERS_TIMEOUT_SECONDS = 3.0
+"""How long successors are tried for a job. The rest of the shutdown time is for releasing the job
+through the key-value service."""
 
 MAX_OFFERS = 6
-"""Daemons that one job is offered to at most. Those that stop too, or are dead, mostly show it at
-once, so that there is time to try some in vain."""
+"""Maximum number of daemons that one job is offered to. Dead and stopping daemons mostly refuse at
+once."""
 
 MAX_OFFERED_BYTES = 8_000_000
-"""Larger jobs take longer to pass on than their texts take to make again."""
+"""Generating the texts of a larger job again takes less time than sending them."""
 
 
 class HandOverSender:
-    """Gives open jobs to other daemons, straight or through the key-value service.
+    """Hands open jobs over to other daemons, directly or through the key-value service.
 
     Parameters
     ----------
@@ -51,13 +51,13 @@
     store : JobStore
         Jobs in the key-value service.
     known : KnownJobs
-        Who owns how much.
+        All jobs of the fleet and their owners.
     jobs : OwnedJobs
-        The jobs worked on here.
+        The jobs that this daemon runs.
     checkpoints : JobCheckpoints
-        What is there of a job.
+        Makes checkpoints of unfinished items.
     appender : ResultAppender
-        Lists what is ready before a job is released.
+        Appends finished results before a job is released.
     """
 
     __slots__ = ("_appender", "_checkpoints", "_context", "_jobs", "_known", "_store")
@@ -78,46 +78,50 @@
         self._checkpoints = checkpoints
         self._appender = appender
 
-    async def give_all(self) -> None:
-        """Hand all jobs over; those that nobody takes are released."""
+    async def hand_over_all(self) -> None:
+        """Offer all jobs to other daemons, then release the remaining ones."""
         if self._context.policy.jobs_handed_over:
             ledgers = order_jobs(owned.ledger for owned in self._jobs.by_id.values())
             jobs = [self._jobs.by_id[ledger.job.job_id] for ledger in ledgers]
-            await asyncio.gather(*(self._give(owned) for owned in jobs))
+            await asyncio.gather(*(self._hand_over(owned) for owned in jobs))
         await self._release_all()
 
     async def _release_all(self) -> None:
-        """Give jobs up through the key-value service, results that are ready first."""
-        left = [owned for owned in self._jobs.by_id.values() if not owned.awaits_claim]
-        await asyncio.gather(*(self._appender.append_all(owned) for owned in left))
+        """Append finished results, then release the jobs in the key-value service."""
+        claimed_jobs = [owned for owned in self._jobs.by_id.values() if not owned.awaits_claim]
+        await asyncio.gather(*(self._appender.append_all(owned) for owned in claimed_jobs))
         for job_id, owned in list(self._jobs.by_id.items()):
-            checkpoint = await self._jobs.leave(owned, "handed over")
+            checkpoint = await self._jobs.release(owned, "handed over")
             await self._store.release(job_id, owned.owner_revision, checkpoint)
 
-    async def _give(self, owned: OwnedJob) -> None:
-        """Offer a job to one daemon after the other until one has it."""
+    async def _hand_over(self, owned: OwnedJob) -> None:
+        """Offer a job to one daemon after the other until one takes it."""
         job_id = owned.ledger.job.job_id
-        until_seconds = self._context.now_seconds() + OFFERS_SECONDS
-        service_away = self._context.contact.is_away
+        until_seconds = self._context.now_seconds() + OFFERS_TIMEOUT_SECONDS
+        service_unreachable = self._context.contact.is_away
         for successor in self._successors(owned):
-            if self._context.now_seconds() >= until_seconds or not self._is_here(owned):
+            if self._context.now_seconds() >= until_seconds or not self._is_owned_here(owned):
                 break
-            reply = await self._offer(owned, successor, service_away)
-            if reply.service_away and not service_away and await self._is_away(job_id):
-                service_away = True
-                reply = await self._offer(owned, successor, service_away)
+            reply = await self._offer(owned, successor, service_unreachable)
+            if (
+                reply.service_away
+                and not service_unreachable
+                and await self._is_service_unreachable(job_id)
+            ):
+                service_unreachable = True
+                reply = await self._offer(owned, successor, service_unreachable)
             if reply.taken:
                 self._jobs.drop(job_id, "handed over")
                 return
-        if not self._is_here(owned):
-            # Another daemon has it by now, as an answer was lost or by a claim; or it has ended.
-            await self._release_left(owned)
+        if not self._is_owned_here(owned):
+            # Taken by another daemon (a lost reply, or a claim) or ended meanwhile.
+            await self._release_unconfirmed(owned)
 
-    async def _is_away(self, job_id: str) -> bool:
-        """Return whether the key-value service does not answer this daemon either."""
+    async def _is_service_unreachable(self, job_id: str) -> bool:
+        """Return whether the key-value service is unreachable from this daemon too."""
         return isinstance(await self._store.load_owner(job_id), KvUnavailable)
 
-    def _is_here(self, owned: OwnedJob) -> bool:
+    def _is_owned_here(self, owned: OwnedJob) -> bool:
         return self._jobs.by_id.get(owned.ledger.job.job_id) is owned
 
     def _successors(self, owned: OwnedJob) -> list[str]:
@@ -128,7 +132,7 @@
     def _candidates(self) -> list[SuccessorCandidate]:
         context = self._context
         open_items = self._known.open_items()
-        newest = self._known.newest_jobs()
+        newest = self._known.last_submit_unix_seconds()
         now_unix_seconds = context.unix_seconds()
         return [
             SuccessorCandidate(
@@ -149,9 +153,11 @@
             if name != context.daemon_name
         ]
 
-    async def _offer(self, owned: OwnedJob, successor: str, service_away: bool) -> pb.HandOverReply:
-        """Offer a job to a daemon, which asks for the latest texts before it answers."""
-        began_seconds = self._context.now_seconds()
+    async def _offer(
+        self, owned: OwnedJob, successor: str, service_unreachable: bool
+    ) -> pb.HandOverReply:
+        """Offer a job to a daemon, which requests the final checkpoint before it replies."""
+        started_seconds = self._context.now_seconds()
         snapshot = self._checkpoints.snapshot(owned)
         request = pb.HandOverRequest(
             daemon=self._context.daemon_name,
@@ -160,7 +166,7 @@
             listed=pack_results(owned.ledger.listed),
             checkpoint=pack_checkpoint(snapshot),
             marker_revision=self._known.marker_revision(owned.ledger.job.job_id),
-            may_wait=service_away or owned.awaits_claim,
+            may_wait=service_unreachable or owned.awaits_claim,
         )
         reply = await self._call(owned, successor, request)
         self._context.log.write(
@@ -169,7 +175,7 @@
                 successor=successor,
                 outcome=_outcome(reply),
                 owner_revision=reply.owner_revision,
-                elapsed_seconds=round(self._context.now_seconds() - began_seconds, 4),
+                elapsed_seconds=round(self._context.now_seconds() - started_seconds, 4),
                 items_kept=len(snapshot.items),
             )
         )
@@ -180,9 +186,9 @@
     ) -> pb.HandOverReply:
         peer = self._context.daemon.membership.address(successor)
         if peer is None:
-            return pb.HandOverReply(detail="its address is not known")
+            return pb.HandOverReply(detail="no known address for the successor")
         if request.ByteSize() > MAX_OFFERED_BYTES:
-            return pb.HandOverReply(detail="the job is too large")
+            return pb.HandOverReply(detail="the job is too large to hand over")
         owned.successor = successor
         reply = await self._context.daemon.links.call(
             peer,
@@ -191,19 +197,20 @@
             OFFER_TIMEOUT_SECONDS,
             GatewayPeersStub,
         )
-        # It may no longer ask for the texts: the next one is offered them.
+        # Only one successor at a time may request the final checkpoint.
         owned.successor = ""
         if isinstance(reply, PeerUnreachable):
             return pb.HandOverReply(detail=reply.detail)
         return reply
 
-    async def _release_left(self, owned: OwnedJob) -> None:
-        """Release a job whose texts were given away without a confirmation.
+    async def _release_unconfirmed(self, owned: OwnedJob) -> None:
+        """Release a job whose final checkpoint was fetched by a successor that did not confirm.
 
-        Under the fence of this daemon's ownership that does nothing if the job has another owner.
+        The write is conditional on this daemon's owner revision, so it has no effect if another
+        daemon has claimed the job.
         """
         job_id = owned.ledger.job.job_id
-        checkpoint = await self._jobs.left_texts(job_id)
+        checkpoint = await self._jobs.released_checkpoint(job_id)
         await self._store.release(job_id, owned.owner_revision, checkpoint)
 
 
--- a/rackswitch/gateway/jobs/job_checkpoints.py
+++ b/rackswitch/gateway/jobs/job_checkpoints.py
@@ -1,10 +1,10 @@
-"""What passes from a job's former owner to its next one: unfinished texts, kept or handed over."""
+"""Checkpoints of unfinished texts, which pass from a job's former owner to its next one."""
 
 import asyncio
 from collections.abc import Iterable
 
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.jobs.job_records import key_part, unpack_checkpoint
+from rackswitch.gateway.jobs.job_records import job_key_part, unpack_checkpoint
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.known_jobs import KnownJobs
 from rackswitch.gateway.jobs.owned_job import OwnedJob
@@ -24,43 +24,42 @@
 __all__ = ["JobCheckpoints"]
 
 MIN_CHECKPOINT_PIECES = 24
-"""Shorter texts are made again: they are about a second of an engine's work, and a step's
-longest texts, which decide when it is whole, have more than a hundred."""
+"""Shorter texts are generated again, which takes an engine about a second. The longest texts, which
+determine the duration of a step, have more than a hundred pieces."""
 
 MIN_HANDED_OVER_PIECES = 1
-"""At a planned hand-over everything goes along: it is one call whatever its size."""
+"""A planned hand-over includes all texts, as it is one call regardless of size."""
 
 YIELD_TIMEOUT_SECONDS = 0.5
-"""How long a former owner may take to leave a job: it waits for its runs' ends, and the call
-crosses zones. One that is dead answers never, and the job must go on."""
+"""How long a former owner may take to release a job: it waits for its runs to end, and the call may
+cross availability zones. A dead one does not reply, and the job must continue."""
 
-RUNS_END_SECONDS = 0.2
-"""How long the cancelled runs of a job that is handed over may take to let their engines go."""
+RUNS_END_TIMEOUT_SECONDS = 0.2
+"""How long the cancelled runs of a released job may take to disconnect from their engines."""
 
-PROOF_PATIENCE_SECONDS = 0.6
-"""How long texts that were left wait for the proof that nobody runs them any more: enough for a
-fleet that starts at once to learn of each other's new processes. An item that starts without the
-proof makes its text again from the beginning."""
+PREDECESSOR_END_TIMEOUT_SECONDS = 0.6
+"""How long checkpointed items wait for evidence that the former owner's process has ended. Covers
+the time in which daemons that start together learn of each other's new processes. Without the
+evidence, an item's text is generated again from the beginning."""
 
-PROOF_LOOK_SECONDS = 0.05
-"""Between looks for that proof; a tick of the keeper that starts items."""
+PREDECESSOR_END_POLL_SECONDS = 0.05
+"""Between checks for that evidence; as long as a tick of the job manager."""
 
-CHECKPOINT_SECONDS = 1.5
-"""Between two checkpoints of a job: a call each, against at most so much work lost with an
-owner that dies."""
+CHECKPOINT_INTERVAL_SECONDS = 1.5
+"""Between two checkpoints of a job; also the maximum work lost if the owner crashes."""
 
 
 class JobCheckpoints:
-    """Makes the checkpoints of owned jobs, and goes on with those of former owners.
+    """Makes checkpoints of owned jobs, and resumes jobs from those of former owners.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     store : JobStore
-        Keeps checkpoints in the key-value service.
+        Stores checkpoints in the key-value service.
     known : KnownJobs
-        Tells who owned a job before.
+        Provides the former owners of jobs.
     """
 
     __slots__ = ("_context", "_known", "_store")
@@ -70,10 +69,10 @@
         self._store = store
         self._known = known
 
-    # As an owner
+    # Checkpoints of owned jobs
 
-    def keep_due(self, owned_jobs: Iterable[OwnedJob]) -> None:
-        """Keep the long unfinished texts of owned jobs now and then, for a successor."""
+    def store_due(self, owned_jobs: Iterable[OwnedJob]) -> None:
+        """Store checkpoints that are due of owned jobs with long unfinished texts."""
         if not self._context.policy.texts_kept:
             return
         now_seconds = self._context.now_seconds()
@@ -82,32 +81,32 @@
                 continue
             items = checkpoint_items(owned.ledger, MIN_CHECKPOINT_PIECES)
             if any(len(item.pieces) >= MIN_CHECKPOINT_PIECES for item in items):
-                owned.next_checkpoint_seconds = now_seconds + CHECKPOINT_SECONDS
+                owned.next_checkpoint_seconds = now_seconds + CHECKPOINT_INTERVAL_SECONDS
                 checkpoint = self._checkpoint(items, runs_ended=False)
                 job_id = owned.ledger.job.job_id
                 self._context.daemon.spawn(
-                    self._store.keep_checkpoint(job_id, owned.owner_revision, checkpoint)
+                    self._store.store_checkpoint(job_id, owned.owner_revision, checkpoint)
                 )
 
-    def items_to_leave(self, owned: OwnedJob) -> tuple[ItemCheckpoint, ...]:
-        """Return what is there of a job that is about to be left."""
+    def items_to_hand_over(self, owned: OwnedJob) -> tuple[ItemCheckpoint, ...]:
+        """Return the unfinished items of a job that is about to be released."""
         return checkpoint_items(owned.ledger, MIN_HANDED_OVER_PIECES)
 
     def snapshot(self, owned: OwnedJob) -> JobCheckpoint:
-        """Return what is there of a job that is still worked on."""
-        return self._checkpoint(self.items_to_leave(owned), runs_ended=False)
+        """Return a checkpoint of a job that is still running."""
+        return self._checkpoint(self.items_to_hand_over(owned), runs_ended=False)
 
-    async def after_runs(
+    async def checkpoint_after_runs(
         self, items: tuple[ItemCheckpoint, ...], runs: list[asyncio.Task[None]]
     ) -> JobCheckpoint:
-        """Return the checkpoint of a job that was left, once its cancelled runs have ended.
+        """Return the final checkpoint of a released job once its cancelled runs have ended.
 
         Parameters
         ----------
         items : tuple of ItemCheckpoint
-            Taken before the job was left.
+            Copied before the job was released.
         runs : list of asyncio.Task
-            Its runs, cancelled; the checkpoint says so if they do not end in time.
+            The job's cancelled runs. The checkpoint records whether they ended in time.
         """
         return self._checkpoint(items, await _have_ended(runs))
 
@@ -119,40 +118,41 @@
             items=items,
         )
 
-    # As the next owner
+    # Checkpoints of former owners
 
-    async def ask_former_owner(
+    async def fetch_from_former_owner(
         self, job_id: str, owner_revision: int, writer: str | None = None
     ) -> JobCheckpoint | None:
-        """Ask a job's former owner, which the service may only have turned away, to leave it.
+        """Have a job's former owner release it, and return the final checkpoint.
+
+        The former owner may still run if it has only lost its session.
 
         Parameters
         ----------
         job_id : str
             The job.
         owner_revision : int
-            Of this daemon's claim.
+            Revision of this daemon's claim.
         writer : str or None, optional
-            Daemon that wrote the job's checkpoint: the former owner, where no other is known, as
-            in a process that began when the service told nothing.
+            Daemon that wrote the stored checkpoint. It is taken for the former owner if no former
+            owner is known, as in a process that started during an outage.
 
         Returns
         -------
         JobCheckpoint or None
-            None if there is no other former owner, it does not answer, or it does not work
-            on the job.
+            None if there is no other former owner, it does not reply, or it does not run the job.
         """
-        former = self._known.former_owner(key_part(job_id)) or writer
+        former = self._known.former_owner(job_key_part(job_id)) or writer
         if former is None or former == self._context.daemon_name:
             return None
         return await self._ask(
             former, pb.YieldJobRequest(job_id=job_id, owner_revision=owner_revision)
         )
 
-    async def ask_giver(
+    async def fetch_from_sender(
         self, former: str, job_id: str, owner_revision: int
     ) -> JobCheckpoint | None:
-        """Ask the daemon that hands a job over to this one for its texts, and so to leave it."""
+        """Have the daemon that hands a job over release it, and return the final checkpoint."""
         request = pb.YieldJobRequest(
             job_id=job_id,
             owner_revision=owner_revision,
@@ -175,31 +175,33 @@
             return None
         return unpack_checkpoint(reply.checkpoint)
 
-    def go_on(self, owned: OwnedJob, checkpoint: JobCheckpoint) -> None:
-        """Go on with the texts of a former owner whose runs have surely ended.
+    def resume(self, owned: OwnedJob, checkpoint: JobCheckpoint) -> None:
+        """Resume the items of a checkpoint once the former owner's runs have certainly ended.
 
-        Where that is not sure yet, these items wait a little: after a loss of all daemons the
-        former owner's next process tells of itself only a moment after the first claims.
+        Until then these items wait for a short time: after a loss of all daemons, the former
+        owner's new process appears in the member entries shortly after the first claims.
         """
         if self._may_resume(checkpoint):
             self._restore(owned, checkpoint)
             return
-        not_before_seconds = self._context.now_seconds() + PROOF_PATIENCE_SECONDS
-        for kept in checkpoint.items:
-            progress = owned.ledger.items.get(kept.item_id)
+        not_before_seconds = self._context.now_seconds() + PREDECESSOR_END_TIMEOUT_SECONDS
+        for item_checkpoint in checkpoint.items:
+            progress = owned.ledger.items.get(item_checkpoint.item_id)
             if progress is not None:
                 progress.not_before_seconds = not_before_seconds
-        self._context.daemon.spawn(self._await_proof(owned, checkpoint, not_before_seconds))
+        self._context.daemon.spawn(
+            self._resume_once_predecessor_ended(owned, checkpoint, not_before_seconds)
+        )
 
-    async def _await_proof(
+    async def _resume_once_predecessor_ended(
         self, owned: OwnedJob, checkpoint: JobCheckpoint, until_seconds: float
     ) -> None:
-        """Go on with a former owner's texts as soon as its process is known to have ended."""
+        """Resume the items of a checkpoint as soon as the former owner's process has ended."""
         while self._context.now_seconds() < until_seconds and not self._may_resume(checkpoint):
-            await asyncio.sleep(PROOF_LOOK_SECONDS)
+            await asyncio.sleep(PREDECESSOR_END_POLL_SECONDS)
         if self._may_resume(checkpoint):
-            for kept in checkpoint.items:
-                progress = owned.ledger.items.get(kept.item_id)
+            for item_checkpoint in checkpoint.items:
+                progress = owned.ledger.items.get(item_checkpoint.item_id)
                 if progress is not None:
                     progress.not_before_seconds = 0.0
         self._restore(owned, checkpoint)
@@ -207,7 +209,7 @@
     def _may_resume(self, checkpoint: JobCheckpoint) -> bool:
         process_start = self._context.process_start(checkpoint.daemon)
         if checkpoint.daemon == self._context.daemon_name:
-            # What the members' entries tell may be an earlier process yet.
+            # The member entry may still be that of an earlier process.
             process_start = self._context.process_started_unix_seconds
         return may_resume_from(checkpoint, process_start)
 
@@ -229,5 +231,5 @@
     """Wait for cancelled runs; return whether all have ended."""
     if not runs:
         return True
-    _, pending = await asyncio.wait(runs, timeout=RUNS_END_SECONDS)
+    _, pending = await asyncio.wait(runs, timeout=RUNS_END_TIMEOUT_SECONDS)
     return not pending
--- a/rackswitch/gateway/jobs/job_cleaner.py
+++ b/rackswitch/gateway/jobs/job_cleaner.py
@@ -1,11 +1,11 @@
-"""Forgetting jobs that nobody may expect to read any more."""
+"""Deletion of old jobs whose retention time is over."""
 
 import asyncio
 import time
 
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.jobs.job_records import key_part
+from rackswitch.gateway.jobs.job_records import job_key_part
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.known_jobs import KnownJobs
 from rackswitch.jobs import is_forgettable
@@ -14,9 +14,8 @@
 
 __all__ = ["JobCleaner"]
 
-CLEAN_SECONDS = 2.0
-"""Between two jobs that one daemon forgets. A trainer submits one each 4 s or so, and all
-daemons share the work."""
+CLEAN_INTERVAL_SECONDS = 2.0
+"""Between two deletions by one daemon. All daemons share the deletions."""
 
 
 class JobCleaner:
@@ -40,32 +39,34 @@
         self._store = store
 
     async def run(self) -> None:
-        """Forget one job after the other until cancelled."""
+        """Delete one old job after the other until cancelled."""
         while True:
-            await asyncio.sleep(CLEAN_SECONDS * (0.5 + self._context.rng.random()))
+            await asyncio.sleep(CLEAN_INTERVAL_SECONDS * (0.5 + self._context.rng.random()))
             if self._context.daemon.stopping or self._context.contact.is_away:
                 continue
             job_id = self._next_job()
             if job_id is not None:
-                await self._forget(job_id)
+                await self._delete(job_id)
 
     def _next_job(self) -> str | None:
-        """Return an old job that is this daemon's to forget."""
+        """Return an old job that this daemon is to delete, the first by rank among live daemons."""
         live = self._context.daemon.membership.live()
         now_unix_seconds = time.time()
         for job_id, known in self._known.jobs.items():
             marker = known.marker
-            old = is_forgettable(
+            is_old = is_forgettable(
                 marker.submitted_at_unix_seconds,
                 marker.ended,
                 self._context.settings.keep_results_seconds,
                 now_unix_seconds,
             )
-            if old and rank_candidates(key_part(job_id), live)[:1] == [self._context.daemon_name]:
+            if is_old and rank_candidates(job_key_part(job_id), live)[:1] == [
+                self._context.daemon_name
+            ]:
                 return job_id
         return None
 
-    async def _forget(self, job_id: str) -> None:
-        failure = await self._store.forget(job_id)
+    async def _delete(self, job_id: str) -> None:
+        failure = await self._store.delete_job(job_id)
         outcome = failure.detail if isinstance(failure, KvUnavailable) else "forgotten"
         self._context.log.write(JobForgotten(job=job_id, outcome=outcome))
--- a/rackswitch/gateway/jobs/job_handler.py
+++ b/rackswitch/gateway/jobs/job_handler.py
@@ -1,4 +1,4 @@
-"""Trainers' batch jobs over HTTP: submitting, reading and ending them."""
+"""HTTP calls of trainers: submitting, reading and ending batch jobs."""
 
 import asyncio
 import time
@@ -35,22 +35,22 @@
 __all__ = ["JobHandler", "Submission"]
 
 RETRY_AFTER_SECONDS = 0.3
-"""When a refused trainer should come back while the service is there: another daemon may take
-the job at once."""
+"""Retry delay for a refused trainer while the key-value service is reachable. It is short, as
+another daemon may accept the job."""
 
-JOB_CLASS = 1
-"""Rank of trainers' calls among refused ones: behind callers, who have a person waiting."""
+TRAINER_RETRY_RANK = 1
+"""Trainers retry after callers of rank 0, whose requests are more urgent."""
 
-ITEMS_PER_PIECE = 200
-"""Items decoded before other work has its turn: some 200 kB, about a millisecond."""
+ITEMS_PER_CHUNK = 200
+"""Items decoded between two yields to the event loop."""
 
 JSON = (("content-type", "application/json"),)
 BYTES = (("content-type", "application/octet-stream"),)
 
 
 @dataclass(frozen=True, slots=True)
-class _Answered:
-    """What a trainer was told of its job."""
+class _SubmissionAnswer:
+    """The response to a submission."""
 
     status: int
     detail: str
@@ -58,12 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """What the head of a submission says.
+    """A submission as described by its request's head.
 
     Attributes
     ----------
     identity : str
-        The job's identity as its tenant chose it.
+        The job's identity, chosen by its tenant.
     """
 
     route: RouteRow
@@ -73,45 +73,46 @@
 
 
 class JobHandler:
-    """Answers trainers.
+    """Handles trainers' calls about jobs.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    keeper : JobManager
+    job_manager : JobManager
         Ends jobs.
     reader : JobReader
         Reads jobs.
     placer : JobPlacer
-        Takes jobs, here or at another daemon.
+        Has new jobs stored, by this daemon or another one.
     """
 
-    __slots__ = ("_context", "_keeper", "_placer", "_reader")
+    __slots__ = ("_context", "_job_manager", "_placer", "_reader")
 
     def __init__(
-        self, context: GatewayContext, keeper: JobManager, reader: JobReader, placer: JobPlacer
+        self, context: GatewayContext, job_manager: JobManager, reader: JobReader, placer: JobPlacer
     ):
         self._placer = placer
         self._context = context
-        self._keeper = keeper
+        self._job_manager = job_manager
         self._reader = reader
 
     def identity_for(self, caller: Caller | KeyFault, identity: str) -> str | KeyFault:
-        """Return the identity of a job that a caller asks for, or why it may not ask.
+        """Return the identity of the requested job, or the fault of the caller's key.
 
-        A job that was taken without a key is anybody's to read, also once keys are asked for.
+        A job that was submitted without a key can be read by every caller, also after keys have
+        become mandatory.
         """
-        if identity in self._keeper.known.jobs:
+        if identity in self._job_manager.known.jobs:
             return identity
         return caller if isinstance(caller, KeyFault) else caller.job_identity(identity)
 
     async def submit(self, exchange: Exchange, submission: Submission, body: bytes) -> None:
-        """Take a batch job, or say why not."""
+        """Accept a batch job, or refuse it with a reason."""
         caller = submission.caller
         job_id = caller.job_identity(submission.identity)
         outline = decode_job_outline(job_id, submission.host, exchange.path, body, time.time())
-        job = await _whole_job(outline, caller.tenant)
+        job = await _decode_job(outline, caller.tenant)
         if isinstance(job, Refusal):
             await refuse_before_routing(exchange, self._context, job)
             return
@@ -119,11 +120,11 @@
             await refuse_before_routing(
                 exchange,
                 self._context,
-                Refusal(503, "this daemon is stopping", self._come_back_seconds()),
+                Refusal(503, "this daemon is stopping", self._retry_after_seconds()),
             )
             return
         outcome = await self._placer.submit(job)
-        answered = await self._answer_submission(exchange, outcome)
+        answer = await self._answer_submission(exchange, outcome)
         self._context.log.write(
             JobSubmitted(
                 job=job_id,
@@ -131,38 +132,40 @@
                 step=job.step,
                 items=len(job.items),
                 table_revision=self._context.table_revision,
-                outcome=answered.status,
-                detail=answered.detail,
+                outcome=answer.status,
+                detail=answer.detail,
             )
         )
 
-    def _come_back_seconds(self) -> float:
-        """Return when a refused trainer should come back, by what is known of the service."""
+    def _retry_after_seconds(self) -> float:
+        """Return the retry delay for a refused trainer, longer during an outage."""
         contact = self._context.contact
         if not contact.is_away:
             return RETRY_AFTER_SECONDS
         now_seconds = self._context.now_seconds()
-        left_seconds = contact.outage.remaining_seconds(now_seconds)
-        return retry_delay_seconds(left_seconds, JOB_CLASS, self._context.rng.random())
+        remaining_seconds = contact.outage.remaining_seconds(now_seconds)
+        return retry_delay_seconds(
+            remaining_seconds, TRAINER_RETRY_RANK, self._context.rng.random()
+        )
 
     async def _answer_submission(
         self, exchange: Exchange, outcome: JobCreated | JobKnown | JobTooLarge | JobNotStored
-    ) -> _Answered:
+    ) -> _SubmissionAnswer:
         if isinstance(outcome, JobCreated | JobKnown):
             await exchange.respond(202)
-            return _Answered(202, type(outcome).__name__)
+            return _SubmissionAnswer(202, type(outcome).__name__)
         if isinstance(outcome, JobNotStored) and outcome.effect_unknown:
             await exchange.respond(504, TEXT, b"the job may have been taken; send it again")
-            return _Answered(504, outcome.detail)
+            return _SubmissionAnswer(504, outcome.detail)
         if isinstance(outcome, JobTooLarge):
             refusal = Refusal(413, outcome.detail)
         else:
-            refusal = Refusal(503, outcome.detail, self._come_back_seconds())
+            refusal = Refusal(503, outcome.detail, self._retry_after_seconds())
         await refuse(exchange, refusal)
-        return _Answered(refusal.status, refusal.detail)
+        return _SubmissionAnswer(refusal.status, refusal.detail)
 
     async def serve(self, exchange: Exchange, call: JobCall, arrived_seconds: float) -> None:
-        """Serve a call about a batch job."""
+        """Handle a call about an existing batch job."""
         if isinstance(call, ReadResults):
             await self._read_results(exchange, call, arrived_seconds)
         elif isinstance(call, ReadItem):
@@ -208,13 +211,13 @@
         if not isinstance(marker, JobMarker):
             await self._refuse_job_call(exchange, marker, call)
             return
-        failure = await self._keeper.end(marker)
+        failure = await self._job_manager.end(marker)
         outcome = "ended" if failure is None else failure.detail
         self._context.log.write(JobEnded(job=call.job_id, outcome=outcome))
         if failure is None:
             await exchange.respond(200)
         else:
-            await refuse(exchange, Refusal(503, failure.detail, self._come_back_seconds()))
+            await refuse(exchange, Refusal(503, failure.detail, self._retry_after_seconds()))
 
     async def _refuse_job_call(
         self, exchange: Exchange, reason: JobUnknown | JobUnsure, call: JobCall
@@ -230,25 +233,25 @@
         if isinstance(reason, JobUnsure):
             await refuse(
                 exchange,
-                Refusal(503, "the job cannot be read now", self._come_back_seconds()),
+                Refusal(503, "the job cannot be read now", self._retry_after_seconds()),
             )
         else:
             await refuse(exchange, Refusal(404, "there is no such job or item"))
 
 
-async def _whole_job(outline: JobOutline | MalformedRequest, tenant: str) -> Job | Refusal:
-    """Return a job with its items, or why it is not taken; other work has its turn meanwhile."""
+async def _decode_job(outline: JobOutline | MalformedRequest, tenant: str) -> Job | Refusal:
+    """Return a job with its items, or a refusal; yields to the event loop between chunks."""
     if isinstance(outline, MalformedRequest):
         return Refusal(400, outline.detail)
     count = len(outline.raw_items)
     if count > MAX_ITEMS:
         return Refusal(413, f"`items` holds {count} items, at most {MAX_ITEMS} are taken")
     items: list[JobItem] = []
-    for first in range(0, count, ITEMS_PER_PIECE):
-        piece = decode_job_items(outline, first, ITEMS_PER_PIECE)
-        if isinstance(piece, MalformedRequest):
-            return Refusal(400, piece.detail)
-        items.extend(piece)
+    for start in range(0, count, ITEMS_PER_CHUNK):
+        chunk = decode_job_items(outline, start, ITEMS_PER_CHUNK)
+        if isinstance(chunk, MalformedRequest):
+            return Refusal(400, chunk.detail)
+        items.extend(chunk)
         await asyncio.sleep(0)
     job = msgspec.structs.replace(outline.job, items=tuple(items), tenant=tenant)
     fault = check_job(job)
--- a/rackswitch/gateway/jobs/job_outcomes.py
+++ b/rackswitch/gateway/jobs/job_outcomes.py
@@ -1,4 +1,4 @@
-"""How writes of batch jobs to the key-value service end."""
+"""Outcomes of writes of batch jobs to the key-value service."""
 
 from dataclasses import dataclass
 
@@ -11,39 +11,39 @@
     "JobKnown",
     "JobNotStored",
     "JobTooLarge",
-    "KeptCheckpoint",
+    "StoredCheckpoint",
 ]
 
 
 @dataclass(frozen=True, slots=True)
 class JobCreated:
-    """The job is kept; `owner_revision` fences its owner's writes."""
+    """The job is stored; `owner_revision` is the fencing number of its owner's writes."""
 
     owner_revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class JobKnown:
-    """The job was kept before."""
+    """The job was stored before."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobTooLarge:
-    """The job does not fit."""
+    """The job takes more chunks than one transaction can write."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class JobNotStored:
-    """The service did not take the write.
+    """The write was refused, or its outcome is unknown.
 
     Attributes
     ----------
     effect_unknown : bool
-        True if the write may have taken effect, or may still.
+        True if the write may have taken effect or may do so later.
     lease_gone : bool
-        True if nothing was done because the session's lease is over.
+        True if the write was refused because the session's lease has expired.
     """
 
     detail: str
@@ -52,8 +52,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptCheckpoint:
-    """A job's checkpoint in the service, and its entry's revision; 0 if there is none."""
+class StoredCheckpoint:
+    """A job's stored checkpoint and the revision of its entry; 0 if there is none."""
 
     checkpoint: JobCheckpoint | None
     revision: int
@@ -61,18 +61,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """A segment is kept: the one proposed, or one that was there.
+    """A segment is stored: the proposed one, or an earlier one at its position.
 
     Attributes
     ----------
-    was_there : bool
-        Whether it is an earlier proposal, after which there may be more.
+    already_stored : bool
+        Whether it is an earlier segment of this owner, which more segments may follow.
     """
 
     results: list[JobResult]
-    was_there: bool = False
+    already_stored: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class AppendConflict:
-    """The writer does not own the job any more."""
+    """The writer no longer owns the job."""
--- a/rackswitch/gateway/jobs/job_placer.py
+++ b/rackswitch/gateway/jobs/job_placer.py
@@ -1,4 +1,4 @@
-"""Giving a job that reached this daemon to the daemon that should own it."""
+"""Placement of submitted jobs: chooses the owner and forwards the job to it."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.jobs.job_manager import JobManager
 from rackswitch.gateway.jobs.job_outcomes import JobCreated, JobKnown, JobNotStored, JobTooLarge
-from rackswitch.gateway.jobs.job_records import key_part, marker_of, pack_job, unpack_job
+from rackswitch.gateway.jobs.job_records import job_key_part, make_marker, pack_job, unpack_job
 from rackswitch.gateway.jobs.known_jobs import JobOwner
 from rackswitch.jobs import Job, OwnerCandidate, OwnerSelector, is_renewed
 from rackswitch.membership import MemberUpdate
@@ -18,66 +18,64 @@
 
 __all__ = ["AdoptedJobs", "JobPlacer"]
 
-TAKE_TIMEOUT_SECONDS = 0.6
-"""How long another daemon may take to keep a job: two calls of a slow key-value service. One that
-is dead mostly refuses the connection at once."""
+FORWARD_TIMEOUT_SECONDS = 0.6
+"""Covers two calls of a slow key-value service by the other daemon."""
 
-MAX_PASSED_BYTES = 2_000_000
-"""Larger jobs stay where they came: passing one on takes longer than it gains."""
+MAX_FORWARDED_BYTES = 2_000_000
+"""Larger jobs stay at the daemon that received them, as forwarding takes too long."""
 
 SubmitOutcome = JobCreated | JobKnown | JobTooLarge | JobNotStored
 
 
 class JobPlacer:
-    """Takes jobs, here or at another daemon.
+    """Has submitted jobs stored and owned, by this daemon or another one.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    keeper : JobManager
-        The jobs owned here, and those that are known.
+    job_manager : JobManager
+        The jobs owned here, and all known ones.
     """
 
-    __slots__ = ("_choice", "_context", "_keeper")
+    __slots__ = ("_owner_selector", "_context", "_job_manager")
 
-    def __init__(self, context: GatewayContext, keeper: JobManager):
+    def __init__(self, context: GatewayContext, job_manager: JobManager):
         self._context = context
-        self._keeper = keeper
-        self._choice = OwnerSelector(context.daemon_name)
+        self._job_manager = job_manager
+        self._owner_selector = OwnerSelector(context.daemon_name)
 
     async def submit(self, job: Job) -> SubmitOutcome:
-        """Have a new job kept.
+        """Have a new job stored by the chosen owner, or by this daemon if that fails.
 
-        Whatever the other daemon does, or does later, the job is kept once: the service takes
-        it from one of both. So one that does not answer costs its time and nothing else.
+        The key-value service accepts the job once, also if both daemons write it.
         """
-        if job.job_id in self._keeper.known.jobs:
+        if job.job_id in self._job_manager.known.jobs:
             return JobKnown()
         owner = self._owner(job)
         peer = self._context.daemon.membership.address(owner)
         if peer is None or owner == self._context.daemon_name:
-            return await self._keeper.submit(job)
-        passed = await self._pass_to(peer, job)
-        if not isinstance(passed, JobNotStored):
-            return passed
-        outcome = await self._keeper.submit(job)
-        if isinstance(outcome, JobNotStored) and passed.effect_unknown:
-            # The other daemon may have it kept, or may still: it must not be called refused.
-            return JobNotStored(f"{outcome.detail}; {passed.detail}", effect_unknown=True)
+            return await self._job_manager.submit(job)
+        forwarded = await self._forward_to(peer, job)
+        if not isinstance(forwarded, JobNotStored):
+            return forwarded
+        outcome = await self._job_manager.submit(job)
+        if isinstance(outcome, JobNotStored) and forwarded.effect_unknown:
+            # The other daemon may still store the job, so the outcome is unknown.
+            return JobNotStored(f"{outcome.detail}; {forwarded.detail}", effect_unknown=True)
         return outcome
 
     def _owner(self, job: Job) -> str:
-        """Return who should own a job; this daemon while the service does not answer it.
+        """Return the daemon that should own a job.
 
-        Others probably get no answer either. Asking one would hold the submitter for
-        `TAKE_TIMEOUT_SECONDS`, and leave it without word of whether the job was taken.
+        During an outage of the key-value service that is this daemon: others are probably cut off
+        too, and the submitter would wait `FORWARD_TIMEOUT_SECONDS` for an unknown outcome.
         """
         if not self._context.policy.jobs_gathered or self._context.contact.is_away:
             return self._context.daemon_name
-        open_items = self._keeper.known.open_items()
-        newest = self._keeper.known.newest_jobs()
-        renewed = self._renewed()
+        open_items = self._job_manager.known.open_items()
+        newest = self._job_manager.known.last_submit_unix_seconds()
+        restarted = self._restarted_daemons()
         zone = self._context.settings.zone
         candidates = [
             OwnerCandidate(
@@ -85,69 +83,71 @@
                 self._context.room_of(name),
                 open_items[name],
                 idle_seconds=job.submitted_at_unix_seconds - newest.get(name, float("-inf")),
-                is_renewed=name in renewed,
+                is_renewed=name in restarted,
             )
-            for name, its_zone in self._context.daemon.membership.live_zones()
-            if its_zone == zone
+            for name, member_zone in self._context.daemon.membership.live_zones()
+            if member_zone == zone
         ]
-        return self._choice.owner(candidates, len(job.items), self._context.now_seconds())
+        return self._owner_selector.owner(candidates, len(job.items), self._context.now_seconds())
 
-    def _renewed(self) -> set[str]:
-        """Return the daemons that have been restarted while daemons are stopped in turn."""
+    def _restarted_daemons(self) -> set[str]:
+        """Return the daemons that were restarted already during a rolling restart."""
         context = self._context
         live = context.daemon.membership.live()
         leaving = set(context.daemon.membership.others_reachable()) - set(live)
         if not leaving or not context.policy.jobs_handed_over:
             return set()
-        starts = {name: self._start(name) for name in live}
+        starts = {name: self._process_start(name) for name in live}
         oldest = min((start for start in starts.values() if start is not None), default=0.0)
         now_unix_seconds = context.unix_seconds()
         return {
             name for name, start in starts.items() if is_renewed(start, oldest, now_unix_seconds)
         }
 
-    def _start(self, daemon: str) -> float | None:
+    def _process_start(self, daemon: str) -> float | None:
         if daemon == self._context.daemon_name:
             return self._context.process_started_unix_seconds
         return self._context.process_start(daemon)
 
-    async def _pass_to(self, peer: MemberUpdate, job: Job) -> JobCreated | JobKnown | JobNotStored:
-        """Have another daemon own a job."""
+    async def _forward_to(
+        self, peer: MemberUpdate, job: Job
+    ) -> JobCreated | JobKnown | JobNotStored:
+        """Forward a job to another daemon, which is to own it."""
         packed = pack_job(job)
-        if len(packed) > MAX_PASSED_BYTES:
-            return JobNotStored("too large to be passed on", effect_unknown=False)
-        began_seconds = self._context.now_seconds()
+        if len(packed) > MAX_FORWARDED_BYTES:
+            return JobNotStored("too large to be forwarded", effect_unknown=False)
+        started_seconds = self._context.now_seconds()
         reply = await self._context.daemon.links.call(
             peer,
             lambda stub: stub.TakeJob,
             pb.TakeJobRequest(job=packed),
-            TAKE_TIMEOUT_SECONDS,
+            FORWARD_TIMEOUT_SECONDS,
             GatewayPeersStub,
         )
         now_seconds = self._context.now_seconds()
-        outcome = _outcome_of(reply)
+        outcome = _forwarding_outcome(reply)
         refusal = outcome.detail if isinstance(outcome, JobNotStored) else ""
         self._context.log.write(
             JobPlaced(
                 job=job.job_id,
                 owner=peer.daemon,
-                elapsed_seconds=round(now_seconds - began_seconds, 4),
+                elapsed_seconds=round(now_seconds - started_seconds, 4),
                 outcome=refusal or "kept",
             )
         )
         if isinstance(outcome, JobNotStored):
-            self._choice.failed(peer.daemon, now_seconds)
+            self._owner_selector.failed(peer.daemon, now_seconds)
         elif isinstance(outcome, JobCreated):
-            self._keeper.known.created(marker_of(job), outcome.owner_revision)
+            self._job_manager.known.created(make_marker(job), outcome.owner_revision)
             owner = JobOwner(peer.daemon, outcome.owner_revision, 0)
-            self._keeper.known.owned_by(key_part(job.job_id), owner)
+            self._job_manager.known.record_owner(job_key_part(job.job_id), owner)
         return outcome
 
 
-def _outcome_of(
+def _forwarding_outcome(
     reply: pb.TakeJobReply | PeerUnreachable,
 ) -> JobCreated | JobKnown | JobNotStored:
-    """Return what became of a job that was passed on."""
+    """Convert the reply for a forwarded job to an outcome."""
     if isinstance(reply, PeerUnreachable):
         return JobNotStored(reply.detail, effect_unknown=True)
     if not reply.kept:
@@ -156,32 +156,32 @@
 
 
 class AdoptedJobs:
-    """Owns jobs that other daemons accepted.
+    """Receives jobs that other daemons forward.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    keeper : JobManager
-        Takes jobs.
+    job_manager : JobManager
+        Stores and runs the jobs.
     """
 
-    __slots__ = ("_context", "_keeper")
+    __slots__ = ("_context", "_job_manager")
 
-    def __init__(self, context: GatewayContext, keeper: JobManager):
+    def __init__(self, context: GatewayContext, job_manager: JobManager):
         self._context = context
-        self._keeper = keeper
+        self._job_manager = job_manager
 
     async def take(self, request: pb.TakeJobRequest) -> pb.TakeJobReply:
-        """Keep a job, or say why not."""
+        """Store a job, or reply with the reason for a refusal."""
         if self._context.daemon.stopping:
             return pb.TakeJobReply(detail="this daemon is stopping")
         try:
             job = unpack_job(request.job)
         except msgspec.DecodeError as error:
             return pb.TakeJobReply(detail=f"`job`: {error}")
-        # Who asked may give up; the job that is kept by then is worked on all the same.
-        submitting = self._context.daemon.spawn(self._keeper.submit(job))
+        # Shielded: a caller that cancels the call must not interrupt the submission.
+        submitting = self._context.daemon.spawn(self._job_manager.submit(job))
         outcome = await asyncio.shield(submitting)
         if isinstance(outcome, JobCreated):
             return pb.TakeJobReply(kept=True, owner_revision=outcome.owner_revision)
--- a/rackswitch/gateway/jobs/job_reader.py
+++ b/rackswitch/gateway/jobs/job_reader.py
@@ -1,4 +1,4 @@
-"""Reading jobs at any daemon: from the owner's memory, or from the key-value service."""
+"""Reads of jobs at any daemon, served by the job's owner or from the key-value service."""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.jobs.job_manager import JobManager
-from rackswitch.gateway.jobs.job_records import JobMarker, key_part, unpack_results
+from rackswitch.gateway.jobs.job_records import JobMarker, job_key_part, unpack_results
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.owned_job import OwnedJob
 from rackswitch.gateway.store.session import Session
@@ -19,16 +19,16 @@
 
 __all__ = ["JobReader", "JobUnknown", "JobUnsure", "ResultsPage"]
 
-POLL_SECONDS = 0.35
-"""Between two reads of the service while a reader waits for results."""
+POLL_INTERVAL_SECONDS = 0.35
+"""Between two reads of the key-value service while a reader waits for results."""
 
 MAX_PAGE_CHARACTERS = 900_000
-"""Keeps a page of results below the platform's 1 MB."""
+"""Keeps a page of results below the platform's limit of 1 MB."""
 
 MAX_CACHED_JOBS = 64
 
 OWNER_SLACK_SECONDS = 0.3
-"""How much longer than a reader waits its owner may take; the service is asked then."""
+"""Added to a reader's wait in a call to the owner, before the key-value service is read."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
     Attributes
     ----------
     source, listed : str, int
-        Where they were read, and how many results of the job are known there.
+        Where the results were read, and how many results of the job were listed there.
     """
 
     total: int
@@ -49,48 +49,56 @@
 
 @dataclass(frozen=True, slots=True)
 class JobUnknown:
-    """There is no such job, by the service's own word."""
+    """The key-value service has no such job."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobUnsure:
-    """The service cannot be asked, and this daemon does not know for itself."""
+    """The key-value service is unreachable and this daemon does not know the job."""
 
     detail: str
 
 
 class JobReader:
-    """Answers what trainers ask about jobs.
+    """Reads markers, results and items of jobs for trainers.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    keeper : JobManager
+    job_manager : JobManager
         The jobs owned here, and the markers of all.
     store : JobStore
         Jobs in the key-value service.
     session : Session
-        Whether this daemon can be sure that it still owns what it owns.
+        Tells whether the lease of this daemon's owner keys is certainly valid.
     """
 
-    __slots__ = ("_cached", "_context", "_final", "_items", "_keeper", "_session", "_store")
+    __slots__ = (
+        "_cached",
+        "_context",
+        "_final_ids",
+        "_items",
+        "_job_manager",
+        "_session",
+        "_store",
+    )
 
     def __init__(
-        self, context: GatewayContext, keeper: JobManager, store: JobStore, session: Session
+        self, context: GatewayContext, job_manager: JobManager, store: JobStore, session: Session
     ):
         self._context = context
-        self._keeper = keeper
+        self._job_manager = job_manager
         self._store = store
         self._session = session
         self._cached: dict[str, list[JobResult]] = {}
-        # Jobs whose cached results are all that will ever be listed.
-        self._final: set[str] = set()
+        # Ended jobs whose cached results are complete.
+        self._final_ids: set[str] = set()
         self._items: dict[str, Job] = {}
 
     async def marker(self, job_id: str) -> JobMarker | JobUnknown | JobUnsure:
         """Return a job's marker."""
-        known = self._keeper.known.marker(job_id)
+        known = self._job_manager.known.marker(job_id)
         if known is not None:
             return known
         entry = await self._store.load_marker(job_id)
@@ -98,13 +106,13 @@
             return JobUnsure(entry.detail)
         if entry is None:
             return JobUnknown()
-        self._keeper.marker_put(entry)
+        self._job_manager.marker_put(entry)
         return msgspec.json.decode(entry.value, type=JobMarker)
 
     async def results(
         self, job_id: str, position: int, deadline_seconds: float
     ) -> ResultsPage | JobUnknown | JobUnsure:
-        """Return results from a position on; until the deadline wait for one to exist."""
+        """Return results from a position on; wait for one until the deadline."""
         marker = await self.marker(job_id)
         if not isinstance(marker, JobMarker):
             return marker
@@ -118,20 +126,20 @@
     async def owned_page(
         self, job_id: str, position: int, deadline_seconds: float
     ) -> ResultsPage | None:
-        """Return results of a job that is owned here; None if that is not sure."""
-        owned = self._keeper.owned.get(job_id)
-        if owned is None or not owned.may_tell or not self._session.is_sure():
+        """Return results of a job that is owned here; None if the ownership is not certain."""
+        owned = self._job_manager.owned.get(job_id)
+        if owned is None or not owned.may_serve_results or not self._session.is_sure():
             return None
         return await self._owned_results(owned, position, deadline_seconds)
 
     async def _owner_page(
         self, job_id: str, position: int, deadline_seconds: float
     ) -> ResultsPage | None:
-        """Ask the daemon that owns the job; None if it does not answer for it."""
+        """Return results from the job's owner; None if it does not confirm its ownership."""
         cached = self._cached.get(job_id, [])
         if len(cached) > position:
             return None
-        owner = self._keeper.known.owner(key_part(job_id))
+        owner = self._job_manager.known.owner(job_key_part(job_id))
         if owner is None:
             return None
         peer = self._context.daemon.membership.address(owner.daemon)
@@ -158,7 +166,7 @@
         marker = await self.marker(job_id)
         if not isinstance(marker, JobMarker):
             return marker
-        owned = self._keeper.owned.get(job_id)
+        owned = self._job_manager.owned.get(job_id)
         job = owned.ledger.job if owned is not None else self._items.get(job_id)
         if job is None:
             loaded = await self._store.load_items(job_id)
@@ -167,7 +175,7 @@
             if loaded is None:
                 return JobUnknown()
             job = loaded
-            self._remember(self._items, job_id, job)
+            self._add_to_cache(self._items, job_id, job)
         for item in job.items:
             if item.item_id == item_id:
                 return item.body
@@ -180,13 +188,13 @@
         while len(ledger.listed) <= position and not ledger.ended and not ledger.is_complete:
             try:
                 async with asyncio.timeout_at(deadline_seconds):
-                    await owned.news.wait()
+                    await owned.results_listed.wait()
             except TimeoutError:
                 break
-        # Others may have read from the service already what is being kept there.
+        # Readers at other daemons may have read an unconfirmed segment already.
         may_be_more = owned.appending.locked() or owned.append_is_unknown
-        # A job that was left in the meantime is answered for at once: its reader asks elsewhere.
-        is_certain = self._session.is_sure() and (owned.may_tell or ledger.ended)
+        # If the job was released meanwhile, the caller reads it elsewhere at once.
+        is_certain = self._session.is_sure() and (owned.may_serve_results or ledger.ended)
         if len(ledger.listed) <= position and (may_be_more or not is_certain):
             return None
         return ResultsPage(
@@ -196,44 +204,44 @@
     async def _stored_results(
         self, marker: JobMarker, position: int, deadline_seconds: float
     ) -> ResultsPage | JobUnsure:
-        """Return results as the service keeps them.
+        """Return results from the key-value service.
 
-        The write that ends a job takes its owner's right to append away, so that what is read after
-        it is final and need not be read from the service again.
+        No result can be appended after the write that ends a job, so results read after it are
+        cached as final.
         """
         while True:
             cached = self._cached.get(marker.job_id, [])
-            is_final = marker.job_id in self._final or len(cached) == marker.total
+            is_final = marker.job_id in self._final_ids or len(cached) == marker.total
             if len(cached) <= position and not is_final:
-                newer = await self._store.load_results(marker.job_id, len(cached))
-                if isinstance(newer, KvUnavailable):
-                    return JobUnsure(newer.detail)
-                # Another read may have filled the cache meanwhile.
+                new_results = await self._store.load_results(marker.job_id, len(cached))
+                if isinstance(new_results, KvUnavailable):
+                    return JobUnsure(new_results.detail)
+                # A concurrent read may have extended the cache.
                 if self._cached.get(marker.job_id, []) == cached:
-                    cached = cached + newer
-                    self._remember(self._cached, marker.job_id, cached)
+                    cached = cached + new_results
+                    self._add_to_cache(self._cached, marker.job_id, cached)
                     if marker.ended:
-                        self._final.add(marker.job_id)
+                        self._final_ids.add(marker.job_id)
                 else:
                     continue
-            left_seconds = deadline_seconds - self._context.now_seconds()
-            over = marker.ended or len(cached) == marker.total
-            if len(cached) > position or over or left_seconds <= 0:
+            remaining_seconds = deadline_seconds - self._context.now_seconds()
+            is_complete = marker.ended or len(cached) == marker.total
+            if len(cached) > position or is_complete or remaining_seconds <= 0:
                 return ResultsPage(marker.total, _page(cached, position), "store", len(cached))
-            await asyncio.sleep(min(POLL_SECONDS, left_seconds))
+            await asyncio.sleep(min(POLL_INTERVAL_SECONDS, remaining_seconds))
 
-    def _remember(self, cache: dict, job_id: str, value: object) -> None:
+    def _add_to_cache(self, cache: dict, job_id: str, value: object) -> None:
         cache.pop(job_id, None)
         cache[job_id] = value
         while len(cache) > MAX_CACHED_JOBS:
             oldest = next(iter(cache))
             del cache[oldest]
             if cache is self._cached:
-                self._final.discard(oldest)
+                self._final_ids.discard(oldest)
 
 
 def _page(listed: list[JobResult], position: int) -> list[JobResult]:
-    """Return results from a position on, as many as fit in one answer."""
+    """Return results from a position on, as many as fit in one response."""
     page: list[JobResult] = []
     characters = 0
     for result in listed[position:]:
--- a/rackswitch/gateway/jobs/job_records.py
+++ b/rackswitch/gateway/jobs/job_records.py
@@ -1,4 +1,4 @@
-"""Keys and values of batch jobs in the key-value service, and as daemons pass them on."""
+"""Encoding of batch jobs: keys and values in the key-value service, messages between daemons."""
 
 import asyncio
 import re
@@ -17,8 +17,8 @@
     "PROGRESS_PREFIX",
     "RESULTS_PREFIX",
     "JobMarker",
-    "key_part",
-    "marker_of",
+    "job_key_part",
+    "make_marker",
     "pack_checkpoint",
     "pack_items",
     "pack_job",
@@ -35,27 +35,27 @@
 RESULTS_PREFIX = "results/"
 PROGRESS_PREFIX = "progress/"
 
-VALUE_SHARE = 0.66
-"""Part of the service's largest value that a chunk takes: as base64 it grows by a third."""
+CHUNK_VALUE_SHARE = 0.66
+"""Size of a chunk relative to the service's largest value, as base64 adds a third."""
 
-PIECE_BYTES = 262_144
-"""Compressed before other work has its turn: a few milliseconds."""
+COMPRESSION_CHUNK_BYTES = 262_144
+"""Bytes compressed between two yields to the event loop."""
 
 COMPRESSION_LEVEL = 1
-"""Texts shrink little; more effort is not worth the processor time."""
+"""The fastest level, as texts compress little at any level."""
 
 PLAIN_ID = re.compile(r"[A-Za-z0-9_-]{1,64}")
 
 
 class JobMarker(msgspec.Struct, frozen=True):
-    """What every daemon knows of a job.
+    """Summary of a job that every daemon watches.
 
     Attributes
     ----------
     model, oldest_version : str, int
-        The model whose engines run it, and the oldest version that may.
+        The model that runs the job, and the oldest allowed version of it.
     work_seconds : float
-        How long its texts probably take, added up.
+        Expected run time of all items, added up.
     """
 
     job_id: str
@@ -67,7 +67,7 @@
     work_seconds: float = 0.0
 
 
-def marker_of(job: Job) -> JobMarker:
+def make_marker(job: Job) -> JobMarker:
     """Return the marker of a new job."""
     return JobMarker(
         job.job_id,
@@ -79,48 +79,48 @@
     )
 
 
-def key_part(identity: str) -> str:
-    """Return a form of a caller's identity that is safe and short in a key."""
+def job_key_part(identity: str) -> str:
+    """Return a job's identity if it is short and safe in a key, otherwise a digest of it."""
     if PLAIN_ID.fullmatch(identity):
         return identity
     return "." + blake2b(identity.encode(), digest_size=16).hexdigest()
 
 
 async def pack_items(job: Job, max_value_bytes: int) -> list[bytes]:
-    """Return a job with its items, in chunks that a value may hold.
+    """Return a job with its items, compressed and split into chunks that fit in a value.
 
-    Other work has its turn while a large job is compressed.
+    Yields to the event loop while it compresses a large job.
     """
     encoded = msgspec.msgpack.encode(job)
     compressor = zlib.compressobj(COMPRESSION_LEVEL)
     parts: list[bytes] = []
-    for start in range(0, len(encoded), PIECE_BYTES):
-        parts.append(compressor.compress(encoded[start : start + PIECE_BYTES]))
+    for start in range(0, len(encoded), COMPRESSION_CHUNK_BYTES):
+        parts.append(compressor.compress(encoded[start : start + COMPRESSION_CHUNK_BYTES]))
         await asyncio.sleep(0)
     parts.append(compressor.flush())
     packed = b"".join(parts)
-    chunk_bytes = int(max_value_bytes * VALUE_SHARE)
+    chunk_bytes = int(max_value_bytes * CHUNK_VALUE_SHARE)
     return [packed[start : start + chunk_bytes] for start in range(0, len(packed), chunk_bytes)]
 
 
 def unpack_items(entries: tuple[KvEntry, ...]) -> Job:
-    """Return the job whose chunks these entries hold, in any order."""
+    """Return the job that these entries hold the chunks of; the entries may be in any order."""
     chunks = [entry.value for entry in sorted(entries, key=lambda entry: entry.key)]
     return msgspec.msgpack.decode(zlib.decompress(b"".join(chunks)), type=Job)
 
 
 def pack_job(job: Job) -> bytes:
-    """Return a job with its items as daemons pass it on."""
+    """Return a job with its items as a message field between daemons."""
     return msgspec.msgpack.encode(job)
 
 
 def unpack_job(data: bytes) -> Job:
-    """Return a job that a daemon passed on.
+    """Return a job that another daemon sent.
 
     Raises
     ------
     msgspec.DecodeError
-        If the bytes are no job.
+        If the bytes are not a valid job.
     """
     return msgspec.msgpack.decode(data, type=Job)
 
--- a/rackswitch/gateway/jobs/known_jobs.py
+++ b/rackswitch/gateway/jobs/known_jobs.py
@@ -1,4 +1,4 @@
-"""All batch jobs and their owners, as the key-value service last told them."""
+"""All batch jobs and their owners, as last reported by the key-value service."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
     JOBS_PREFIX,
     OWNERS_PREFIX,
     JobMarker,
-    key_part,
+    job_key_part,
 )
 from rackswitch.leases import decode_holder
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownJob:
-    """A job's marker, and the revision of its entry."""
+    """A job's marker and the revision of its entry."""
 
     marker: JobMarker
     revision: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobOwner:
-    """The daemon that owns a job, its lease, and the revision that fences its writes."""
+    """The daemon that owns a job, its lease, and the fencing number of its writes."""
 
     daemon: str
     revision: int
@@ -35,15 +35,14 @@
 
 
 class KnownJobs:
-    """What one daemon knows of the fleet's jobs.
+    """The fleet's jobs as one daemon knows them.
 
-    Owners are kept by the key's part that stands for the job: an owner may be told of
-    before its job is.
+    Owners are stored by the job's part of the key, since an owner may be reported before its job.
 
     Attributes
     ----------
     jobs : dict of str to KnownJob
-        The jobs by identity, ended ones included until the service forgets them.
+        The jobs by identity. Ended ones are included until their markers are deleted.
     """
 
     __slots__ = ("_former", "_owners", "jobs")
@@ -63,84 +62,84 @@
         known = self.jobs.get(job_id)
         return known.revision if known is not None else 0
 
-    def job_of(self, name: str) -> str | None:
-        """Return the job that a key's part stands for, if it is known."""
-        return next((job_id for job_id in self.jobs if key_part(job_id) == name), None)
+    def job_id_of(self, key_part: str) -> str | None:
+        """Return the job with this part in its keys, if it is known."""
+        return next((job_id for job_id in self.jobs if job_key_part(job_id) == key_part), None)
 
     def marker_put(self, entry: KvEntry) -> JobMarker:
-        """Take in a job's marker and return it."""
+        """Apply a new or changed marker and return it."""
         marker = msgspec.json.decode(entry.value, type=JobMarker)
         self.jobs[marker.job_id] = KnownJob(marker, entry.mod_revision)
         return marker
 
     def marker_deleted(self, key: str) -> list[str]:
-        """Note that a marker is gone; return the jobs that are forgotten with it."""
-        name = key.removeprefix(JOBS_PREFIX)
-        forgotten = [job_id for job_id in self.jobs if key_part(job_id) == name]
+        """Apply the deletion of a marker; return the jobs that are removed with it."""
+        key_part = key.removeprefix(JOBS_PREFIX)
+        forgotten = [job_id for job_id in self.jobs if job_key_part(job_id) == key_part]
         for job_id in forgotten:
             del self.jobs[job_id]
-        self._former.pop(name, None)
+        self._former.pop(key_part, None)
         return forgotten
 
     def created(self, marker: JobMarker, revision: int) -> None:
-        """Note a job that was just created, unless the service has told of it already."""
+        """Record a job that was just created, unless the watch has reported it."""
         self.jobs.setdefault(marker.job_id, KnownJob(marker, revision))
 
-    def owned_by(self, name: str, owner: JobOwner) -> None:
-        """Note an owner that another daemon told of, unless the service told a later one."""
-        known = self._owners.get(name)
+    def record_owner(self, key_part: str, owner: JobOwner) -> None:
+        """Record an owner that another daemon reported, unless a later one is known."""
+        known = self._owners.get(key_part)
         if known is None or known.revision < owner.revision:
-            self._owners[name] = owner
+            self._owners[key_part] = owner
 
     def open_items(self) -> Counter[str]:
-        """Return how many items of jobs that have not ended each daemon owns."""
+        """Return the number of items in open jobs, by owner."""
         counts: Counter[str] = Counter()
         for job_id, known in self.jobs.items():
-            owner = self._owners.get(key_part(job_id))
+            owner = self._owners.get(job_key_part(job_id))
             if owner is not None and not known.marker.ended:
                 counts[owner.daemon] += known.marker.total
         return counts
 
-    def newest_jobs(self) -> dict[str, float]:
-        """Return when (Unix time) the last job was submitted that each daemon owns or owned."""
+    def last_submit_unix_seconds(self) -> dict[str, float]:
+        """Return the submit time of the newest job of each current or former owner."""
         newest: dict[str, float] = {}
         for job_id, known in self.jobs.items():
-            name = key_part(job_id)
-            owner = self._owners.get(name)
-            daemon = owner.daemon if owner is not None else self._former.get(name)
+            key_part = job_key_part(job_id)
+            owner = self._owners.get(key_part)
+            daemon = owner.daemon if owner is not None else self._former.get(key_part)
             if daemon is not None:
                 at_seconds = known.marker.submitted_at_unix_seconds
                 newest[daemon] = max(newest.get(daemon, 0.0), at_seconds)
         return newest
 
-    def ended(self, marker: JobMarker) -> None:
-        """Note that a job was just ended."""
+    def record_ended(self, marker: JobMarker) -> None:
+        """Record that a job was just ended."""
         known = self.jobs.get(marker.job_id)
         revision = known.revision if known is not None else 0
-        over = msgspec.structs.replace(marker, ended=True)
-        self.jobs[marker.job_id] = KnownJob(over, revision)
+        ended_marker = msgspec.structs.replace(marker, ended=True)
+        self.jobs[marker.job_id] = KnownJob(ended_marker, revision)
 
-    def owner(self, name: str) -> JobOwner | None:
-        """Return the owner of the job that a key's part stands for, if it is known."""
-        return self._owners.get(name)
+    def owner(self, key_part: str) -> JobOwner | None:
+        """Return the owner of the job with this part in its keys, if it is known."""
+        return self._owners.get(key_part)
 
     def owner_put(self, entry: KvEntry) -> JobOwner:
-        """Take in who owns a job and return it."""
+        """Apply a new or changed owner key and return the owner."""
         daemon, lease_id = decode_holder(entry.value)
         owner = JobOwner(daemon, entry.mod_revision, lease_id)
         self._owners[entry.key.removeprefix(OWNERS_PREFIX)] = owner
         return owner
 
     def owner_deleted(self, key: str) -> None:
-        """Note that a job has no owner."""
-        name = key.removeprefix(OWNERS_PREFIX)
-        owner = self._owners.pop(name, None)
+        """Apply the deletion of an owner key."""
+        key_part = key.removeprefix(OWNERS_PREFIX)
+        owner = self._owners.pop(key_part, None)
         if owner is not None:
-            self._former[name] = owner.daemon
+            self._former[key_part] = owner.daemon
 
-    def former_owner(self, name: str) -> str | None:
-        """Return the daemon that owned a job before it had no owner, if that is known."""
-        return self._former.get(name)
+    def former_owner(self, key_part: str) -> str | None:
+        """Return the last owner of a job whose owner key was deleted, if that is known."""
+        return self._former.get(key_part)
 
     def oldest_usable_version(self, model: str) -> int:
         """Return the oldest version of a model that all open jobs may use; 0 if none is open."""
--- a/rackswitch/gateway/jobs/lease_writes.py
+++ b/rackswitch/gateway/jobs/lease_writes.py
@@ -1,4 +1,4 @@
-"""Writes that make this daemon the owner of a job, on a lease that lasts."""
+"""Writes on the session's lease, retried on a new lease if the old one has expired."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -6,10 +6,10 @@
 from rackswitch.gateway.jobs.job_outcomes import JobNotStored
 from rackswitch.gateway.store.session import Session
 
-__all__ = ["LEASES_TRIED", "write_on_lease"]
+__all__ = ["MAX_LEASE_ATTEMPTS", "write_on_lease"]
 
-LEASES_TRIED = 2
-"""Tries of one write: the first may show that the lease is over; the second is on a new one."""
+MAX_LEASE_ATTEMPTS = 2
+"""The first attempt may show that the lease has expired; the second uses a new one."""
 
 T = TypeVar("T")
 
@@ -17,21 +17,22 @@
 async def write_on_lease(
     session: Session, write: Callable[[int], Awaitable[T]]
 ) -> T | JobNotStored:
-    """Make a write on the session's lease, and once more on a new one if that is over.
+    """Make a write on the session's lease, and retry it on a new lease if that one has expired.
 
-    A daemon often sees that its owner key is gone before its next renewal tells why, as when its
-    machine was suspended. By the time of another look at the job other daemons would have taken
-    it from a daemon that lives and has its texts.
+    After a suspension of its VM, a daemon may learn from the watch that its owner keys are deleted
+    before its next renewal fails. The immediate retry lets it claim its jobs before other daemons.
 
     Parameters
     ----------
     session : Session
         Holds the lease.
     write : callable
-        Makes the write on the lease of the given identity.
+        Makes the write with the given lease identity.
     """
-    outcome: T | JobNotStored = JobNotStored("no session", effect_unknown=False)
-    for _ in range(LEASES_TRIED):
+    outcome: T | JobNotStored = JobNotStored(
+        "no session with the key-value service", effect_unknown=False
+    )
+    for _ in range(MAX_LEASE_ATTEMPTS):
         lease_id = await session.hold()
         if lease_id is None:
             return JobNotStored("no session with the key-value service", effect_unknown=False)
--- a/rackswitch/gateway/jobs/owned_job.py
+++ b/rackswitch/gateway/jobs/owned_job.py
@@ -9,7 +9,7 @@
 __all__ = ["OwnedJob", "new_owned_job"]
 
 UNROUTED_KEEP_SECONDS = 3600.0
-"""How long a job is kept whose route is unknown; as long as a route that does not say."""
+"""How long a job without a known route is kept: as long as a route's default."""
 
 
 @dataclass(slots=True)
@@ -19,29 +19,28 @@
     Attributes
     ----------
     owner_revision : int
-        Fences this owner's writes.
+        Fencing number of this owner's writes.
     due_seconds, keep_until_seconds : float
-        When all results are wanted, and from when items may be given up (monotonic).
+        Deadline for all results, and when items may be abandoned (monotonic).
     runs : dict of str to asyncio.Task
-        Runs and reward calls under way, by item.
+        Active runs and reward calls, by item.
     next_append_seconds, last_append_seconds : float
-        From when on results may be appended again after a refusal, and when they last were
-        (monotonic).
+        Earliest next append after a failed one, and time of the last append (monotonic).
     appending : asyncio.Lock
-        Held while a segment of results is being kept: there is one at a time.
+        Held during an append, so that there is one at a time.
     successor : str
         Daemon that the job is being handed over to; empty if none is.
     awaits_claim : bool
-        Whether the job was handed over here while the key-value service was away. It is worked on,
-        but nothing of it is told or listed before it is claimed; `owner_revision` is the former
-        owner's.
+        Whether the job was handed over here while the key-value service was unreachable. It runs,
+        but its results are neither served nor listed before it is claimed; `owner_revision` is the
+        former owner's.
     append_is_unknown : bool
-        Whether the last segment may be kept although nobody has said so.
-    is_behind : bool
-        Whether another daemon may have listed results that are not known here. Until they
-        are, or a segment is appended behind all, the key-value service is read.
-    news : asyncio.Event
-        Set when results were listed; replaced then.
+        Whether the last segment may be stored although its append was not confirmed.
+    may_miss_results : bool
+        Whether another daemon may have listed results that are not in the ledger. Readers use the
+        key-value service until these are loaded, or a segment is appended after them.
+    results_listed : asyncio.Event
+        Set when results are listed, and then replaced by a new event.
     """
 
     ledger: JobLedger
@@ -49,7 +48,7 @@
     due_seconds: float
     keep_until_seconds: float
     runs: dict[str, asyncio.Task[None]] = field(default_factory=dict)
-    news: asyncio.Event = field(default_factory=asyncio.Event)
+    results_listed: asyncio.Event = field(default_factory=asyncio.Event)
     next_append_seconds: float = 0.0
     last_append_seconds: float = float("-inf")
     next_checkpoint_seconds: float = 0.0
@@ -57,36 +56,36 @@
     append_is_unknown: bool = False
     successor: str = ""
     awaits_claim: bool = False
-    is_behind: bool = False
+    may_miss_results: bool = False
 
     @property
-    def may_list(self) -> bool:
-        """Whether results may be listed here: not without a claim or beside another owner."""
+    def may_append(self) -> bool:
+        """Whether results may be appended: the job is claimed and not being handed over."""
         return not self.awaits_claim and not self.successor
 
     @property
-    def may_tell(self) -> bool:
-        """Whether results may be read here: all that are listed are known."""
-        return self.may_list and not self.is_behind
+    def may_serve_results(self) -> bool:
+        """Whether readers may be served from the ledger: it has all listed results."""
+        return self.may_append and not self.may_miss_results
 
-    def claimed(self, owner_revision: int, is_behind: bool) -> None:
-        """Note that this daemon owns the job from a revision on."""
+    def record_claim(self, owner_revision: int, may_miss_results: bool) -> None:
+        """Record this daemon's claim of the job."""
         self.owner_revision = owner_revision
         self.awaits_claim = False
-        self.is_behind = is_behind
+        self.may_miss_results = may_miss_results
 
-    def take_in(self, position: int, results: list[JobResult]) -> None:
-        """Note results that were listed already; runs of their items end."""
+    def add_listed_results(self, position: int, results: list[JobResult]) -> None:
+        """Add results that are in the key-value service already; cancel their items' runs."""
         self.ledger.appended(position, results)
         for result in results:
             run = self.runs.pop(result.item_id, None)
             if run is not None:
                 run.cancel()
 
-    def tell_news(self) -> None:
-        """Wake all who wait for results."""
-        self.news.set()
-        self.news = asyncio.Event()
+    def notify_readers(self) -> None:
+        """Wake the readers that wait for results."""
+        self.results_listed.set()
+        self.results_listed = asyncio.Event()
 
 
 def new_owned_job(
@@ -94,27 +93,27 @@
     owner_revision: int,
     listed: list[JobResult],
     route: RouteRow | None,
-    begun_seconds: float,
+    submitted_seconds: float,
 ) -> OwnedJob:
-    """Return a job with its route's bounds.
+    """Return a job with its route's deadlines and limits.
 
     Parameters
     ----------
     job : Job
         The job.
     owner_revision : int
-        Of this daemon's claim.
+        Revision of this daemon's claim.
     listed : list of JobResult
         The results that have positions already.
     route : RouteRow or None
-        The job's route; None if no table in force knows it.
-    begun_seconds : float
+        The job's route; None if the table has none.
+    submitted_seconds : float
         When the job was submitted (monotonic).
     """
     if route is None:
         ledger = JobLedger(job, listed)
-        keep_until_seconds = begun_seconds + UNROUTED_KEEP_SECONDS
-        return OwnedJob(ledger, owner_revision, begun_seconds, keep_until_seconds)
+        keep_until_seconds = submitted_seconds + UNROUTED_KEEP_SECONDS
+        return OwnedJob(ledger, owner_revision, submitted_seconds, keep_until_seconds)
     ledger = JobLedger(
         job,
         listed,
@@ -124,6 +123,6 @@
     return OwnedJob(
         ledger,
         owner_revision,
-        due_seconds=begun_seconds + route.due_seconds,
-        keep_until_seconds=begun_seconds + route.keep_seconds,
+        due_seconds=submitted_seconds + route.due_seconds,
+        keep_until_seconds=submitted_seconds + route.keep_seconds,
     )
--- a/rackswitch/gateway/jobs/owned_jobs.py
+++ b/rackswitch/gateway/jobs/owned_jobs.py
@@ -1,4 +1,4 @@
-"""The jobs that this daemon works on: taking them up, dropping them, and leaving them to others."""
+"""The jobs that this daemon runs: adding, dropping and releasing them."""
 
 import asyncio
 import time
@@ -16,47 +16,47 @@
 
 
 class OwnedJobs:
-    """Keeps the jobs that are worked on here.
+    """The jobs that this daemon runs, and the checkpoints of those just released.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     checkpoints : JobCheckpoints
-        Tells what is there of a job.
+        Makes checkpoints of unfinished items.
     wake : asyncio.Event
-        Set when there is more to start.
+        Set when there are new items to start.
 
     Attributes
     ----------
     by_id : dict of str to OwnedJob
         The jobs by identity.
-    arriving : set of str
+    incoming : set of str
         Jobs that are being handed over to this daemon.
     """
 
-    __slots__ = ("_checkpoints", "_context", "_left", "_wake", "arriving", "by_id")
+    __slots__ = ("_checkpoints", "_context", "_released", "_wake", "incoming", "by_id")
 
     def __init__(self, context: GatewayContext, checkpoints: JobCheckpoints, wake: asyncio.Event):
         self._context = context
         self._checkpoints = checkpoints
         self._wake = wake
-        self._left = ReleasedJobs()
+        self._released = ReleasedJobs()
         self.by_id: dict[str, OwnedJob] = {}
-        self.arriving: set[str] = set()
+        self.incoming: set[str] = set()
 
-    def own(
+    def add(
         self,
         job: Job,
         owner_revision: int,
         listed: list[JobResult],
         awaits_claim: bool = False,
     ) -> OwnedJob:
-        """Work on a job from now on."""
+        """Start running a job."""
         route = self._context.routes.find(job.host, job.path)
         age_seconds = max(0.0, time.time() - job.submitted_at_unix_seconds)
-        begun_seconds = self._context.now_seconds() - age_seconds
-        owned = new_owned_job(job, owner_revision, listed, route, begun_seconds)
+        submitted_seconds = self._context.now_seconds() - age_seconds
+        owned = new_owned_job(job, owner_revision, listed, route, submitted_seconds)
         owned.awaits_claim = awaits_claim
         self.by_id[job.job_id] = owned
         self._context.log.write(
@@ -77,14 +77,14 @@
         return owned
 
     def drop(self, job_id: str, reason: str) -> None:
-        """Work on a job no more, if it is worked on."""
+        """Stop running a job, if it runs here."""
         owned = self.by_id.pop(job_id, None)
         if owned is None:
             return
         owned.ledger.end()
         for task in owned.runs.values():
             task.cancel()
-        owned.tell_news()
+        owned.notify_readers()
         self._context.log.write(
             JobDropped(
                 job=job_id,
@@ -95,59 +95,61 @@
             )
         )
 
-    def leave(self, owned: OwnedJob, reason: str) -> Coroutine[Any, Any, JobCheckpoint]:
-        """Work on a job no more from now on; return what brings what its next owner goes on with.
+    def release(self, owned: OwnedJob, reason: str) -> Coroutine[Any, Any, JobCheckpoint]:
+        """Stop running a job; return a coroutine that returns its final checkpoint.
 
-        The texts are taken first, since the drop ends the ledger, and told only after the
-        runs have ended, so that no run goes on here beside the next owner's.
+        The items are copied first, since the drop ends the ledger. The coroutine waits for the
+        cancelled runs to end, so that none overlaps with a run of the next owner.
         """
-        items = self._checkpoints.items_to_leave(owned)
+        items = self._checkpoints.items_to_hand_over(owned)
         runs = list(owned.runs.values())
         self.drop(owned.ledger.job.job_id, reason)
-        return self._checkpoints.after_runs(items, runs)
+        return self._checkpoints.checkpoint_after_runs(items, runs)
 
-    def leave_behind(self, owned: OwnedJob, reason: str = "taken over") -> None:
-        """Leave a job to its next owner, and keep its texts until that one asks."""
+    def release_and_keep_checkpoint(self, owned: OwnedJob, reason: str = "taken over") -> None:
+        """Release a job, and keep its final checkpoint until the next owner requests it."""
         job_id = owned.ledger.job.job_id
-        leaving = self._context.daemon.spawn(self.leave(owned, reason))
+        checkpoint_task = self._context.daemon.spawn(self.release(owned, reason))
         now_seconds = self._context.now_seconds()
-        self._left.left(job_id, owned.owner_revision, leaving, now_seconds, owned.successor)
+        self._released.add(
+            job_id, owned.owner_revision, checkpoint_task, now_seconds, owned.successor
+        )
 
-    async def texts_for(
+    async def checkpoint_for(
         self, job_id: str, owner_revision: int, daemon: str
     ) -> JobCheckpoint | None:
-        """Leave a job to the daemon that asks, if that is its next owner; return what is there.
+        """Release a job to the requesting daemon if that is its next owner; return its checkpoint.
 
         Parameters
         ----------
         job_id : str
             The job.
         owner_revision : int
-            Of the other daemon's claim.
+            Revision of the other daemon's claim.
         daemon : str
-            The other daemon, if the job is being handed over to it; its claim may be missing then.
+            The other daemon, if the job is being handed over to it. It may have no claim yet.
 
         Returns
         -------
         JobCheckpoint or None
-            None if this daemon does not work on the job, or by a later claim.
+            None if this daemon does not run the job, or owns it by a later claim.
         """
         owned = self.by_id.get(job_id)
-        if owned is not None and _may_go_on(owned, owner_revision, daemon):
-            self.leave_behind(owned, "handed over" if daemon else "taken over")
-        return await self._left.texts_for(job_id, owner_revision, daemon)
+        if owned is not None and _is_next_owner(owned, owner_revision, daemon):
+            self.release_and_keep_checkpoint(owned, "handed over" if daemon else "taken over")
+        return await self._released.checkpoint_for(job_id, owner_revision, daemon)
 
-    async def left_texts(self, job_id: str) -> JobCheckpoint | None:
-        """Return what was there of a job that was left a moment ago."""
-        return await self._left.texts(job_id)
+    async def released_checkpoint(self, job_id: str) -> JobCheckpoint | None:
+        """Return the final checkpoint of a job that was just released."""
+        return await self._released.checkpoint(job_id)
 
-    def forget_left(self) -> None:
-        """Forget the texts of jobs whose next owner has had its time."""
-        self._left.expire(self._context.now_seconds())
+    def expire_released(self) -> None:
+        """Delete checkpoints of released jobs whose TTL has expired."""
+        self._released.expire(self._context.now_seconds())
 
 
-def _may_go_on(owned: OwnedJob, owner_revision: int, daemon: str) -> bool:
-    """Return whether a daemon that asks for a job is its next owner."""
+def _is_next_owner(owned: OwnedJob, owner_revision: int, daemon: str) -> bool:
+    """Return whether a requesting daemon is a job's next owner."""
     if owned.owner_revision < owner_revision:
         return True
     chosen = bool(daemon) and daemon == owned.successor
--- a/rackswitch/gateway/jobs/released_jobs.py
+++ b/rackswitch/gateway/jobs/released_jobs.py
@@ -1,4 +1,4 @@
-"""Texts of jobs that this daemon worked on until another one claimed them."""
+"""Final checkpoints of jobs that this daemon released, for their next owners."""
 
 import asyncio
 from dataclasses import dataclass
@@ -7,100 +7,106 @@
 
 __all__ = ["ReleasedJobs"]
 
-LEFT_SECONDS = 3.0
-"""How long the texts of a job are kept that another daemon was seen to own: that one asks for
-them within the time of a few calls, but a slow service may take a second for each."""
+RELEASED_TTL_SECONDS = 3.0
+"""Covers the few calls that a new owner makes before it requests the checkpoint, with a slow
+key-value service."""
 
 
 @dataclass(frozen=True, slots=True)
-class _LeftJob:
-    """What is kept of a job that this daemon left.
+class _ReleasedJob:
+    """A job that this daemon released.
 
     Attributes
     ----------
     owner_revision : int
-        Of the claim under which this daemon worked on it.
-    leaving : Task of JobCheckpoint
-        Brings its texts once its runs have ended, or have had their time to.
-    forget_at_seconds : float
-        Until when it is kept (monotonic).
+        Revision of this daemon's claim.
+    checkpoint_task : Task of JobCheckpoint
+        Returns the final checkpoint once the runs have ended or their timeout has passed.
+    expires_at_seconds : float
+        When the entry is deleted (monotonic).
     successor : str
-        Daemon that it was being handed over to; empty if none was.
+        Daemon that the job was being handed over to; empty if there was none.
     """
 
     owner_revision: int
-    leaving: asyncio.Task[JobCheckpoint]
-    forget_at_seconds: float
+    checkpoint_task: asyncio.Task[JobCheckpoint]
+    expires_at_seconds: float
     successor: str
 
-    def is_for(self, owner_revision: int, daemon: str) -> bool:
-        """Return whether a daemon may go on: by a later claim, or as the chosen successor."""
+    def is_available_to(self, owner_revision: int, daemon: str) -> bool:
+        """Return whether a daemon has a later claim or is the chosen successor."""
         if self.owner_revision < owner_revision:
             return True
         return bool(daemon) and (owner_revision, daemon) == (self.owner_revision, self.successor)
 
 
 class ReleasedJobs:
-    """Keeps what was there of each left job until its new owner has had time to ask."""
+    """Stores the final checkpoint of each released job until its TTL expires."""
 
-    __slots__ = ("_left",)
+    __slots__ = ("_released",)
 
     def __init__(self) -> None:
-        self._left: dict[str, _LeftJob] = {}
+        self._released: dict[str, _ReleasedJob] = {}
 
-    def left(
+    def add(
         self,
         job_id: str,
         owner_revision: int,
-        leaving: asyncio.Task[JobCheckpoint],
+        checkpoint_task: asyncio.Task[JobCheckpoint],
         now_seconds: float,
         successor: str = "",
     ) -> None:
-        """Note that a job is being left.
+        """Add a job that is being released.
 
         Parameters
         ----------
         job_id : str
             The job.
         owner_revision : int
-            Of the claim under which this daemon worked on it.
-        leaving : asyncio.Task
-            Brings what is there of the job once its runs have ended.
+            Revision of this daemon's claim.
+        checkpoint_task : asyncio.Task
+            Returns the final checkpoint once the job's runs have ended.
         now_seconds : float
             Monotonic clock.
         successor : str, optional
             Daemon that the job was being handed over to.
         """
-        forget_at_seconds = now_seconds + LEFT_SECONDS
-        self._left[job_id] = _LeftJob(owner_revision, leaving, forget_at_seconds, successor)
+        expires_at_seconds = now_seconds + RELEASED_TTL_SECONDS
+        self._released[job_id] = _ReleasedJob(
+            owner_revision, checkpoint_task, expires_at_seconds, successor
+        )
 
-    async def texts_for(
+    async def checkpoint_for(
         self, job_id: str, owner_revision: int, daemon: str = ""
     ) -> JobCheckpoint | None:
-        """Return what is there of a job, for its next owner; None for others.
+        """Return a job's final checkpoint for its next owner, None for other daemons.
 
         Parameters
         ----------
         job_id : str
             The job.
         owner_revision : int
-            Of the asking daemon's claim, or of this daemon's own if the job was handed over
-            while nobody could claim it.
+            Revision of the requesting daemon's claim, or of this daemon's own claim if the job was
+            handed over during an outage of the key-value service.
         daemon : str, optional
-            The asking daemon, if the job is being handed over to it.
+            The requesting daemon, if the job is being handed over to it.
         """
-        left = self._left.get(job_id)
-        if left is None or not left.is_for(owner_revision, daemon):
+        released = self._released.get(job_id)
+        if released is None or not released.is_available_to(owner_revision, daemon):
             return None
-        return await asyncio.shield(left.leaving)
+        return await asyncio.shield(released.checkpoint_task)
 
-    async def texts(self, job_id: str) -> JobCheckpoint | None:
-        """Return what is there of a job, for this daemon itself."""
-        left = self._left.get(job_id)
-        return await asyncio.shield(left.leaving) if left is not None else None
+    async def checkpoint(self, job_id: str) -> JobCheckpoint | None:
+        """Return a job's final checkpoint for this daemon itself."""
+        released = self._released.get(job_id)
+        return await asyncio.shield(released.checkpoint_task) if released is not None else None
 
     def expire(self, now_seconds: float) -> None:
-        """Forget jobs whose new owner has had its time."""
-        over = [job for job, left in self._left.items() if now_seconds >= left.forget_at_seconds]
-        for job_id in over:
-            del self._left[job_id]
+        """Delete the entries whose TTL has expired."""
+        expired = [
+            job_id
+            for job_id, released in self._released.items()
+            if now_seconds >= released.expires_at_seconds
+        ]
+        for job_id in expired:
+            del self._released[job_id]
--- a/rackswitch/gateway/jobs/result_appender.py
+++ b/rackswitch/gateway/jobs/result_appender.py
@@ -1,4 +1,4 @@
-"""Appending the results of owned jobs to the key-value service, a segment at a time."""
+"""Appends of owned jobs' results to the key-value service, one segment at a time."""
 
 import asyncio
 from collections.abc import Iterable
@@ -6,7 +6,7 @@
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.jobs.job_outcomes import AppendConflict, Appended, JobNotStored
-from rackswitch.gateway.jobs.job_records import key_part
+from rackswitch.gateway.jobs.job_records import job_key_part
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.owned_job import OwnedJob
 from rackswitch.gateway.store.session import Session
@@ -16,24 +16,24 @@
 __all__ = ["ResultAppender"]
 
 APPEND_RETRY_SECONDS = 0.25
-"""After a segment that the service did not take."""
+"""Delay after a failed append."""
 
 
 class ResultAppender:
-    """Keeps results, under the fence of this daemon's ownership.
+    """Appends results under the fencing number of this daemon's ownership.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     session : Session
-        Whether this daemon can be sure that it owns what it owns.
+        Tells whether the lease of this daemon's owner keys is certainly valid.
     store : JobStore
         Jobs in the key-value service.
     orphans : OrphanedJobs
-        Told of a job whose owner this daemon turns out not to be.
+        Receives jobs that this daemon no longer owns.
     wake : asyncio.Event
-        Set after each try.
+        Set after each append.
     """
 
     __slots__ = ("_context", "_orphans", "_session", "_store", "_wake")
@@ -53,14 +53,14 @@
         self._wake = wake
 
     def append_due(self, owned_jobs: Iterable[OwnedJob]) -> None:
-        """Begin to append the results that are ready, where the last segment is past."""
+        """Start appending finished results, where the interval since the last segment is over."""
         if self._context.policy.jobs_handed_over and not self._session.is_sure():
-            # An append would hang until its time is up, or be refused as the lease is over, and
-            # the claim that lists the same results would wait for it.
+            # The append would time out or be refused, and delay the claim that appends the same
+            # results.
             return
         now_seconds = self._context.now_seconds()
         for owned in owned_jobs:
-            if not owned.may_list:
+            if not owned.may_append:
                 continue
             if owned.appending.locked():
                 continue
@@ -72,36 +72,36 @@
                 self._context.daemon.spawn(self._append(owned))
 
     def _catch_up_if_due(self, owned: OwnedJob, now_seconds: float) -> None:
-        is_due = owned.is_behind and now_seconds >= owned.next_append_seconds
+        is_due = owned.may_miss_results and now_seconds >= owned.next_append_seconds
         if is_due and self._session.is_sure():
             owned.next_append_seconds = now_seconds + APPEND_RETRY_SECONDS
             self._context.daemon.spawn(self._catch_up(owned))
 
     async def _catch_up(self, owned: OwnedJob) -> None:
-        """Take in what other owners listed.
+        """Load the results that other owners listed.
 
-        The owner key is read last: what was listed before this daemon's claim is among the results
-        if the job is its own then.
+        The owner key is read last: if this daemon owns the job then, the results include all that
+        were listed before its claim.
         """
         async with owned.appending:
             job_id, position = owned.ledger.job.job_id, len(owned.ledger.listed)
-            claim = self._claim(owned)
+            ownership = self._ownership(owned)
             results = await self._store.load_results(job_id, position)
             owner = await self._store.load_owner(job_id)
             if isinstance(results, KvUnavailable) or isinstance(owner, KvUnavailable):
                 return
             is_own = owner is not None and owner.mod_revision == owned.owner_revision
-            if is_own and claim == self._claim(owned):
-                owned.take_in(position, results)
-                owned.is_behind = False
-                owned.tell_news()
+            if is_own and ownership == self._ownership(owned):
+                owned.add_listed_results(position, results)
+                owned.may_miss_results = False
+                owned.notify_readers()
 
-    def _claim(self, owned: OwnedJob) -> tuple[int | None, int]:
-        """Return the lease and revision under which a job is owned; an answer may be older."""
+    def _ownership(self, owned: OwnedJob) -> tuple[int | None, int]:
+        """Return the lease and revision of an ownership, to detect replies to older writes."""
         return self._session.lease_id, owned.owner_revision
 
     async def append_all(self, owned: OwnedJob) -> None:
-        """Append all results that are ready, until a segment is not taken."""
+        """Append all finished results, until an append fails."""
         async with owned.appending:
             while owned.ledger.has_pending:
                 if not await self._append_segment(owned):
@@ -114,10 +114,10 @@
         self._wake.set()
 
     async def _append_segment(self, owned: OwnedJob) -> bool:
-        """Append the next segment of a job; return whether it is kept."""
+        """Append the next segment of a job; return whether it is stored."""
         job_id = owned.ledger.job.job_id
         position, segment = owned.ledger.next_segment()
-        claim = self._claim(owned)
+        ownership = self._ownership(owned)
         outcome = await self._store.append(job_id, owned.owner_revision, position, segment)
         now_seconds = self._context.now_seconds()
         owned.append_is_unknown = isinstance(outcome, JobNotStored) and (
@@ -125,28 +125,32 @@
         )
         if isinstance(outcome, Appended):
             owned.last_append_seconds = now_seconds
-            if outcome.was_there:
-                owned.take_in(position, outcome.results)
+            if outcome.already_stored:
+                owned.add_listed_results(position, outcome.results)
             else:
                 owned.ledger.appended(position, outcome.results)
-                owned.is_behind = owned.is_behind and claim != self._claim(owned)
-            owned.tell_news()
+                owned.may_miss_results = owned.may_miss_results and ownership != self._ownership(
+                    owned
+                )
+            owned.notify_readers()
         elif isinstance(outcome, AppendConflict):
-            # The owner key is gone or another daemon's: claim anew, which tells.
-            owned.is_behind = True
-            self._orphans.orphaned(key_part(job_id), now_seconds)
+            # The owner key is deleted or another daemon's: a new claim resolves that.
+            owned.may_miss_results = True
+            self._orphans.orphaned(job_key_part(job_id), now_seconds)
             owned.next_append_seconds = now_seconds + APPEND_RETRY_SECONDS
         else:
             owned.next_append_seconds = now_seconds + APPEND_RETRY_SECONDS
         self._log(owned, position, segment, type(outcome).__name__)
         return isinstance(outcome, Appended)
 
-    def kept(self, owned: OwnedJob, position: int, segment: list[JobResult]) -> None:
-        """Note that results were kept by the write that claimed their job."""
+    def record_stored_segment(
+        self, owned: OwnedJob, position: int, segment: list[JobResult]
+    ) -> None:
+        """Record results that were stored by the write that claimed their job."""
         owned.ledger.appended(position, segment)
         owned.append_is_unknown = False
         owned.last_append_seconds = self._context.now_seconds()
-        owned.tell_news()
+        owned.notify_readers()
         self._log(owned, position, segment, Appended.__name__)
 
     def _log(self, owned: OwnedJob, position: int, segment: list[JobResult], outcome: str) -> None:
--- a/rackswitch/gateway/jobs/tests/hand_over_fleet.py
+++ b/rackswitch/gateway/jobs/tests/hand_over_fleet.py
@@ -11,7 +11,13 @@
 from rackswitch.gateway.items.item_runner import ItemRunner
 from rackswitch.gateway.jobs.job_outcomes import JobCreated
 from rackswitch.gateway.jobs.job_store import JobStore
-from rackswitch.gateway.jobs.tests.long_run import ENGINES, SLOTS, FleetLinks, Node, piece_text
+from rackswitch.gateway.jobs.tests.long_run import (
+    ENGINES,
+    SLOTS,
+    DaemonProcess,
+    FleetLinks,
+    piece_text,
+)
 from rackswitch.gateway.policy import PolicySettings
 from rackswitch.gateway.tests.support import NoQuarantine, make_gateway_context
 from rackswitch.jobs import Job, JobItem, TextPiece
@@ -29,15 +35,15 @@
         self.pieces = pieces
         self.made: dict[str, list[tuple[int, float, str]]] = defaultdict(list)
         self.running: dict[str, int] = defaultdict(int)
-        self.max_at_once = 0
+        self.max_concurrent_runs = 0
 
-    def made_again(self) -> int:
+    def pieces_made_twice(self) -> int:
         """Return how many pieces were made more than once."""
         return sum(
             len(made) - len({number for number, _, _ in made}) for made in self.made.values()
         )
 
-    def longest_pause_seconds(self) -> float:
+    def longest_stall_seconds(self) -> float:
         """Return the longest time between two pieces of one item, beyond an engine's pace."""
         pauses = [
             later - earlier - PIECE_SECONDS
@@ -58,7 +64,7 @@
         item_id = progress.item.item_id
         engines = self._steady
         engines.running[item_id] += 1
-        engines.max_at_once = max(engines.max_at_once, engines.running[item_id])
+        engines.max_concurrent_runs = max(engines.max_concurrent_runs, engines.running[item_id])
         try:
             while progress.last_number < engines.pieces:
                 await asyncio.sleep(PIECE_SECONDS)
@@ -92,63 +98,63 @@
         self.kv = KvStore()
         self.rng = random.Random(7)
         self.engines = Engines(pieces)
-        self.nodes: dict[str, Node] = {}
+        self.processes: dict[str, DaemonProcess] = {}
         self._policy = policy or PolicySettings()
         for name in names:
             self.start(name)
 
-    def start(self, name: str) -> Node:
+    def start(self, name: str) -> DaemonProcess:
         """Start a process of a daemon."""
-        node = Node(
+        process = DaemonProcess(
             name,
             self.kv,
             self.rng,
             runner_kind=lambda context, rng: SteadyRunner(context, self.engines),
         )
-        node.context.policy = self._policy
-        node.context.daemon.links = FleetLinks(self.nodes)
-        self.nodes[name] = node
-        node.start()
-        return node
+        process.context.policy = self._policy
+        process.context.daemon.links = FleetLinks(self.processes)
+        self.processes[name] = process
+        process.start()
+        return process
 
-    def silence(self, silent: bool) -> None:
+    def set_service_down(self, service_down: bool) -> None:
         """Have the key-value service answer nobody, or everybody again."""
-        for node in self.nodes.values():
-            node.faults.down = silent
+        for process in self.processes.values():
+            process.faults.down = service_down
 
     async def submit(self, name: str, job: Job) -> None:
-        assert isinstance(await self.nodes[name].keeper.submit(job), JobCreated)
+        assert isinstance(await self.processes[name].job_manager.submit(job), JobCreated)
 
     def owners(self, job_id: str = "j") -> list[str]:
         """Return the daemons that work on a job and own it, as far as they know."""
         return [
             name
-            for name, node in self.nodes.items()
-            if node.context.daemon.has_tasks
-            and job_id in node.keeper.owned
-            and not node.keeper.owned[job_id].awaits_claim
+            for name, process in self.processes.items()
+            if process.context.daemon.has_tasks
+            and job_id in process.job_manager.owned
+            and not process.job_manager.owned[job_id].awaits_claim
         ]
 
     def workers(self, job_id: str = "j") -> list[str]:
         """Return the daemons that work on a job."""
         return [
             name
-            for name, node in self.nodes.items()
-            if node.context.daemon.has_tasks and job_id in node.keeper.owned
+            for name, process in self.processes.items()
+            if process.context.daemon.has_tasks and job_id in process.job_manager.owned
         ]
 
     async def listed(self, job_id: str = "j") -> list[str]:
         """Return the items that have positions, as the service keeps them, their texts whole."""
         reader = JobStore(make_gateway_context("reader", self.kv))
-        kept = await reader.load_results(job_id, 0)
-        assert not isinstance(kept, KvUnavailable)
-        for result in kept:
+        stored = await reader.load_results(job_id, 0)
+        assert not isinstance(stored, KvUnavailable)
+        for result in stored:
             pieces = [piece_text(result.item_id, n + 1) for n in range(self.engines.pieces)]
             assert result.completed
             assert result.text.split("\n") == pieces
-        return [result.item_id for result in kept]
+        return [result.item_id for result in stored]
 
-    async def wait_whole(self, job: Job, seconds: float = 60.0) -> None:
+    async def wait_complete(self, job: Job, seconds: float = 60.0) -> None:
         """Wait until every item of a job is listed, each once."""
         async with asyncio.timeout(seconds):
             while len(await self.listed(job.job_id)) < len(job.items):
@@ -162,6 +168,6 @@
         await writer.kv.txn([TxnPart((), (Operation(key, value),))])
 
     async def end(self) -> None:
-        for node in self.nodes.values():
-            assert node.context.daemon.broken is None
-            await node.context.daemon.cancel_all()
+        for process in self.processes.values():
+            assert process.context.daemon.broken is None
+            await process.context.daemon.cancel_all()
--- a/rackswitch/gateway/jobs/tests/long_run.py
+++ b/rackswitch/gateway/jobs/tests/long_run.py
@@ -51,9 +51,9 @@
 CONTROL = "control/"
 ENGINES = 3
 SLOTS = 4
-COPY_SECONDS = 0.3
+REPLICA_INTERVAL_SECONDS = 0.3
 FAULT_SECONDS = (0.5, 7.0)
-CALM_SECONDS = (0.2, 2.0)
+FAULT_FREE_SECONDS = (0.2, 2.0)
 READ_SECONDS = 0.4
 FAULTS = ("crash", "freeze", "cut off", "lapse", "lost_answer", "late_effect", "lost_request")
 STOPS = (*FAULTS, "stop", "stop", "stop", "outage")
@@ -104,19 +104,19 @@
 
     def __init__(self, store: KvStore, rng: random.Random, faults: KvFaults):
         super().__init__(store, rng, faults)
-        self.runs = asyncio.Event()
-        self.runs.set()
+        self.running = asyncio.Event()
+        self.running.set()
 
     async def _answers(self) -> bool:
-        await self.runs.wait()
+        await self.running.wait()
         answered = await super()._answers()
-        await self.runs.wait()
+        await self.running.wait()
         return answered
 
     async def txn(self, parts):
-        await self.runs.wait()
+        await self.running.wait()
         done = await super().txn(parts)
-        await self.runs.wait()
+        await self.running.wait()
         return done
 
 
@@ -135,12 +135,12 @@
             fault = progress.accept(TextPiece(number, text, 1), 0)
             if fault is not None:
                 return ItemRunEnded(ItemRunEnd.BROKEN, fault.detail)
-            chance = self._rng.random()
-            if chance < 0.05:
+            draw = self._rng.random()
+            if draw < 0.05:
                 return ItemRunEnded(ItemRunEnd.BROKEN, "broken off")
-            if chance < 0.06:
+            if draw < 0.06:
                 return ItemRunEnded(ItemRunEnd.FAILED, "status 500")
-            if chance < 0.2:
+            if draw < 0.2:
                 return ItemRunEnded(ItemRunEnd.WHOLE)
 
 
@@ -157,17 +157,17 @@
 class FleetLinks:
     """Calls between the daemons of a run: a frozen or dead one does not answer."""
 
-    def __init__(self, nodes: dict[str, "Node"]):
-        self._nodes = nodes
+    def __init__(self, processes: dict[str, "DaemonProcess"]):
+        self._nodes = processes
 
     async def call(self, peer, method, message, timeout_seconds, stub_kind):
-        node = self._nodes[peer.daemon]
-        if not node.kv.runs.is_set() or not node.context.daemon.has_tasks:
+        process = self._nodes[peer.daemon]
+        if not process.kv.running.is_set() or not process.context.daemon.has_tasks:
             await asyncio.sleep(timeout_seconds)
             return PeerUnreachable("no answer")
         try:
             async with asyncio.timeout(timeout_seconds):
-                return await self._answer(node, message)
+                return await self._answer(process, message)
         except TimeoutError:
             return PeerUnreachable("no answer in time")
         except asyncio.CancelledError:
@@ -175,11 +175,11 @@
                 raise
             return PeerUnreachable("its process has ended")
 
-    async def _answer(self, node: "Node", message):
+    async def _answer(self, process: "DaemonProcess", message):
         if isinstance(message, pb.HandOverRequest):
-            return await node.keeper.receive(message)
+            return await process.job_manager.receive(message)
         assert isinstance(message, pb.YieldJobRequest)
-        checkpoint = await node.keeper.yield_job(
+        checkpoint = await process.job_manager.yield_job(
             message.job_id, message.owner_revision, message.daemon
         )
         if checkpoint is None:
@@ -187,7 +187,7 @@
         return pb.YieldJobReply(worked_on=True, checkpoint=pack_checkpoint(checkpoint))
 
 
-class Node:
+class DaemonProcess:
     """One process of a daemon: its session, its copy of the entries, its jobs."""
 
     def __init__(
@@ -208,19 +208,26 @@
             listed = ListedTarget(f"e{number}", "s", "h", 1, "z", SLOTS, False, {"m": 1})
             self.context.directory.put(listed)
             self.context.targets[listed.instance] = Target(listed.instance, listed.url, "z")
-        self.looked = asyncio.Event()
-        self.presence = Presence(self.context, 1, self.looked)
+        self.replica_updated = asyncio.Event()
+        self.presence = Presence(self.context, 1, self.replica_updated)
         self.session = Session(
-            self.context, lambda: self.keeper.session_lost(), lambda: bool(self.keeper.owned)
+            self.context,
+            lambda: self.job_manager.session_lost(),
+            lambda: bool(self.job_manager.owned),
         )
         runner = (runner_kind or RandomRunner)(self.context, rng)
         store = store_kind(self.context)
-        self.keeper = JobManager(self.context, self.session, store, runner, NoLooks())
-        self._copy = PrefixReplica(CONTROL)
+        self.job_manager = JobManager(self.context, self.session, store, runner, NoLooks())
+        self._replica = PrefixReplica(CONTROL)
         self._members: dict[str, object] = {}
 
     def start(self) -> None:
-        duties = (self.presence.run(), self.session.run(), self._follow(), self.keeper.run())
+        duties = (
+            self.presence.run(),
+            self.session.run(),
+            self._poll_control_entries(),
+            self.job_manager.run(),
+        )
         for duty in duties:
             self.context.daemon.spawn_duty(duty)
 
@@ -231,51 +238,51 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(STOP_GRACE_SECONDS):
                 await self.presence.tell_leaving()
-                await self.keeper.hand_over()
+                await self.job_manager.hand_over()
         await self.session.end()
         await self.context.daemon.cancel_all()
 
-    async def _follow(self) -> None:
+    async def _poll_control_entries(self) -> None:
         """Keep the copy, some time behind the service."""
         while True:
-            await asyncio.sleep(COPY_SECONDS * (0.5 + self.context.rng.random()))
+            await asyncio.sleep(REPLICA_INTERVAL_SECONDS * (0.5 + self.context.rng.random()))
             read = await self.kv.read(CONTROL, is_prefix=True)
             self.context.contact.note(self.context.now_seconds(), read)
             if isinstance(read, KvUnavailable):
                 continue
-            news = self._copy.replace(read.entries, read.revision)
-            for entry in news.entries:
-                self._put(entry)
-            for key in news.deleted:
-                self._deleted(key)
-            self.looked.set()
-
-    def _put(self, entry) -> None:
+            changes = self._replica.replace(read.entries, read.revision)
+            for entry in changes.entries:
+                self._apply_put(entry)
+            for key in changes.deleted:
+                self._apply_deleted(key)
+            self.replica_updated.set()
+
+    def _apply_put(self, entry) -> None:
         if entry.key.startswith(MEMBERS_PREFIX):
             name = entry.key.removeprefix(MEMBERS_PREFIX)
             member = decode_member(entry.value)
             self._members[name] = vm_entry(name, member)
             self.context.member_entries[name] = member
-            self._tell_members()
+            self._update_membership()
         elif entry.key.startswith(JOBS_PREFIX):
-            self.keeper.marker_put(entry)
+            self.job_manager.marker_put(entry)
         elif entry.key.startswith(OWNERS_PREFIX):
-            self.keeper.owner_put(entry)
+            self.job_manager.owner_put(entry)
 
-    def _deleted(self, key: str) -> None:
+    def _apply_deleted(self, key: str) -> None:
         if key.startswith(MEMBERS_PREFIX):
             self._members.pop(key.removeprefix(MEMBERS_PREFIX), None)
-            self._tell_members()
+            self._update_membership()
         elif key.startswith(OWNERS_PREFIX):
-            self.keeper.owner_deleted(key)
+            self.job_manager.owner_deleted(key)
 
-    def _tell_members(self) -> None:
+    def _update_membership(self) -> None:
         members = list(self._members.values())
         self.context.daemon.membership.learn_listed(members, self.context.now_seconds())
 
 
 @dataclass(slots=True)
-class Seen:
+class ReadHistory:
     """What readers have been told, counted outside of the daemons."""
 
     positions: dict[tuple[str, int], JobResult] = field(default_factory=dict)
@@ -288,15 +295,15 @@
             self.violations.append(f"{job_id}: an item stands twice")
         for position, result in enumerate(results):
             lines = result.text.split("\n")
-            whole = [piece_text(result.item_id, n + 1) for n in range(len(lines))]
-            if result.completed and lines != whole:
+            expected = [piece_text(result.item_id, n + 1) for n in range(len(lines))]
+            if result.completed and lines != expected:
                 self.violations.append(f"{job_id}: the text at {position} is not the item's own")
             before = self.positions.setdefault((job_id, position), result)
             if before != result:
                 self.violations.append(f"{job_id}: position {position} changed")
 
 
-class LongRun:
+class FaultInjectionRun:
     """A fleet of daemons that take, run and hand over jobs while it is broken at random."""
 
     def __init__(
@@ -305,40 +312,40 @@
         self._faults = faults
         self.rng = random.Random(seed)
         self.kv = KvStore()
-        self.seen = Seen()
+        self.history = ReadHistory()
         self.jobs = make_jobs(self.rng, 6)
         self._store_kind = store_kind
-        self.nodes: dict[str, Node] = {}
+        self.processes: dict[str, DaemonProcess] = {}
         self.accepted: set[str] = set()
 
     async def run(self, seconds: float) -> None:
         for name in ("a", "b", "c"):
             self._start(name)
-        breaking = break_at_random(self.rng, CALM_SECONDS, self._faults, self._fault)
-        work = [asyncio.create_task(duty) for duty in (self._submit(), self._read(), breaking)]
+        injecting = break_at_random(self.rng, FAULT_FREE_SECONDS, self._faults, self._inject_fault)
+        work = [asyncio.create_task(duty) for duty in (self._submit(), self._read(), injecting)]
         await asyncio.sleep(seconds)
         work[2].cancel()
         await asyncio.gather(work[2], return_exceptions=True)
-        self._heal()
+        self._clear_faults()
         await self._settle()
         for task in work:
             task.cancel()
         await asyncio.gather(*work, return_exceptions=True)
-        for name, node in self.nodes.items():
-            if node.context.daemon.broken is not None:
-                self.seen.violations.append(f"{name}: {node.context.daemon.broken}")
-            await node.context.daemon.cancel_all()
+        for name, process in self.processes.items():
+            if process.context.daemon.broken is not None:
+                self.history.violations.append(f"{name}: {process.context.daemon.broken}")
+            await process.context.daemon.cancel_all()
 
     def _start(self, name: str) -> None:
-        self.nodes[name] = Node(name, self.kv, self.rng, self._store_kind)
-        self.nodes[name].context.daemon.links = FleetLinks(self.nodes)  # type: ignore[assignment]
-        self.nodes[name].start()
+        self.processes[name] = DaemonProcess(name, self.kv, self.rng, self._store_kind)
+        self.processes[name].context.daemon.links = FleetLinks(self.processes)  # type: ignore[assignment]
+        self.processes[name].start()
 
     async def _submit(self) -> None:
         for job in self.jobs:
             while job.job_id not in self.accepted:
-                node = self.rng.choice(list(self.nodes.values()))
-                outcome = await node.keeper.submit(job)
+                process = self.rng.choice(list(self.processes.values()))
+                outcome = await process.job_manager.submit(job)
                 if isinstance(outcome, JobCreated | JobKnown):
                     self.accepted.add(job.job_id)
                 await asyncio.sleep(self.rng.uniform(0.1, 2.0))
@@ -349,63 +356,69 @@
         while True:
             await asyncio.sleep(READ_SECONDS * self.rng.random())
             for job in self.jobs:
-                for node in self.nodes.values():
-                    owned = node.keeper.owned.get(job.job_id)
-                    if owned is not None and node.session.is_sure() and node.kv.runs.is_set():
-                        self.seen.read(job.job_id, list(owned.ledger.listed))
-                kept = await reader.load_results(job.job_id, 0)
-                if not isinstance(kept, KvUnavailable):
-                    self.seen.read(job.job_id, kept)
-
-    async def _fault(self, kind: str) -> None:
-        name = self.rng.choice(list(self.nodes))
-        node = self.nodes[name]
+                for process in self.processes.values():
+                    owned = process.job_manager.owned.get(job.job_id)
+                    if (
+                        owned is not None
+                        and process.session.is_sure()
+                        and process.kv.running.is_set()
+                    ):
+                        self.history.read(job.job_id, list(owned.ledger.listed))
+                stored = await reader.load_results(job.job_id, 0)
+                if not isinstance(stored, KvUnavailable):
+                    self.history.read(job.job_id, stored)
+
+    async def _inject_fault(self, kind: str) -> None:
+        name = self.rng.choice(list(self.processes))
+        process = self.processes[name]
         seconds = self.rng.uniform(*FAULT_SECONDS)
         if kind == "crash":
-            await node.context.daemon.cancel_all()
+            await process.context.daemon.cancel_all()
             await asyncio.sleep(seconds)
-            if self.nodes[name] is node:
+            if self.processes[name] is process:
                 self._start(name)
         elif kind == "stop":
-            await node.stop()
+            await process.stop()
             await asyncio.sleep(self.rng.uniform(0.1, 1.0))
-            if self.nodes[name] is node:
+            if self.processes[name] is process:
                 self._start(name)
         elif kind == "outage":
             await self._outage(seconds)
         elif kind == "freeze":
-            node.kv.runs.clear()
+            process.kv.running.clear()
             await asyncio.sleep(seconds)
-            node.kv.runs.set()
+            process.kv.running.set()
         elif kind == "cut off":
-            node.faults.down = True
+            process.faults.down = True
             await asyncio.sleep(seconds)
-            node.faults.down = False
+            process.faults.down = False
         elif kind == "lapse":
-            self.kv.end_lease(node.session.lease_id or 0)
+            self.kv.end_lease(process.session.lease_id or 0)
         else:
-            for other in self.nodes.values():
+            for other in self.processes.values():
                 setattr(other.faults, kind, self.rng.uniform(0.1, 0.6))
             await asyncio.sleep(seconds)
-            for other in self.nodes.values():
+            for other in self.processes.values():
                 setattr(other.faults, kind, 0.0)
 
     async def _outage(self, seconds: float) -> None:
         """Have the service answer nobody; daemons that start meanwhile get no answer either."""
         until_seconds = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < until_seconds:
-            for node in self.nodes.values():
-                node.faults.down = True
+            for process in self.processes.values():
+                process.faults.down = True
             await asyncio.sleep(0.05)
-        for node in self.nodes.values():
-            node.faults.down = False
-
-    def _heal(self) -> None:
-        for name, node in list(self.nodes.items()):
-            node.kv.runs.set()
-            node.faults.down = False
-            node.faults.lost_answer = node.faults.late_effect = node.faults.lost_request = 0.0
-            if not node.context.daemon.has_tasks:
+        for process in self.processes.values():
+            process.faults.down = False
+
+    def _clear_faults(self) -> None:
+        for name, process in list(self.processes.items()):
+            process.kv.running.set()
+            process.faults.down = False
+            process.faults.lost_answer = process.faults.late_effect = (
+                process.faults.lost_request
+            ) = 0.0
+            if not process.context.daemon.has_tasks:
                 self._start(name)
 
     async def _settle(self) -> None:
@@ -415,10 +428,10 @@
         for _ in range(600):
             await asyncio.sleep(0.5)
             for job_id, total in list(missing.items()):
-                kept = await reader.load_results(job_id, 0)
-                if len(kept) == total:
-                    self.seen.read(job_id, kept)
+                stored = await reader.load_results(job_id, 0)
+                if len(stored) == total:
+                    self.history.read(job_id, stored)
                     del missing[job_id]
             if not missing:
                 return
-        self.seen.violations.append(f"not whole after all faults were healed: {sorted(missing)}")
+        self.history.violations.append(f"not whole after all faults were healed: {sorted(missing)}")
--- a/rackswitch/gateway/jobs/tests/test_hand_over.py
+++ b/rackswitch/gateway/jobs/tests/test_hand_over.py
@@ -20,11 +20,11 @@
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.peers.links import PeerUnreachable
 
-MAX_PAUSE_SECONDS = 0.3
+MAX_STALL_SECONDS = 0.3
 
 
 def play(scenario, **sizes):
-    async def whole():
+    async def run():
         fleet = HandOverFleet(**sizes)
         await asyncio.sleep(1.0)
         try:
@@ -33,7 +33,7 @@
         finally:
             await fleet.end()
 
-    return run_virtual(whole())
+    return run_virtual(run())
 
 
 def test_a_planned_stop_under_full_load_makes_no_text_again_and_pauses_no_job():
@@ -42,13 +42,13 @@
         for job in jobs:
             await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        await fleet.nodes["a"].stop()
+        await fleet.processes["a"].stop()
         for job in jobs:
             assert fleet.owners(job.job_id) in (["b"], ["c"])
         for job in jobs:
-            await fleet.wait_whole(job)
-        assert fleet.engines.made_again() == 0
-        assert fleet.engines.longest_pause_seconds() <= MAX_PAUSE_SECONDS
+            await fleet.wait_complete(job)
+        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.longest_stall_seconds() <= MAX_STALL_SECONDS
 
     play(scenario)
 
@@ -59,11 +59,11 @@
         await fleet.submit("a", job)
         for name in "abcd":
             await asyncio.sleep(0.5)
-            await fleet.nodes[name].stop()
+            await fleet.processes[name].stop()
             fleet.start(name)
-        await fleet.wait_whole(job)
-        assert fleet.engines.made_again() == 0
-        assert fleet.engines.longest_pause_seconds() <= MAX_PAUSE_SECONDS
+        await fleet.wait_complete(job)
+        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.longest_stall_seconds() <= MAX_STALL_SECONDS
 
     play(scenario, names="abcd")
 
@@ -73,22 +73,22 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        asked = []
-        links = fleet.nodes["a"].context.daemon.links
+        sent = []
+        links = fleet.processes["a"].context.daemon.links
         call = links.call
 
         async def note(peer, method, message, timeout_seconds, stub_kind):
-            asked.append(message)
+            sent.append(message)
             return await call(peer, method, message, timeout_seconds, stub_kind)
 
         links.call = note
-        await fleet.nodes["a"].stop()
+        await fleet.processes["a"].stop()
         assert fleet.workers() == []
-        assert not any(isinstance(message, pb.HandOverRequest) for message in asked)
+        assert not any(isinstance(message, pb.HandOverRequest) for message in sent)
         # The successor finds the job without an owner, and the texts in a checkpoint.
         assert "control/owners/j" not in fleet.kv.keys
         assert "progress/j" in fleet.kv.keys
-        await fleet.wait_whole(job)
+        await fleet.wait_complete(job)
 
     play(scenario, policy=PolicySettings(jobs_handed_over=False))
 
@@ -99,9 +99,9 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        fleet.silence(True)
+        fleet.set_service_down(True)
         tried = []
-        store = fleet.nodes["a"].keeper._store
+        store = fleet.processes["a"].job_manager._store
         append = store.append
 
         class NotingStore(type(store)):
@@ -115,8 +115,8 @@
         await asyncio.sleep(6.0)
         # All texts are whole by now; the first may have been so before the lease was unsure.
         assert (len(tried) > 1) is not handed_over
-        fleet.silence(False)
-        await fleet.wait_whole(job)
+        fleet.set_service_down(False)
+        await fleet.wait_complete(job)
 
     play(scenario, policy=PolicySettings(jobs_handed_over=handed_over))
 
@@ -130,16 +130,16 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        fleet.silence(True)
+        fleet.set_service_down(True)
         await asyncio.sleep(2.0)
-        await fleet.nodes["a"].stop()
+        await fleet.processes["a"].stop()
         assert fleet.owners() == []
         (worker,) = fleet.workers()
-        held = fleet.nodes[worker].keeper.owned["j"]
+        owned = fleet.processes[worker].job_manager.owned["j"]
         await asyncio.sleep(3.0 + phase_seconds)
         # All texts are there by now, and none is listed.
-        assert held.ledger.has_pending
-        assert held.ledger.listed == []
+        assert owned.ledger.has_pending
+        assert owned.ledger.listed == []
         assert await fleet.listed() == []
         # Leases may end in an outage, or wait.
         for lease_id in list(fleet.kv.leases):
@@ -147,12 +147,12 @@
                 fleet.kv.end_lease(lease_id)
             else:
                 fleet.kv.leases[lease_id].deadline_seconds = float("inf")
-        fleet.silence(False)
+        fleet.set_service_down(False)
         await asyncio.sleep(0.3)
         assert fleet.owners() == [worker]
         assert len(await fleet.listed()) == len(job.items)
-        assert fleet.engines.made_again() == 0
-        assert fleet.engines.longest_pause_seconds() <= MAX_PAUSE_SECONDS
+        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.longest_stall_seconds() <= MAX_STALL_SECONDS
 
     play(scenario)
 
@@ -163,12 +163,12 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        fleet.silence(True)
+        fleet.set_service_down(True)
         await asyncio.sleep(6.0 + phase_seconds)
         for lease_id in list(fleet.kv.leases):
             fleet.kv.end_lease(lease_id)
         assert await fleet.listed() == []
-        fleet.silence(False)
+        fleet.set_service_down(False)
         await asyncio.sleep(0.3)
         assert fleet.owners() == ["a"]
         assert len(await fleet.listed()) == len(job.items)
@@ -183,17 +183,17 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        fleet.silence(True)
+        fleet.set_service_down(True)
         for name in "bc":
-            await fleet.nodes[name].context.daemon.cancel_all()
+            await fleet.processes[name].context.daemon.cancel_all()
             fleet.start(name).faults.down = True
         await asyncio.sleep(2.0)
         for lease_id in list(fleet.kv.leases):
             fleet.kv.end_lease(lease_id)
-        fleet.silence(False)
-        await fleet.wait_whole(job)
+        fleet.set_service_down(False)
+        await fleet.wait_complete(job)
         assert fleet.owners() == ["a"]
-        assert fleet.engines.made_again() == 0
+        assert fleet.engines.pieces_made_twice() == 0
 
     play(scenario)
 
@@ -203,71 +203,75 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        fleet.silence(True)
-        await fleet.nodes["a"].stop()
+        fleet.set_service_down(True)
+        await fleet.processes["a"].stop()
         await asyncio.sleep(1.0)
         for _ in range(3):
             for lease_id in list(fleet.kv.leases):
                 fleet.kv.end_lease(lease_id)
-            fleet.silence(False)
+            fleet.set_service_down(False)
             await asyncio.sleep(0.2)
-            fleet.silence(True)
+            fleet.set_service_down(True)
             await asyncio.sleep(1.0)
-        fleet.silence(False)
-        await fleet.wait_whole(job)
-        assert fleet.engines.made_again() == 0
-        assert fleet.engines.max_at_once == 1
+        fleet.set_service_down(False)
+        await fleet.wait_complete(job)
+        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.max_concurrent_runs == 1
 
     play(scenario)
 
 
-class DeadlyLinks:
+class LinksThatKillSuccessor:
     """Ends the daemon that takes a job over, as it gets, makes or ends a call."""
 
-    def __init__(self, fleet, dies):
+    def __init__(self, fleet, kill_when):
         self._fleet = fleet
-        self._links = fleet.nodes["a"].context.daemon.links
-        self._dies = dies
-        self.dead = ""
+        self._links = fleet.processes["a"].context.daemon.links
+        self._kill_when = kill_when
+        self.killed = ""
 
     async def call(self, peer, method, message, timeout_seconds, stub_kind):
-        if isinstance(message, pb.HandOverRequest) and self._dies == "before it claims":
+        if isinstance(message, pb.HandOverRequest) and self._kill_when == "before it claims":
             self._end(peer.daemon)
-        if isinstance(message, pb.YieldJobRequest) and self._dies == "after it claims":
+        if isinstance(message, pb.YieldJobRequest) and self._kill_when == "after it claims":
             self._end(message.daemon)
-        if self.dead and message_sender(message) == self.dead:
+        if self.killed and message_sender(message) == self.killed:
             await asyncio.sleep(3600.0)
         answer = await self._links.call(peer, method, message, timeout_seconds, stub_kind)
-        if isinstance(message, pb.YieldJobRequest) and not self.dead:
+        if isinstance(message, pb.YieldJobRequest) and not self.killed:
             self._end(message.daemon)
             await asyncio.sleep(3600.0)
         return answer
 
     def _end(self, name):
-        if not self.dead:
-            self.dead = name
-            self._ending = asyncio.create_task(self._fleet.nodes[name].context.daemon.cancel_all())
+        if not self.killed:
+            self.killed = name
+            self._ending = asyncio.create_task(
+                self._fleet.processes[name].context.daemon.cancel_all()
+            )
 
 
 def message_sender(message):
     return message.daemon if isinstance(message, pb.YieldJobRequest) else ""
 
 
-@pytest.mark.parametrize("dies", ["before it claims", "after it claims", "after it has the texts"])
-def test_a_successor_that_dies_in_the_middle_of_a_hand_over(dies):
+@pytest.mark.parametrize(
+    "kill_when", ["before it claims", "after it claims", "after it has the texts"]
+)
+def test_a_successor_that_dies_in_the_middle_of_a_hand_over(kill_when):
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        links = DeadlyLinks(fleet, dies)
-        for node in fleet.nodes.values():
-            node.context.daemon.links = links
-        await fleet.nodes["a"].stop()
-        (survivor,) = set("bc") - {links.dead}
-        await fleet.wait_whole(job)
+        links = LinksThatKillSuccessor(fleet, kill_when)
+        for process in fleet.processes.values():
+            process.context.daemon.links = links
+        await fleet.processes["a"].stop()
+        (survivor,) = set("bc") - {links.killed}
+        await fleet.wait_complete(job)
         assert fleet.owners() == [survivor]
-        if dies == "before it claims":
-            assert fleet.engines.made_again() == 0
+        if kill_when == "before it claims":
+            assert fleet.engines.pieces_made_twice() == 0
 
     play(scenario)
 
@@ -278,12 +282,12 @@
         await fleet.submit("a", jobs[0])
         await fleet.submit("b", jobs[1])
         await asyncio.sleep(1.0)
-        await asyncio.gather(fleet.nodes["a"].stop(), fleet.nodes["b"].stop())
+        await asyncio.gather(fleet.processes["a"].stop(), fleet.processes["b"].stop())
         assert fleet.owners("j") == ["c"]
         assert fleet.owners("k") == ["c"]
         for job in jobs:
-            await fleet.wait_whole(job)
-        assert fleet.engines.made_again() == 0
+            await fleet.wait_complete(job)
+        assert fleet.engines.pieces_made_twice() == 0
 
     play(scenario)
 
@@ -293,15 +297,17 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        first = asyncio.create_task(fleet.nodes["a"].stop())
-        while not any(node.keeper._jobs.arriving for node in fleet.nodes.values()):
+        first_stop = asyncio.create_task(fleet.processes["a"].stop())
+        while not any(process.job_manager._jobs.incoming for process in fleet.processes.values()):
             await asyncio.sleep(0.001)
-        taker = next(name for name, node in fleet.nodes.items() if node.keeper._jobs.arriving)
-        await asyncio.gather(first, fleet.nodes[taker].stop())
+        taker = next(
+            name for name, process in fleet.processes.items() if process.job_manager._jobs.incoming
+        )
+        await asyncio.gather(first_stop, fleet.processes[taker].stop())
         (third,) = set("bc") - {taker}
         assert fleet.owners() == [third]
-        await fleet.wait_whole(job)
-        assert fleet.engines.made_again() == 0
+        await fleet.wait_complete(job)
+        assert fleet.engines.pieces_made_twice() == 0
 
     play(scenario)
 
@@ -311,12 +317,12 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        await asyncio.gather(*(node.stop() for node in fleet.nodes.values()))
+        await asyncio.gather(*(process.stop() for process in fleet.processes.values()))
         assert fleet.workers() == []
         for name in "ab":
             fleet.start(name)
-        await fleet.wait_whole(job)
-        assert fleet.engines.made_again() == 0
+        await fleet.wait_complete(job)
+        assert fleet.engines.pieces_made_twice() == 0
 
     play(scenario, names="ab")
 
@@ -327,15 +333,15 @@
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
         # The owner is cut off, its lease ends, and another daemon claims the job.
-        fleet.nodes["a"].faults.down = True
-        fleet.kv.end_lease(fleet.nodes["a"].session.lease_id)
+        fleet.processes["a"].faults.down = True
+        fleet.kv.end_lease(fleet.processes["a"].session.lease_id)
         await asyncio.sleep(0.25)
-        stopping = asyncio.create_task(fleet.nodes["a"].stop())
+        stopping = asyncio.create_task(fleet.processes["a"].stop())
         await stopping
         await asyncio.sleep(3.0)
         assert len(fleet.owners()) == 1
         assert fleet.workers() == fleet.owners()
-        await fleet.wait_whole(job)
+        await fleet.wait_complete(job)
 
     play(scenario)
 
@@ -345,16 +351,16 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        former = fleet.nodes["a"]
-        former.kv.runs.clear()
+        former = fleet.processes["a"]
+        former.kv.running.clear()
         await asyncio.sleep(4.0)
         (owner,) = set(fleet.owners()) - {"a"}
         before = fleet.kv.keys["control/owners/j"].entry.mod_revision
-        former.kv.runs.set()
+        former.kv.running.set()
         await asyncio.sleep(2.0)
         assert fleet.owners() == [owner]
         assert fleet.kv.keys["control/owners/j"].entry.mod_revision == before
-        await fleet.wait_whole(job)
+        await fleet.wait_complete(job)
 
     play(scenario)
 
@@ -364,17 +370,17 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        former = fleet.nodes["a"]
+        former = fleet.processes["a"]
         stopping = asyncio.create_task(former.stop())
-        while former.keeper.owned:
+        while former.job_manager.owned:
             await asyncio.sleep(0.001)
-        former.kv.runs.clear()
+        former.kv.running.clear()
         await asyncio.sleep(4.0)
-        former.kv.runs.set()
+        former.kv.running.set()
         await stopping
         assert "a" not in fleet.workers()
-        await fleet.wait_whole(job)
-        assert fleet.engines.made_again() == 0
+        await fleet.wait_complete(job)
+        assert fleet.engines.pieces_made_twice() == 0
 
     play(scenario)
 
@@ -385,15 +391,15 @@
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
         for name in "bc":
-            fleet.nodes[name].faults.down = True
-        giving = fleet.nodes["a"].keeper._giving
-        owned = fleet.nodes["a"].keeper.owned["j"]
-        reply = await giving._offer(owned, "b", service_away=False)
+            fleet.processes[name].faults.down = True
+        sender = fleet.processes["a"].job_manager._sender
+        owned = fleet.processes["a"].job_manager.owned["j"]
+        reply = await sender._offer(owned, "b", service_unreachable=False)
         assert not reply.taken
         assert reply.service_away
         assert fleet.owners() == ["a"]
-        await fleet.wait_whole(job)
-        assert fleet.engines.made_again() == 0
+        await fleet.wait_complete(job)
+        assert fleet.engines.pieces_made_twice() == 0
 
     play(scenario)
 
@@ -403,9 +409,9 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        stopping = asyncio.create_task(fleet.nodes["a"].stop())
-        marker = fleet.nodes["b"].keeper.known.marker("j")
-        ending = fleet.nodes["b"].keeper.end(marker)
+        stopping = asyncio.create_task(fleet.processes["a"].stop())
+        marker = fleet.processes["b"].job_manager.known.marker("j")
+        ending = fleet.processes["b"].job_manager.end(marker)
         await asyncio.gather(stopping, ending)
         await asyncio.sleep(1.0)
         assert fleet.workers() == []
@@ -415,7 +421,7 @@
 
 def test_what_is_no_job_is_not_taken_over():
     async def scenario(fleet):
-        reply = await fleet.nodes["a"].keeper.receive(pb.HandOverRequest(job=b"\xff\x00"))
+        reply = await fleet.processes["a"].job_manager.receive(pb.HandOverRequest(job=b"\xff\x00"))
         assert not reply.taken
 
     play(scenario)
@@ -432,11 +438,11 @@
                 await asyncio.sleep(timeout_seconds)
                 return PeerUnreachable("silent")
 
-        fleet.nodes["a"].context.daemon.links = NoLinks()
-        await fleet.nodes["a"].stop()
+        fleet.processes["a"].context.daemon.links = NoLinks()
+        await fleet.processes["a"].stop()
         assert "control/owners/j" not in fleet.kv.keys
-        await fleet.wait_whole(job)
-        assert fleet.engines.made_again() == 0
+        await fleet.wait_complete(job)
+        assert fleet.engines.pieces_made_twice() == 0
 
     play(scenario)
 
@@ -446,9 +452,11 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        fleet.nodes["b"].context.directory.entries.clear()
-        owned = fleet.nodes["a"].keeper.owned["j"]
-        reply = await fleet.nodes["a"].keeper._giving._offer(owned, "b", service_away=False)
+        fleet.processes["b"].context.directory.entries.clear()
+        owned = fleet.processes["a"].job_manager.owned["j"]
+        reply = await fleet.processes["a"].job_manager._sender._offer(
+            owned, "b", service_unreachable=False
+        )
         assert not reply.taken
         assert fleet.owners() == ["a"]
 
@@ -460,7 +468,7 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(2.8)
-        await fleet.nodes["a"].context.daemon.cancel_all()
+        await fleet.processes["a"].context.daemon.cancel_all()
         former = fleet.kv.keys["control/owners/j"].entry.mod_revision
         fleet.start("a").context.process_started_unix_seconds += 10.0
         deleted = len(fleet.kv.deleted)
@@ -469,9 +477,9 @@
                 await asyncio.sleep(0.01)
         assert fleet.kv.keys["control/owners/j"].entry.mod_revision > former
         assert "control/owners/j" not in [key for key, _ in fleet.kv.deleted[deleted:]]
-        progress = fleet.nodes["a"].keeper.owned["j"].ledger.items.values()
+        progress = fleet.processes["a"].job_manager.owned["j"].ledger.items.values()
         assert min(item.last_number for item in progress) >= MIN_CHECKPOINT_PIECES
-        await fleet.wait_whole(job)
+        await fleet.wait_complete(job)
 
     play(scenario)
 
@@ -482,15 +490,15 @@
         for name, job in zip("abc", jobs, strict=True):
             await fleet.submit(name, job)
         await asyncio.sleep(2.0)
-        for node in fleet.nodes.values():
-            await node.context.daemon.cancel_all()
+        for process in fleet.processes.values():
+            await process.context.daemon.cancel_all()
         for name in "abc":
             fleet.start(name).context.process_started_unix_seconds += 10.0
         await asyncio.sleep(1.0)
         items = [item.item_id for job in jobs for item in job.items]
         assert all(fleet.engines.running[item_id] == 1 for item_id in items)
         for job in jobs:
-            await fleet.wait_whole(job)
+            await fleet.wait_complete(job)
 
     play(scenario)
 
@@ -501,25 +509,27 @@
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        fleet.silence(True)
-        assert not fleet.nodes["a"].context.contact.is_away
-        await fleet.nodes["a"].keeper.hand_over()
-        assert fleet.nodes["b"].keeper.owned["j"].awaits_claim
-        await fleet.nodes["a"].context.daemon.cancel_all()
-        fleet.silence(False)
-        await fleet.wait_whole(job)
-        assert fleet.engines.made_again() == 0
+        fleet.set_service_down(True)
+        assert not fleet.processes["a"].context.contact.is_away
+        await fleet.processes["a"].job_manager.hand_over()
+        assert fleet.processes["b"].job_manager.owned["j"].awaits_claim
+        await fleet.processes["a"].context.daemon.cancel_all()
+        fleet.set_service_down(False)
+        await fleet.wait_complete(job)
+        assert fleet.engines.pieces_made_twice() == 0
 
     play(scenario, names="ab")
 
 
-def reader_of(node) -> JobReader:
-    return JobReader(node.context, node.keeper, node.keeper._store, node.session)
+def reader_of(process) -> JobReader:
+    return JobReader(
+        process.context, process.job_manager, process.job_manager._store, process.session
+    )
 
 
-async def read_now(node, position=0):
+async def read_now(process, position=0):
     """Return what a daemon tells of the job from its memory; None if nothing."""
-    page = await reader_of(node).owned_page("j", position, 0.0)
+    page = await reader_of(process).owned_page("j", position, 0.0)
     return page and [result.item_id for result in page.results]
 
 
@@ -534,65 +544,65 @@
         job = make_batch(items=24)
         await fleet.submit("a", job)
         await wait_listed(fleet, 12)
-        giver = fleet.nodes["a"].keeper.owned["j"]
+        sender_job = fleet.processes["a"].job_manager.owned["j"]
         # The answer to the append came after the offer was sent: it holds no results.
-        giver.successor = "b"
-        reply = await fleet.nodes["b"].keeper.receive(
+        sender_job.successor = "b"
+        reply = await fleet.processes["b"].job_manager.receive(
             pb.HandOverRequest(
                 daemon="a",
                 job=pack_job(job),
-                owner_revision=giver.owner_revision,
+                owner_revision=sender_job.owner_revision,
                 listed=pack_results([]),
-                checkpoint=_no_texts(fleet.nodes["a"]),
-                marker_revision=fleet.nodes["a"].keeper.known.marker_revision("j"),
+                checkpoint=_no_texts(fleet.processes["a"]),
+                marker_revision=fleet.processes["a"].job_manager.known.marker_revision("j"),
             )
         )
         assert reply.taken and reply.owner_revision
         before = await fleet.listed()
         while len(await fleet.listed()) < len(job.items):
-            told = await read_now(fleet.nodes["b"])
-            assert told is None or told[: len(before)] == before
+            readable_results = await read_now(fleet.processes["b"])
+            assert readable_results is None or readable_results[: len(before)] == before
             await asyncio.sleep(0.05)
         assert (await fleet.listed())[: len(before)] == before
-        await fleet.wait_whole(job)
+        await fleet.wait_complete(job)
 
     play(scenario)
 
 
-def _no_texts(node):
-    return pack_checkpoint(node.keeper._checkpoints._checkpoint((), runs_ended=False))
+def _no_texts(process):
+    return pack_checkpoint(process.job_manager._checkpoints._checkpoint((), runs_ended=False))
 
 
 def test_a_new_lease_without_a_claim_tells_nothing():
     async def scenario(fleet):
         await fleet.submit("a", make_batch(items=24))
         await wait_listed(fleet, 12)
-        node = fleet.nodes["a"]
-        assert len(await read_now(node)) == 12
+        process = fleet.processes["a"]
+        assert len(await read_now(process)) == 12
         claimed = asyncio.Event()
 
-        class SlowStore(type(node.keeper._store)):
+        class SlowStore(type(process.job_manager._store)):
             __slots__ = ()
 
-            async def claim_held(self, *args):
+            async def claim_and_append(self, *args):
                 await claimed.wait()
-                return await super().claim_held(*args)
+                return await super().claim_and_append(*args)
 
-        node.keeper._store.__class__ = SlowStore
-        deadline_seconds = node.context.now_seconds() + 2.5
-        waiting = asyncio.create_task(reader_of(node).owned_page("j", 12, deadline_seconds))
+        process.job_manager._store.__class__ = SlowStore
+        deadline_seconds = process.context.now_seconds() + 2.5
+        waiting = asyncio.create_task(reader_of(process).owned_page("j", 12, deadline_seconds))
         await asyncio.sleep(0.1)
-        lost = node.session.lease_id
+        lost = process.session.lease_id
         fleet.kv.end_lease(lost)
-        node.session.over(lost)
-        while node.session.lease_id in (lost, None) or not node.session.is_sure():
+        process.session.over(lost)
+        while process.session.lease_id in (lost, None) or not process.session.is_sure():
             await asyncio.sleep(0.02)
         assert fleet.owners() == ["a"]
-        assert await read_now(node) is None
+        assert await read_now(process) is None
         assert await waiting is None
         claimed.set()
         await asyncio.sleep(1.0)
-        assert len(await read_now(node)) >= 12
+        assert len(await read_now(process)) >= 12
 
     play(scenario, names="a")
 
@@ -605,11 +615,11 @@
         job = make_batch(items=24)
         await fleet.submit("a", job)
         await wait_listed(fleet, 12)
-        node = fleet.nodes["a"]
+        process = fleet.processes["a"]
         await asyncio.sleep(0.5)
-        lost = node.session.lease_id
+        lost = process.session.lease_id
         fleet.kv.end_lease(lost)
-        node.session.over(lost)
+        process.session.over(lost)
         # Another daemon owned the job for a moment, and is gone.
         listed = await fleet.listed()
         missing = next(item.item_id for item in job.items if item.item_id not in listed)
@@ -617,11 +627,11 @@
         segment = [JobResult(item_id=missing, completed=True, text=text, versions=(1,))]
         await fleet.kv_put(f"{RESULTS_PREFIX}j/{12:08d}", pack_results(segment))
         while len(await fleet.listed()) < len(job.items):
-            told = await read_now(node)
-            assert told is None or missing in told
+            readable_results = await read_now(process)
+            assert readable_results is None or missing in readable_results
             await asyncio.sleep(0.05)
         assert (await fleet.listed())[12] == missing
-        await fleet.wait_whole(job)
+        await fleet.wait_complete(job)
         # The run of the item that was listed meanwhile has ended, and no other one begins.
         assert fleet.engines.running[missing] == 0
 
@@ -632,10 +642,10 @@
     async def scenario(fleet):
         await fleet.submit("a", make_batch(items=24))
         await asyncio.sleep(1.0)
-        node = fleet.nodes["a"]
+        process = fleet.processes["a"]
         kept, answer = asyncio.Event(), asyncio.Event()
 
-        class LateStore(type(node.keeper._store)):
+        class LateStore(type(process.job_manager._store)):
             __slots__ = ()
 
             async def append(self, *args):
@@ -644,20 +654,20 @@
                 await answer.wait()
                 return outcome
 
-            async def claim_held(self, *args):
+            async def claim_and_append(self, *args):
                 await asyncio.sleep(2.0)
-                return await super().claim_held(*args)
+                return await super().claim_and_append(*args)
 
-        node.keeper._store.__class__ = LateStore
+        process.job_manager._store.__class__ = LateStore
         await kept.wait()
-        lost = node.session.lease_id
+        lost = process.session.lease_id
         fleet.kv.end_lease(lost)
-        node.session.over(lost)
+        process.session.over(lost)
         answer.set()
-        while node.session.lease_id is None or not node.session.is_sure():
+        while process.session.lease_id is None or not process.session.is_sure():
             await asyncio.sleep(0.02)
-        assert node.keeper.owned["j"].ledger.listed
-        assert await read_now(node) is None
+        assert process.job_manager.owned["j"].ledger.listed
+        assert await read_now(process) is None
 
     play(scenario, names="a")
 
@@ -666,19 +676,19 @@
     async def scenario(fleet):
         await asyncio.sleep(1.0)
         job = make_batch()
-        reply = await fleet.nodes["b"].keeper.receive(
+        reply = await fleet.processes["b"].job_manager.receive(
             pb.HandOverRequest(
                 daemon="a",
                 job=pack_job(job),
                 owner_revision=5,
                 listed=pack_results([]),
-                checkpoint=_no_texts(fleet.nodes["a"]),
+                checkpoint=_no_texts(fleet.processes["a"]),
                 marker_revision=5,
             )
         )
         assert not reply.taken
-        assert "j" not in fleet.nodes["b"].keeper.known.jobs
+        assert "j" not in fleet.processes["b"].job_manager.known.jobs
         # Its submitter is told that it is kept only once it is.
-        assert isinstance(await fleet.nodes["b"].keeper.submit(job), JobCreated)
+        assert isinstance(await fleet.processes["b"].job_manager.submit(job), JobCreated)
 
     play(scenario)
--- a/rackswitch/gateway/jobs/tests/test_hand_over_machine.py
+++ b/rackswitch/gateway/jobs/tests/test_hand_over_machine.py
@@ -21,7 +21,7 @@
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.tests.hand_over_fleet import HandOverFleet, make_batch
-from rackswitch.gateway.jobs.tests.long_run import Seen
+from rackswitch.gateway.jobs.tests.long_run import ReadHistory
 from rackswitch.gateway.tests.support import make_gateway_context
 from rackswitch.jobs import JobResult
 
@@ -40,10 +40,10 @@
         self.loop = looptime.new_event_loop(noop_cycles=1)
         asyncio.set_event_loop(self.loop)
         self.fleet = self.run(self._start())
-        self.seen = Seen()
+        self.history = ReadHistory()
         self.stopping: set[str] = set()
         self.tasks: list[asyncio.Task[None]] = []
-        self.silent = False
+        self.service_down = False
 
     async def _start(self) -> HandOverFleet:
         fleet = HandOverFleet(DAEMONS, PIECES)
@@ -68,14 +68,14 @@
         self.run(asyncio.sleep(0.0))
 
     async def _stop(self, name: str) -> None:
-        node = self.fleet.nodes[name]
-        await node.stop()
-        if self.fleet.nodes[name] is node:
+        process = self.fleet.processes[name]
+        await process.stop()
+        if self.fleet.processes[name] is process:
             self._restart(name)
             self.stopping.discard(name)
 
     def _restart(self, name: str) -> None:
-        self.fleet.start(name).faults.down = self.silent
+        self.fleet.start(name).faults.down = self.service_down
 
     @rule(name=st.sampled_from(DAEMONS))
     def daemon_dies_and_is_started_again(self, name: str) -> None:
@@ -83,27 +83,27 @@
         self.stopping.discard(name)
 
     async def _die(self, name: str) -> None:
-        await self.fleet.nodes[name].context.daemon.cancel_all()
+        await self.fleet.processes[name].context.daemon.cancel_all()
         self._restart(name)
 
     @rule(name=st.sampled_from(DAEMONS), suspended=st.booleans())
     def daemon_is_suspended_or_wakes(self, name: str, suspended: bool) -> None:
-        runs = self.fleet.nodes[name].kv.runs
+        runs = self.fleet.processes[name].kv.running
         runs.clear() if suspended else runs.set()
 
-    @rule(silent=st.booleans(), leases_end=st.booleans())
-    def service_is_silent_or_back(self, silent: bool, leases_end: bool) -> None:
-        self.silent = silent
-        self.fleet.silence(silent)
+    @rule(service_down=st.booleans(), leases_end=st.booleans())
+    def service_is_silent_or_back(self, service_down: bool, leases_end: bool) -> None:
+        self.service_down = service_down
+        self.fleet.set_service_down(service_down)
         if leases_end:
             for lease_id in list(self.fleet.kv.leases):
                 self.fleet.kv.end_lease(lease_id)
 
-    def told(self, name: str, job_id: str) -> list[JobResult]:
+    def readable_results(self, name: str, job_id: str) -> list[JobResult]:
         """Return what a daemon tells a reader from its memory."""
-        node = self.fleet.nodes[name]
-        owned = node.keeper.owned.get(job_id)
-        if owned is None or not owned.may_tell or not node.session.is_sure():
+        process = self.fleet.processes[name]
+        owned = process.job_manager.owned.get(job_id)
+        if owned is None or not owned.may_serve_results or not process.session.is_sure():
             return []
         return list(owned.ledger.listed)
 
@@ -112,20 +112,20 @@
         if not hasattr(self, "fleet"):
             return
         self.run(self._read())
-        assert self.seen.violations == []
+        assert self.history.violations == []
 
     async def _read(self) -> None:
         for job_id in JOBS:
-            for name, node in self.fleet.nodes.items():
-                if node.kv.runs.is_set():
-                    self.seen.read(job_id, self.told(name, job_id))
+            for name, process in self.fleet.processes.items():
+                if process.kv.running.is_set():
+                    self.history.read(job_id, self.readable_results(name, job_id))
 
     @invariant()
     def no_daemon_breaks_its_own_rules(self) -> None:
         if not hasattr(self, "fleet"):
             return
-        for node in self.fleet.nodes.values():
-            assert node.context.daemon.broken is None
+        for process in self.fleet.processes.values():
+            assert process.context.daemon.broken is None
 
     def teardown(self) -> None:
         if not hasattr(self, "fleet"):
@@ -139,26 +139,26 @@
             self.loop.close()
 
     async def _settle(self) -> None:
-        self.silent = False
-        for node in self.fleet.nodes.values():
-            node.kv.runs.set()
-            node.faults.down = False
+        self.service_down = False
+        for process in self.fleet.processes.values():
+            process.kv.running.set()
+            process.faults.down = False
         await asyncio.gather(*self.tasks, return_exceptions=True)
         for job_id in JOBS:
-            await self.fleet.wait_whole(make_batch(job_id, ITEMS), SETTLE_SECONDS)
+            await self.fleet.wait_complete(make_batch(job_id, ITEMS), SETTLE_SECONDS)
             reader = JobStore(make_gateway_context("reader", self.fleet.kv))
-            kept = await reader.load_results(job_id, 0)
-            assert not isinstance(kept, KvUnavailable)
-            self.seen.read(job_id, kept)
-        assert self.seen.violations == []
+            stored = await reader.load_results(job_id, 0)
+            assert not isinstance(stored, KvUnavailable)
+            self.history.read(job_id, stored)
+        assert self.history.violations == []
         await self.fleet.end()
 
 
-class TalkativeMachine(HandOverMachine):
+class UnlistedResultsMachine(HandOverMachine):
     """The naive twin: whoever works on a job tells what is ready, claimed and listed or not."""
 
-    def told(self, name: str, job_id: str) -> list[JobResult]:
-        owned = self.fleet.nodes[name].keeper.owned.get(job_id)
+    def readable_results(self, name: str, job_id: str) -> list[JobResult]:
+        owned = self.fleet.processes[name].job_manager.owned.get(job_id)
         if owned is None:
             return []
         return [*owned.ledger.listed, *owned.ledger.next_segment()[1]]
@@ -179,4 +179,4 @@
 def test_owners_that_tell_what_is_not_listed_are_found_out():
     once = settings(CHECKS, phases=(Phase.generate,), max_examples=60)
     with pytest.raises(AssertionError, match="changed|stands twice"):
-        run_state_machine_as_test(TalkativeMachine, settings=once)
+        run_state_machine_as_test(UnlistedResultsMachine, settings=once)
--- a/rackswitch/gateway/jobs/tests/test_job_checkpoints.py
+++ b/rackswitch/gateway/jobs/tests/test_job_checkpoints.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rackswitch.daemon.tests.support import run_virtual
-from rackswitch.gateway.jobs.job_checkpoints import PROOF_PATIENCE_SECONDS, JobCheckpoints
+from rackswitch.gateway.jobs.job_checkpoints import PREDECESSOR_END_TIMEOUT_SECONDS, JobCheckpoints
 from rackswitch.gateway.jobs.known_jobs import KnownJobs
 from rackswitch.gateway.jobs.owned_job import new_owned_job
 from rackswitch.gateway.tests.support import make_gateway_context, make_member
@@ -32,12 +32,12 @@
             items=(KEPT,),
         )
         now_seconds = context.now_seconds()
-        checkpoints.go_on(owned, left)
+        checkpoints.resume(owned, left)
         others = {progress.item.item_id for progress in owned.ledger.waiting(now_seconds)}
         if proof_after_seconds is not None:
             await asyncio.sleep(proof_after_seconds)
             context.member_entries["a"] = make_member(FORMER_STARTED + 1.0)
-        await asyncio.sleep(PROOF_PATIENCE_SECONDS)
+        await asyncio.sleep(PREDECESSOR_END_TIMEOUT_SECONDS)
         item = owned.ledger.items["i0"]
         startable = item in owned.ledger.waiting(context.now_seconds())
         await context.daemon.cancel_all()
--- a/rackswitch/gateway/jobs/tests/test_job_manager.py
+++ b/rackswitch/gateway/jobs/tests/test_job_manager.py
@@ -5,12 +5,12 @@
 from rackswitch.clients.kv import KvEntry
 from rackswitch.daemon.tests.support import run_virtual
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.jobs.job_claims import ADOPT_AFTER_SECONDS
+from rackswitch.gateway.jobs.job_claims import CLAIM_REPLY_TIMEOUT_SECONDS
 from rackswitch.gateway.jobs.job_manager import JobManager
 from rackswitch.gateway.jobs.job_outcomes import JobCreated, JobNotStored
 from rackswitch.gateway.jobs.job_records import OWNERS_PREFIX
 from rackswitch.gateway.jobs.job_store import JobStore
-from rackswitch.gateway.jobs.lease_writes import LEASES_TRIED
+from rackswitch.gateway.jobs.lease_writes import MAX_LEASE_ATTEMPTS
 from rackswitch.gateway.store.session import Session
 from rackswitch.gateway.tests.support import NoLooks, make_gateway_context
 from rackswitch.jobs import Job
@@ -19,34 +19,36 @@
 from rackswitch.standins.kv_store import KvStore
 
 
-def make_keeper(name: str, kv: KvStore) -> JobManager:
+def make_job_manager(name: str, kv: KvStore) -> JobManager:
     context = make_gateway_context(name, kv)
     session = Session(context, lambda: None, lambda: True)
     session.lease.taken(0.0, kv.grant(1000.0, 0.0), 1000.0)
     session._own_leases.add(session.lease_id)
-    return JobManager(context, session, JobStore(context), runner=None, looks=NoLooks())
+    return JobManager(context, session, JobStore(context), runner=None, load_poller=NoLooks())
 
 
 def owner_entry(kv: KvStore) -> KvEntry:
     return kv.keys[OWNERS_PREFIX + "j"].entry
 
 
-async def tell(keeper: JobManager, kv: KvStore) -> None:
+async def apply_entries(job_manager: JobManager, kv: KvStore) -> None:
     for entry in kv.read("control/", is_prefix=True).entries:
         if entry.key.startswith(OWNERS_PREFIX):
-            keeper.owner_put(entry)
+            job_manager.owner_put(entry)
         else:
-            keeper.marker_put(entry)
+            job_manager.marker_put(entry)
 
 
 def test_a_job_written_without_an_answer_is_adopted():
     async def scenario():
         kv = KvStore()
-        keeper = make_keeper("a", kv)
-        await JobStore(make_gateway_context("a", kv)).create(make_job(), keeper._session.lease_id)
-        await tell(keeper, kv)
-        await asyncio.sleep(ADOPT_AFTER_SECONDS + 0.1)
-        assert keeper.owned["j"].owner_revision == owner_entry(kv).mod_revision
+        job_manager = make_job_manager("a", kv)
+        await JobStore(make_gateway_context("a", kv)).create(
+            make_job(), job_manager._session.lease_id
+        )
+        await apply_entries(job_manager, kv)
+        await asyncio.sleep(CLAIM_REPLY_TIMEOUT_SECONDS + 0.1)
+        assert job_manager.owned["j"].owner_revision == owner_entry(kv).mod_revision
 
     run_virtual(scenario())
 
@@ -58,16 +60,16 @@
         kv = KvStore()
         lease = kv.grant(100.0, 0.0)
         await JobStore(make_gateway_context("a", kv)).create(make_job(), lease)
-        keeper = make_keeper("a", kv)
-        await tell(keeper, kv)
+        job_manager = make_job_manager("a", kv)
+        await apply_entries(job_manager, kv)
         kv.end_lease(lease)
-        keeper.owner_deleted(OWNERS_PREFIX + "j")
+        job_manager.owner_deleted(OWNERS_PREFIX + "j")
         successor = JobStore(make_gateway_context("b", kv))
         marker = await successor.load_marker("j")
         await successor.claim("j", marker.mod_revision, kv.grant(100.0, 0.0), 0)
-        keeper.owner_put(owner_entry(kv))
-        await asyncio.sleep(ADOPT_AFTER_SECONDS + 0.1)
-        assert keeper.owned == {}
+        job_manager.owner_put(owner_entry(kv))
+        await asyncio.sleep(CLAIM_REPLY_TIMEOUT_SECONDS + 0.1)
+        assert job_manager.owned == {}
 
     run_virtual(scenario())
 
@@ -75,15 +77,15 @@
 def test_a_job_that_another_daemon_owns_is_dropped():
     async def scenario():
         kv = KvStore()
-        keeper = make_keeper("a", kv)
-        await keeper.submit(make_job())
-        assert "j" in keeper.owned
-        kv.end_lease(keeper._session.lease_id)
+        job_manager = make_job_manager("a", kv)
+        await job_manager.submit(make_job())
+        assert "j" in job_manager.owned
+        kv.end_lease(job_manager._session.lease_id)
         successor = JobStore(make_gateway_context("b", kv))
         marker = await successor.load_marker("j")
         await successor.claim("j", marker.mod_revision, kv.grant(100.0, 0.0), 0)
-        keeper.owner_put(owner_entry(kv))
-        assert keeper.owned == {}
+        job_manager.owner_put(owner_entry(kv))
+        assert job_manager.owned == {}
 
     run_virtual(scenario())
 
@@ -94,24 +96,24 @@
     # tenth of a second before the new owner asked, and had dropped the texts by then.
     async def scenario():
         kv = KvStore()
-        keeper = make_keeper("a", kv)
+        job_manager = make_job_manager("a", kv)
         job = make_job()
-        await keeper.submit(job)
-        progress = keeper.owned["j"].ledger.items["i1"]
+        await job_manager.submit(job)
+        progress = job_manager.owned["j"].ledger.items["i1"]
         progress.pieces, progress.versions = ["x"] * 5, [1]
-        before = keeper.owned["j"].owner_revision
-        kv.end_lease(keeper._session.lease_id)
+        before = job_manager.owned["j"].owner_revision
+        kv.end_lease(job_manager._session.lease_id)
         successor = JobStore(make_gateway_context("b", kv))
         marker = await successor.load_marker("j")
         claimed = await successor.claim("j", marker.mod_revision, kv.grant(100.0, 0.0), 0)
         if seen_first:
-            keeper.owner_put(owner_entry(kv))
-            assert "j" not in keeper.owned
+            job_manager.owner_put(owner_entry(kv))
+            assert "j" not in job_manager.owned
             await asyncio.sleep(0.1)
         # A claim that is not later than its own is none.
-        assert await keeper.yield_job("j", before) is None
-        checkpoint = await keeper.yield_job("j", claimed)
-        assert "j" not in keeper.owned
+        assert await job_manager.yield_job("j", before) is None
+        checkpoint = await job_manager.yield_job("j", claimed)
+        assert "j" not in job_manager.owned
         assert checkpoint.runs_ended
         assert [(item.item_id, len(item.pieces)) for item in checkpoint.items] == [("i1", 5)]
 
@@ -125,15 +127,15 @@
         kv = KvStore()
         lease = kv.grant(100.0, 0.0)
         await JobStore(make_gateway_context("a", kv)).create(make_job(), lease)
-        keeper = make_keeper("b", kv)
-        await tell(keeper, kv)
+        job_manager = make_job_manager("b", kv)
+        await apply_entries(job_manager, kv)
         kv.end_lease(lease)
-        await keeper._claims.claim("j", keeper.known.jobs["j"].revision)
-        claimed = keeper.owned["j"]
-        keeper.owner_deleted(OWNERS_PREFIX + "j")
-        await keeper._claims.claim("j", keeper.known.jobs["j"].revision)
-        assert keeper.owned["j"] is claimed
-        assert not keeper._claims._orphans.is_orphan("j")
+        await job_manager._claims.claim("j", job_manager.known.jobs["j"].revision)
+        claimed = job_manager.owned["j"]
+        job_manager.owner_deleted(OWNERS_PREFIX + "j")
+        await job_manager._claims.claim("j", job_manager.known.jobs["j"].revision)
+        assert job_manager.owned["j"] is claimed
+        assert not job_manager._claims._orphans.is_orphan("j")
 
     run_virtual(scenario())
 
@@ -144,26 +146,26 @@
     # held took effect unanswered, and its next claim made it drop the job for its own key.
     async def scenario():
         kv = KvStore()
-        keeper = make_keeper("a", kv)
-        await keeper.submit(make_job())
-        await tell(keeper, kv)
-        kv.end_lease(keeper._session.lease_id)
-        keeper.owner_deleted(OWNERS_PREFIX + "j")
-        keeper._session.lease.taken(0.0, kv.grant(1000.0, 0.0), 1000.0)
-        keeper._session._own_leases.add(keeper._session.lease_id)
-        marker = await keeper._store.load_marker("j")
+        job_manager = make_job_manager("a", kv)
+        await job_manager.submit(make_job())
+        await apply_entries(job_manager, kv)
+        kv.end_lease(job_manager._session.lease_id)
+        job_manager.owner_deleted(OWNERS_PREFIX + "j")
+        job_manager._session.lease.taken(0.0, kv.grant(1000.0, 0.0), 1000.0)
+        job_manager._session._own_leases.add(job_manager._session.lease_id)
+        marker = await job_manager._store.load_marker("j")
         unanswered = JobStore(make_gateway_context("a", kv))
-        await unanswered.claim("j", marker.mod_revision, keeper._session.lease_id, 0)
+        await unanswered.claim("j", marker.mod_revision, job_manager._session.lease_id, 0)
         if told_first:
-            keeper.owner_put(owner_entry(kv))
+            job_manager.owner_put(owner_entry(kv))
             # By then it is clear that no answer comes, and what it holds is no news.
-            await asyncio.sleep(ADOPT_AFTER_SECONDS + 0.1)
-        await keeper._claims.claim("j", marker.mod_revision)
+            await asyncio.sleep(CLAIM_REPLY_TIMEOUT_SECONDS + 0.1)
+        await job_manager._claims.claim("j", marker.mod_revision)
         if not told_first:
-            keeper.owner_put(owner_entry(kv))
-        await asyncio.sleep(ADOPT_AFTER_SECONDS + 2.0)
-        assert keeper.owned["j"].owner_revision == owner_entry(kv).mod_revision
-        assert not keeper._claims._orphans.is_orphan("j")
+            job_manager.owner_put(owner_entry(kv))
+        await asyncio.sleep(CLAIM_REPLY_TIMEOUT_SECONDS + 2.0)
+        assert job_manager.owned["j"].owner_revision == owner_entry(kv).mod_revision
+        assert not job_manager._claims._orphans.is_orphan("j")
 
     run_virtual(scenario())
 
@@ -173,17 +175,17 @@
     # was refused then, and another daemon was first, with none of the texts.
     async def scenario():
         kv = KvStore()
-        keeper = make_keeper("a", kv)
-        await keeper.submit(make_job())
-        await tell(keeper, kv)
-        before = keeper.owned["j"].owner_revision
-        kv.end_lease(keeper._session.lease_id)
-        keeper.owner_deleted(OWNERS_PREFIX + "j")
-        keeper._claims.claim_due()
+        job_manager = make_job_manager("a", kv)
+        await job_manager.submit(make_job())
+        await apply_entries(job_manager, kv)
+        before = job_manager.owned["j"].owner_revision
+        kv.end_lease(job_manager._session.lease_id)
+        job_manager.owner_deleted(OWNERS_PREFIX + "j")
+        job_manager._claims.claim_due()
         await asyncio.sleep(RANK_PAUSE_SECONDS / 2)
-        assert owner_entry(kv).mod_revision == keeper.owned["j"].owner_revision > before
-        assert keeper._session.is_sure()
-        assert kv.keys[OWNERS_PREFIX + "j"].lease_id == keeper._session.lease_id
+        assert owner_entry(kv).mod_revision == job_manager.owned["j"].owner_revision > before
+        assert job_manager._session.is_sure()
+        assert kv.keys[OWNERS_PREFIX + "j"].lease_id == job_manager._session.lease_id
 
     run_virtual(scenario())
 
@@ -191,11 +193,11 @@
 def test_a_job_is_kept_although_the_lease_ran_out_unnoticed():
     async def scenario():
         kv = KvStore()
-        keeper = make_keeper("a", kv)
-        kv.end_lease(keeper._session.lease_id)
-        assert isinstance(await keeper.submit(make_job()), JobCreated)
-        assert owner_entry(kv).mod_revision == keeper.owned["j"].owner_revision
-        assert kv.keys[OWNERS_PREFIX + "j"].lease_id == keeper._session.lease_id
+        job_manager = make_job_manager("a", kv)
+        kv.end_lease(job_manager._session.lease_id)
+        assert isinstance(await job_manager.submit(make_job()), JobCreated)
+        assert owner_entry(kv).mod_revision == job_manager.owned["j"].owner_revision
+        assert kv.keys[OWNERS_PREFIX + "j"].lease_id == job_manager._session.lease_id
 
     run_virtual(scenario())
 
@@ -214,10 +216,10 @@
 
 def test_a_service_that_refuses_each_lease_is_not_asked_without_end():
     async def scenario():
-        keeper = make_keeper("a", KvStore())
-        store = keeper._store = RefusingStore(keeper._context)
-        assert isinstance(await keeper.submit(make_job()), JobNotStored)
-        assert len(store.asked) == len(set(store.asked)) == LEASES_TRIED
-        assert keeper.owned == {}
+        job_manager = make_job_manager("a", KvStore())
+        store = job_manager._store = RefusingStore(job_manager._context)
+        assert isinstance(await job_manager.submit(make_job()), JobNotStored)
+        assert len(store.asked) == len(set(store.asked)) == MAX_LEASE_ATTEMPTS
+        assert job_manager.owned == {}
 
     run_virtual(scenario())
--- a/rackswitch/gateway/jobs/tests/test_job_placer.py
+++ b/rackswitch/gateway/jobs/tests/test_job_placer.py
@@ -7,9 +7,9 @@
 from rackswitch.daemon.tests.support import run_virtual
 from rackswitch.gateway.jobs.job_outcomes import JobCreated, JobKnown, JobNotStored
 from rackswitch.gateway.jobs.job_placer import AdoptedJobs, JobPlacer
-from rackswitch.gateway.jobs.job_records import marker_of, pack_job
+from rackswitch.gateway.jobs.job_records import make_marker, pack_job
 from rackswitch.gateway.jobs.known_jobs import JobOwner
-from rackswitch.gateway.jobs.tests.test_job_manager import make_keeper
+from rackswitch.gateway.jobs.tests.test_job_manager import make_job_manager
 from rackswitch.gateway.policy import PolicySettings
 from rackswitch.gateway.tests.path import check_whole, play, wait_for
 from rackswitch.gateway.tests.support import make_member
@@ -37,14 +37,14 @@
 
 def make_placer(kv: KvStore, links: FixedLinks) -> JobPlacer:
     """Return the placer of `a`, which knows that `b` owns a job."""
-    keeper = make_keeper("a", kv)
-    context = keeper._context
+    job_manager = make_job_manager("a", kv)
+    context = job_manager._context
     context.daemon.links = links
     context.daemon.membership.learn_listed([VmEntry("b", "h", 1, "z", False)], 0.0)
     other = make_job(job_id="other")
-    keeper.known.created(marker_of(other), 1)
-    keeper.known.owned_by("other", JobOwner("b", 1, 0))
-    return JobPlacer(context, keeper)
+    job_manager.known.created(make_marker(other), 1)
+    job_manager.known.record_owner("other", JobOwner("b", 1, 0))
+    return JobPlacer(context, job_manager)
 
 
 def test_a_job_is_owned_by_the_daemon_that_owns_others():
@@ -53,8 +53,8 @@
         placer = make_placer(KvStore(), links)
         assert await placer.submit(make_job()) == JobCreated(7)
         assert links.asked == ["b"]
-        assert placer._keeper.known.owner("j").daemon == "b"
-        assert not placer._keeper.owned
+        assert placer._job_manager.known.owner("j").daemon == "b"
+        assert not placer._job_manager.owned
         assert await placer.submit(make_job()) == JobKnown()
 
     run_virtual(scenario())
@@ -66,7 +66,7 @@
         links = FixedLinks(reply)
         placer = make_placer(KvStore(), links)
         assert isinstance(await placer.submit(make_job()), JobCreated)
-        assert "j" in placer._keeper.owned
+        assert "j" in placer._job_manager.owned
         # It is left alone for a while.
         await placer.submit(make_job(job_id="k"))
         assert links.asked == ["b"]
@@ -77,11 +77,11 @@
 def test_a_job_that_the_other_daemon_kept_without_a_word_is_kept_once():
     async def scenario():
         kv = KvStore()
-        taken = AdoptedJobs(make_keeper("b", kv)._context, make_keeper("b", kv))
+        taken = AdoptedJobs(make_job_manager("b", kv)._context, make_job_manager("b", kv))
         links = FixedLinks(PeerUnreachable("its answer was lost"), taken.take)
         placer = make_placer(kv, links)
         assert await placer.submit(make_job()) == JobKnown()
-        assert not placer._keeper.owned
+        assert not placer._job_manager.owned
 
     run_virtual(scenario())
 
@@ -97,7 +97,7 @@
 def test_a_job_that_may_be_kept_elsewhere_is_not_called_refused(reply, unknown):
     async def scenario():
         placer = make_placer(KvStore(), FixedLinks(reply))
-        placer._keeper._session.lease.lost()
+        placer._job_manager._session.lease.lost()
         placer._context.daemon.kv.faults.down = True
         outcome = await placer.submit(make_job())
         assert isinstance(outcome, JobNotStored)
@@ -123,14 +123,14 @@
     # Found on the association's rolling day (trouble-2, seed 1): the service was slow, the asking
     # daemon gave up, and the job lay for 3 s with an owner that did not know that it was its own.
     async def scenario():
-        keeper = make_keeper("b", KvStore())
-        keeper._context.daemon.kv.faults.delay_seconds = 0.2
-        taken = AdoptedJobs(keeper._context, keeper)
+        job_manager = make_job_manager("b", KvStore())
+        job_manager._context.daemon.kv.faults.delay_seconds = 0.2
+        taken = AdoptedJobs(job_manager._context, job_manager)
         asked = asyncio.create_task(taken.take(pb.TakeJobRequest(job=pack_job(make_job()))))
         await asyncio.sleep(0.05)
         asked.cancel()
         await asyncio.sleep(1.0)
-        assert "j" in keeper.owned
+        assert "j" in job_manager.owned
 
     run_virtual(scenario())
 
@@ -160,12 +160,12 @@
 
 def test_what_is_no_job_is_not_taken():
     async def scenario():
-        keeper = make_keeper("b", KvStore())
-        taken = AdoptedJobs(keeper._context, keeper)
+        job_manager = make_job_manager("b", KvStore())
+        taken = AdoptedJobs(job_manager._context, job_manager)
         reply = await taken.take(pb.TakeJobRequest(job=b"\xff\x00"))
         assert not reply.kept
         assert "`job`" in reply.detail
-        keeper._context.daemon.stopping = True
+        job_manager._context.daemon.stopping = True
         assert not (await taken.take(pb.TakeJobRequest(job=pack_job(make_job())))).kept
 
     run_virtual(scenario())
--- a/rackswitch/gateway/jobs/tests/test_job_store.py
+++ b/rackswitch/gateway/jobs/tests/test_job_store.py
@@ -8,7 +8,7 @@
     JobKnown,
     JobNotStored,
 )
-from rackswitch.gateway.jobs.job_records import JobMarker, key_part
+from rackswitch.gateway.jobs.job_records import JobMarker, job_key_part
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.tests.support import make_gateway_context
 from rackswitch.jobs import JobCheckpoint, JobResult
@@ -73,7 +73,7 @@
         assert isinstance(await store.append("j", created.owner_revision, 0, FIRST), JobNotStored)
         faults.lost_answer = 0.0
         outcome = await store.append("j", created.owner_revision, 0, [*FIRST, *OTHER])
-        assert outcome == Appended(FIRST, was_there=True)
+        assert outcome == Appended(FIRST, already_stored=True)
 
     run_virtual(scenario())
 
@@ -131,9 +131,9 @@
 
 
 def test_identities_that_do_not_fit_a_key_are_digested():
-    assert key_part("7c41e09b52d6a3f8") == "7c41e09b52d6a3f8"
-    assert key_part("a/b").startswith(".")
-    assert len(key_part("x" * 500)) < 64
+    assert job_key_part("7c41e09b52d6a3f8") == "7c41e09b52d6a3f8"
+    assert job_key_part("a/b").startswith(".")
+    assert len(job_key_part("x" * 500)) < 64
 
 
 def test_a_claim_takes_the_former_owners_checkpoint_away():
@@ -166,9 +166,9 @@
         checkpoint = JobCheckpoint(
             daemon="a", process_started_unix_seconds=1.0, runs_ended=False, items=()
         )
-        await store.keep_checkpoint("j", created.owner_revision + 1, checkpoint)
+        await store.store_checkpoint("j", created.owner_revision + 1, checkpoint)
         assert (await store.load_checkpoint("j")).checkpoint is None
-        await store.keep_checkpoint("j", created.owner_revision, checkpoint)
+        await store.store_checkpoint("j", created.owner_revision, checkpoint)
         assert (await store.load_checkpoint("j")).checkpoint == checkpoint
 
     run_virtual(scenario())
@@ -182,11 +182,11 @@
         created = await store.create(make_job(), lease_id)
         first = created.owner_revision
         assert await store.append("j", first, 0, FIRST) == Appended(FIRST)
-        assert await store.claim_held("j", first, 0, lease_id, 0) == 0
-        claimed = await store.claim_held("j", first, 0, lease_id, len(FIRST))
+        assert await store.claim_and_append("j", first, 0, lease_id, 0) == 0
+        claimed = await store.claim_and_append("j", first, 0, lease_id, len(FIRST))
         assert claimed > first
         # Who does not ask for a position is told nothing about what is kept.
-        assert await store.claim_held("j", claimed, 0, lease_id) > claimed
+        assert await store.claim_and_append("j", claimed, 0, lease_id) > claimed
         assert await store.load_results("j", 0) == FIRST
 
     run_virtual(scenario())
