--- a/rackswitch/gateway/jobs/tests/test_path_jobs.py
+++ b/rackswitch/gateway/jobs/tests/test_path_jobs.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rackswitch.clients.kv import Operation, TxnPart
-from rackswitch.gateway.jobs.job_records import JOBS_PREFIX, key_part
+from rackswitch.gateway.jobs.job_records import JOBS_PREFIX, job_key_part
 from rackswitch.gateway.policy import PolicySettings
 from rackswitch.gateway.tests.path import SCENARIO_SECONDS, check_whole, play, wait_for
 from rackswitch.peers import gateway_pb2 as pb
@@ -222,7 +222,7 @@
         links = LinksToOwners(reading.context.daemon.links, not kept_before_the_end)
         reading.context.daemon.links = links
         assert await fleet.submit("d0", "j1", [1, 1, 4000]) == 202
-        await wait_for(lambda: reading.jobs.known.owner(key_part("j1")) is not None)
+        await wait_for(lambda: reading.jobs.known.owner(job_key_part("j1")) is not None)
         while not (await fleet.read("d1", "j1", 1, 500)).results:
             pass
         before = await fleet.read("d1", "j1")
--- a/rackswitch/gateway/jobs/tests/test_unsettled_appends.py
+++ b/rackswitch/gateway/jobs/tests/test_unsettled_appends.py
@@ -5,7 +5,7 @@
 from rackswitch.daemon.tests.support import run_virtual
 from rackswitch.gateway.jobs.job_outcomes import JobNotStored
 from rackswitch.gateway.jobs.job_store import JobStore
-from rackswitch.gateway.jobs.tests.test_job_manager import make_keeper, tell
+from rackswitch.gateway.jobs.tests.test_job_manager import apply_entries, make_job_manager
 from rackswitch.gateway.tests.path import play, wait_for
 from rackswitch.jobs import JobResult
 from rackswitch.jobs.tests.support import make_job
@@ -34,23 +34,23 @@
 def test_results_that_went_along_with_an_unanswered_claim_may_be_kept_too():
     async def scenario():
         kv = KvStore()
-        keeper = make_keeper("a", kv)
-        await keeper.submit(make_job())
-        await tell(keeper, kv)
-        held = keeper.owned["j"]
-        item_id, progress = next(iter(held.ledger.items.items()))
-        held.ledger.take_result(progress, JobResult(item_id=item_id, completed=False))
-        claim = JobStore.claim_held
+        job_manager = make_job_manager("a", kv)
+        await job_manager.submit(make_job())
+        await apply_entries(job_manager, kv)
+        owned = job_manager.owned["j"]
+        item_id, progress = next(iter(owned.ledger.items.items()))
+        owned.ledger.take_result(progress, JobResult(item_id=item_id, completed=False))
+        claim = JobStore.claim_and_append
 
         async def claim_unanswered(store, *write):
             await claim(store, *write)
             return JobNotStored("no answer", effect_unknown=True)
 
-        with patch.object(JobStore, "claim_held", claim_unanswered):
-            kv.end_lease(keeper._session.lease_id)
-            keeper._session.lease.taken(0.0, kv.grant(1000.0, 0.0), 1000.0)
-            await keeper._claims.claim("j", keeper.known.marker_revision("j"))
-        assert held.append_is_unknown
-        assert not held.ledger.listed
+        with patch.object(JobStore, "claim_and_append", claim_unanswered):
+            kv.end_lease(job_manager._session.lease_id)
+            job_manager._session.lease.taken(0.0, kv.grant(1000.0, 0.0), 1000.0)
+            await job_manager._claims.claim("j", job_manager.known.marker_revision("j"))
+        assert owned.append_is_unknown
+        assert not owned.ledger.listed
 
     run_virtual(scenario())
