--- a/rackswitch/gateway/jobs/job_claims.py
+++ b/rackswitch/gateway/jobs/job_claims.py
@@ -133,7 +133,7 @@
                 self._claim_if_due(job_id, known.revision, now_seconds)
 
     def _claim_order(self) -> list[str]:
-        """Return the jobs to check: those that run here first, the most urgent step's before."""
+        """Return the jobs to check: those that run here first, by the urgency of their steps."""
         owned_ids = [
             ledger.job.job_id
             for ledger in order_jobs(owned.ledger for owned in self._jobs.by_id.values())
@@ -293,12 +293,12 @@
         self, job_id: str, owner_revision: int, checkpoint: JobCheckpoint | None
     ) -> None:
         writer = checkpoint.daemon if checkpoint is not None else None
-        asked, job, results = await asyncio.gather(
+        fetched, job, results = await asyncio.gather(
             self._checkpoints.fetch_from_former_owner(job_id, owner_revision, writer),
             self._store.load_items(job_id),
             self._store.load_results(job_id, 0),
         )
-        checkpoint = asked or checkpoint
+        checkpoint = fetched or checkpoint
         marker = self._known.marker(job_id)
         if marker is None or marker.ended or job_id in self._jobs.by_id:
             return
--- a/rackswitch/gateway/jobs/job_handler.py
+++ b/rackswitch/gateway/jobs/job_handler.py
@@ -245,7 +245,7 @@
         return Refusal(400, outline.detail)
     count = len(outline.raw_items)
     if count > MAX_ITEMS:
-        return Refusal(413, f"`items` holds {count} items, at most {MAX_ITEMS} are taken")
+        return Refusal(413, f"`items` holds {count} items, at most {MAX_ITEMS} are allowed")
     items: list[JobItem] = []
     for start in range(0, count, ITEMS_PER_CHUNK):
         chunk = decode_job_items(outline, start, ITEMS_PER_CHUNK)
--- a/rackswitch/gateway/jobs/job_store.py
+++ b/rackswitch/gateway/jobs/job_store.py
@@ -79,7 +79,7 @@
         key_part = job_key_part(job.job_id)
         chunks = await pack_items(job, self._context.settings.kv_most_value_bytes)
         if len(chunks) > MAX_CHUNKS:
-            return JobTooLarge(f"the job takes {len(chunks)} chunks, at most {MAX_CHUNKS} fit")
+            return JobTooLarge(f"the job needs {len(chunks)} chunks, at most {MAX_CHUNKS} fit")
         marker = make_marker(job)
         marker_key = JOBS_PREFIX + key_part
         operations = [
--- a/rackswitch/gateway/jobs/owned_job.py
+++ b/rackswitch/gateway/jobs/owned_job.py
@@ -9,7 +9,7 @@
 __all__ = ["OwnedJob", "new_owned_job"]
 
 UNROUTED_KEEP_SECONDS = 3600.0
-"""How long a job without a known route is kept: as long as a route's default."""
+"""How long items of a job without a known route are tried; a route's default value."""
 
 
 @dataclass(slots=True)
--- a/rackswitch/gateway/jobs/tests/long_run.py
+++ b/rackswitch/gateway/jobs/tests/fault_injection_run.py
@@ -1,4 +1,4 @@
-"""Gateways' job keepers on one clock that jumps, with faults two at a time, seen from outside."""
+"""A simulated fleet of job managers under random concurrent faults, checked by a reader."""
 
 import asyncio
 import contextlib
@@ -48,15 +48,15 @@
     index_routes,
 )
 
-CONTROL = "control/"
+CONTROL_PREFIX = "control/"
 ENGINES = 3
 SLOTS = 4
 REPLICA_INTERVAL_SECONDS = 0.3
-FAULT_SECONDS = (0.5, 7.0)
+FAULT_DURATION_SECONDS = (0.5, 7.0)
 FAULT_FREE_SECONDS = (0.2, 2.0)
 READ_SECONDS = 0.4
 FAULTS = ("crash", "freeze", "cut off", "lapse", "lost_answer", "late_effect", "lost_request")
-STOPS = (*FAULTS, "stop", "stop", "stop", "outage")
+FAULTS_WITH_STOPS = (*FAULTS, "stop", "stop", "stop", "outage")
 STOP_GRACE_SECONDS = 6.0
 
 ROUTE = RouteRow(
@@ -100,7 +100,7 @@
 
 
 class StallingKv(FaultyKv):
-    """A connection that a frozen daemon does not get round to: calls and answers wait."""
+    """A connection of a daemon that can be suspended; calls and replies wait meanwhile."""
 
     def __init__(self, store: KvStore, rng: random.Random, faults: KvFaults):
         super().__init__(store, rng, faults)
@@ -121,7 +121,7 @@
 
 
 class RandomRunner(ItemRunner):
-    """Makes texts without engines: some runs break, some fail, all are the item's own."""
+    """Generates texts without engines; some runs are interrupted and some fail."""
 
     def __init__(self, context, rng: random.Random):
         super().__init__(context, None, None, EnginePaces(), NoQuarantine())
@@ -137,15 +137,15 @@
                 return ItemRunEnded(ItemRunEnd.BROKEN, fault.detail)
             draw = self._rng.random()
             if draw < 0.05:
-                return ItemRunEnded(ItemRunEnd.BROKEN, "broken off")
+                return ItemRunEnded(ItemRunEnd.BROKEN, "stream interrupted")
             if draw < 0.06:
                 return ItemRunEnded(ItemRunEnd.FAILED, "status 500")
             if draw < 0.2:
                 return ItemRunEnded(ItemRunEnd.WHOLE)
 
 
-class NaiveJobStore(JobStore):
-    """Appends where it believes the end to be, asking nobody whether the job is its own."""
+class UnfencedJobStore(JobStore):
+    """Appends after the last known position without a check of the ownership."""
 
     async def append(self, job_id, owner_revision, position, results):
         key = f"{RESULTS_PREFIX}{job_id}/{position:08d}"
@@ -155,7 +155,7 @@
 
 
 class FleetLinks:
-    """Calls between the daemons of a run: a frozen or dead one does not answer."""
+    """Calls between the daemons of a run; suspended and dead daemons do not reply."""
 
     def __init__(self, processes: dict[str, "DaemonProcess"]):
         self._nodes = processes
@@ -164,12 +164,12 @@
         process = self._nodes[peer.daemon]
         if not process.kv.running.is_set() or not process.context.daemon.has_tasks:
             await asyncio.sleep(timeout_seconds)
-            return PeerUnreachable("no answer")
+            return PeerUnreachable("no reply")
         try:
             async with asyncio.timeout(timeout_seconds):
                 return await self._answer(process, message)
         except TimeoutError:
-            return PeerUnreachable("no answer in time")
+            return PeerUnreachable("no reply within the timeout")
         except asyncio.CancelledError:
             if asyncio.current_task().cancelling():
                 raise
@@ -188,15 +188,15 @@
 
 
 class DaemonProcess:
-    """One process of a daemon: its session, its copy of the entries, its jobs."""
+    """One process of a daemon: its session, its replica of the control entries, its jobs."""
 
     def __init__(
         self,
         name: str,
         kv: KvStore,
         rng: random.Random,
-        store_kind: type[JobStore] = JobStore,
-        runner_kind: Callable[[GatewayContext, random.Random], ItemRunner] | None = None,
+        store_class: type[JobStore] = JobStore,
+        make_runner: Callable[[GatewayContext, random.Random], ItemRunner] | None = None,
     ):
         self.faults = KvFaults()
         self.context = make_gateway_context(name, kv, rng.randrange(1 << 30), self.faults)
@@ -215,10 +215,10 @@
             lambda: self.job_manager.session_lost(),
             lambda: bool(self.job_manager.owned),
         )
-        runner = (runner_kind or RandomRunner)(self.context, rng)
-        store = store_kind(self.context)
+        runner = (make_runner or RandomRunner)(self.context, rng)
+        store = store_class(self.context)
         self.job_manager = JobManager(self.context, self.session, store, runner, NoLooks())
-        self._replica = PrefixReplica(CONTROL)
+        self._replica = PrefixReplica(CONTROL_PREFIX)
         self._members: dict[str, object] = {}
 
     def start(self) -> None:
@@ -232,7 +232,7 @@
             self.context.daemon.spawn_duty(duty)
 
     async def stop(self) -> None:
-        """Stop as planned: tell, hand over, give the lease back, end."""
+        """Stop as planned: notify the others, hand over the jobs, end the lease and all tasks."""
         self.context.daemon.stopping = True
         self.context.daemon.membership.leave()
         with contextlib.suppress(TimeoutError):
@@ -243,10 +243,10 @@
         await self.context.daemon.cancel_all()
 
     async def _poll_control_entries(self) -> None:
-        """Keep the copy, some time behind the service."""
+        """Update the replica at random intervals, so that it lags behind the service."""
         while True:
             await asyncio.sleep(REPLICA_INTERVAL_SECONDS * (0.5 + self.context.rng.random()))
-            read = await self.kv.read(CONTROL, is_prefix=True)
+            read = await self.kv.read(CONTROL_PREFIX, is_prefix=True)
             self.context.contact.note(self.context.now_seconds(), read)
             if isinstance(read, KvUnavailable):
                 continue
@@ -283,38 +283,38 @@
 
 @dataclass(slots=True)
 class ReadHistory:
-    """What readers have been told, counted outside of the daemons."""
+    """The results that readers received; detects results that disappear or change."""
 
     positions: dict[tuple[str, int], JobResult] = field(default_factory=dict)
     violations: list[str] = field(default_factory=list)
 
-    def read(self, job_id: str, results: list[JobResult]) -> None:
-        """Take in a job's results from position 0 on."""
+    def record_read(self, job_id: str, results: list[JobResult]) -> None:
+        """Record a read of a job's results from position 0 on."""
         ids = [result.item_id for result in results]
         if len(ids) != len(set(ids)):
-            self.violations.append(f"{job_id}: an item stands twice")
+            self.violations.append(f"{job_id}: an item is listed twice")
         for position, result in enumerate(results):
             lines = result.text.split("\n")
             expected = [piece_text(result.item_id, n + 1) for n in range(len(lines))]
             if result.completed and lines != expected:
                 self.violations.append(f"{job_id}: the text at {position} is not the item's own")
-            before = self.positions.setdefault((job_id, position), result)
-            if before != result:
+            earlier = self.positions.setdefault((job_id, position), result)
+            if earlier != result:
                 self.violations.append(f"{job_id}: position {position} changed")
 
 
 class FaultInjectionRun:
-    """A fleet of daemons that take, run and hand over jobs while it is broken at random."""
+    """A fleet of daemons that accept, run and hand over jobs under random faults."""
 
     def __init__(
-        self, seed: int, store_kind: type[JobStore] = JobStore, faults: Sequence[str] = FAULTS
+        self, seed: int, store_class: type[JobStore] = JobStore, faults: Sequence[str] = FAULTS
     ):
         self._faults = faults
         self.rng = random.Random(seed)
         self.kv = KvStore()
         self.history = ReadHistory()
         self.jobs = make_jobs(self.rng, 6)
-        self._store_kind = store_kind
+        self._store_class = store_class
         self.processes: dict[str, DaemonProcess] = {}
         self.accepted: set[str] = set()
 
@@ -322,22 +322,22 @@
         for name in ("a", "b", "c"):
             self._start(name)
         injecting = break_at_random(self.rng, FAULT_FREE_SECONDS, self._faults, self._inject_fault)
-        work = [asyncio.create_task(duty) for duty in (self._submit(), self._read(), injecting)]
+        tasks = [asyncio.create_task(duty) for duty in (self._submit(), self._read(), injecting)]
         await asyncio.sleep(seconds)
-        work[2].cancel()
-        await asyncio.gather(work[2], return_exceptions=True)
+        tasks[2].cancel()
+        await asyncio.gather(tasks[2], return_exceptions=True)
         self._clear_faults()
-        await self._settle()
-        for task in work:
+        await self._wait_until_complete()
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*work, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
         for name, process in self.processes.items():
             if process.context.daemon.broken is not None:
                 self.history.violations.append(f"{name}: {process.context.daemon.broken}")
             await process.context.daemon.cancel_all()
 
     def _start(self, name: str) -> None:
-        self.processes[name] = DaemonProcess(name, self.kv, self.rng, self._store_kind)
+        self.processes[name] = DaemonProcess(name, self.kv, self.rng, self._store_class)
         self.processes[name].context.daemon.links = FleetLinks(self.processes)  # type: ignore[assignment]
         self.processes[name].start()
 
@@ -351,7 +351,7 @@
                 await asyncio.sleep(self.rng.uniform(0.1, 2.0))
 
     async def _read(self) -> None:
-        """Read as trainers do: an owner that is sure of itself answers from memory."""
+        """Read as trainers do, from owners with a valid lease and from the key-value service."""
         reader = JobStore(make_gateway_context("reader", self.kv))
         while True:
             await asyncio.sleep(READ_SECONDS * self.rng.random())
@@ -363,15 +363,15 @@
                         and process.session.is_sure()
                         and process.kv.running.is_set()
                     ):
-                        self.history.read(job.job_id, list(owned.ledger.listed))
+                        self.history.record_read(job.job_id, list(owned.ledger.listed))
                 stored = await reader.load_results(job.job_id, 0)
                 if not isinstance(stored, KvUnavailable):
-                    self.history.read(job.job_id, stored)
+                    self.history.record_read(job.job_id, stored)
 
     async def _inject_fault(self, kind: str) -> None:
         name = self.rng.choice(list(self.processes))
         process = self.processes[name]
-        seconds = self.rng.uniform(*FAULT_SECONDS)
+        seconds = self.rng.uniform(*FAULT_DURATION_SECONDS)
         if kind == "crash":
             await process.context.daemon.cancel_all()
             await asyncio.sleep(seconds)
@@ -402,7 +402,7 @@
                 setattr(other.faults, kind, 0.0)
 
     async def _outage(self, seconds: float) -> None:
-        """Have the service answer nobody; daemons that start meanwhile get no answer either."""
+        """Make the service unreachable, also for daemons that start meanwhile."""
         until_seconds = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < until_seconds:
             for process in self.processes.values():
@@ -421,8 +421,8 @@
             if not process.context.daemon.has_tasks:
                 self._start(name)
 
-    async def _settle(self) -> None:
-        """Wait until all accepted jobs are whole."""
+    async def _wait_until_complete(self) -> None:
+        """Wait until all results of all jobs are listed."""
         reader = JobStore(make_gateway_context("settler", self.kv))
         missing = {job.job_id: len(job.items) for job in self.jobs}
         for _ in range(600):
@@ -430,8 +430,10 @@
             for job_id, total in list(missing.items()):
                 stored = await reader.load_results(job_id, 0)
                 if len(stored) == total:
-                    self.history.read(job_id, stored)
+                    self.history.record_read(job_id, stored)
                     del missing[job_id]
             if not missing:
                 return
-        self.history.violations.append(f"not whole after all faults were healed: {sorted(missing)}")
+        self.history.violations.append(
+            f"incomplete after all faults were cleared: {sorted(missing)}"
+        )
--- a/rackswitch/gateway/jobs/tests/hand_over_fleet.py
+++ b/rackswitch/gateway/jobs/tests/hand_over_fleet.py
@@ -1,4 +1,4 @@
-"""A few job keepers whose engines make texts steadily, so that every pause and repetition shows."""
+"""Job managers with engines that generate pieces at a fixed rate, to detect stalls and repeats."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 from rackswitch.gateway.items.item_runner import ItemRunner
 from rackswitch.gateway.jobs.job_outcomes import JobCreated
 from rackswitch.gateway.jobs.job_store import JobStore
-from rackswitch.gateway.jobs.tests.long_run import (
+from rackswitch.gateway.jobs.tests.fault_injection_run import (
     ENGINES,
     SLOTS,
     DaemonProcess,
@@ -29,40 +29,41 @@
 
 
 class Engines:
-    """What all engines made: when each piece of each item appeared, and who had it made."""
+    """The pieces that all engines generated, each with its time and the requesting daemon."""
 
     def __init__(self, pieces: int):
         self.pieces = pieces
-        self.made: dict[str, list[tuple[int, float, str]]] = defaultdict(list)
+        self.generated: dict[str, list[tuple[int, float, str]]] = defaultdict(list)
         self.running: dict[str, int] = defaultdict(int)
         self.max_concurrent_runs = 0
 
     def pieces_made_twice(self) -> int:
-        """Return how many pieces were made more than once."""
+        """Return the number of pieces that were generated more than once."""
         return sum(
-            len(made) - len({number for number, _, _ in made}) for made in self.made.values()
+            len(generated) - len({number for number, _, _ in generated})
+            for generated in self.generated.values()
         )
 
     def longest_stall_seconds(self) -> float:
-        """Return the longest time between two pieces of one item, beyond an engine's pace."""
-        pauses = [
+        """Return the longest interval between two pieces of an item, minus the regular interval."""
+        stalls = [
             later - earlier - PIECE_SECONDS
-            for made in self.made.values()
-            for (_, earlier, _), (_, later, _) in pairwise(made)
+            for generated in self.generated.values()
+            for (_, earlier, _), (_, later, _) in pairwise(generated)
         ]
-        return max(pauses, default=0.0)
+        return max(stalls, default=0.0)
 
 
 class SteadyRunner(ItemRunner):
-    """Makes a piece of each running item at a steady pace."""
+    """Generates the pieces of each running item at a fixed rate."""
 
     def __init__(self, context, engines: Engines):
         super().__init__(context, None, None, EnginePaces(), NoQuarantine())
-        self._steady = engines
+        self._steady_engines = engines
 
     async def _stream(self, ledger, progress, target, gaps, urgency) -> ItemRunEnded:
         item_id = progress.item.item_id
-        engines = self._steady
+        engines = self._steady_engines
         engines.running[item_id] += 1
         engines.max_concurrent_runs = max(engines.max_concurrent_runs, engines.running[item_id])
         try:
@@ -70,7 +71,7 @@
                 await asyncio.sleep(PIECE_SECONDS)
                 number = progress.last_number + 1
                 at_seconds = asyncio.get_running_loop().time()
-                engines.made[item_id].append((number, at_seconds, self._context.daemon_name))
+                engines.generated[item_id].append((number, at_seconds, self._context.daemon_name))
                 progress.accept(TextPiece(number, piece_text(item_id, number), 1), 0)
         finally:
             engines.running[item_id] -= 1
@@ -92,7 +93,7 @@
 
 
 class HandOverFleet:
-    """Daemons, a key-value service and engines."""
+    """A fleet of daemons with one key-value service and its engines."""
 
     def __init__(self, names: str = "abc", pieces: int = 100, policy: PolicySettings | None = None):
         self.kv = KvStore()
@@ -104,12 +105,12 @@
             self.start(name)
 
     def start(self, name: str) -> DaemonProcess:
-        """Start a process of a daemon."""
+        """Start a new process of a daemon."""
         process = DaemonProcess(
             name,
             self.kv,
             self.rng,
-            runner_kind=lambda context, rng: SteadyRunner(context, self.engines),
+            make_runner=lambda context, rng: SteadyRunner(context, self.engines),
         )
         process.context.policy = self._policy
         process.context.daemon.links = FleetLinks(self.processes)
@@ -118,7 +119,7 @@
         return process
 
     def set_service_down(self, service_down: bool) -> None:
-        """Have the key-value service answer nobody, or everybody again."""
+        """Make the key-value service unreachable for all daemons, or reachable again."""
         for process in self.processes.values():
             process.faults.down = service_down
 
@@ -126,7 +127,7 @@
         assert isinstance(await self.processes[name].job_manager.submit(job), JobCreated)
 
     def owners(self, job_id: str = "j") -> list[str]:
-        """Return the daemons that work on a job and own it, as far as they know."""
+        """Return the daemons that run a job and assume that they own it."""
         return [
             name
             for name, process in self.processes.items()
@@ -136,7 +137,7 @@
         ]
 
     def workers(self, job_id: str = "j") -> list[str]:
-        """Return the daemons that work on a job."""
+        """Return the daemons that run a job."""
         return [
             name
             for name, process in self.processes.items()
@@ -144,7 +145,7 @@
         ]
 
     async def listed(self, job_id: str = "j") -> list[str]:
-        """Return the items that have positions, as the service keeps them, their texts whole."""
+        """Return the listed items as stored in the service; check that their texts are complete."""
         reader = JobStore(make_gateway_context("reader", self.kv))
         stored = await reader.load_results(job_id, 0)
         assert not isinstance(stored, KvUnavailable)
@@ -163,11 +164,11 @@
         assert sorted(listed) == sorted(item.item_id for item in job.items)
 
     async def kv_put(self, key: str, value: bytes) -> None:
-        """Keep an entry in the key-value service, as a daemon that is not among these."""
+        """Write an entry to the key-value service as a daemon outside of this fleet."""
         writer = make_gateway_context("writer", self.kv)
         await writer.kv.txn([TxnPart((), (Operation(key, value),))])
 
-    async def end(self) -> None:
+    async def stop_all(self) -> None:
         for process in self.processes.values():
             assert process.context.daemon.broken is None
             await process.context.daemon.cancel_all()
--- a/rackswitch/gateway/jobs/tests/test_hand_over.py
+++ b/rackswitch/gateway/jobs/tests/test_hand_over.py
@@ -1,4 +1,4 @@
-"""Stops, outages and what may go wrong between an owner and its successor."""
+"""Hand-over of jobs under planned stops, outages and failures of the owner or the successor."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 MAX_STALL_SECONDS = 0.3
 
 
-def play(scenario, **sizes):
+def run_with_fleet(scenario, **sizes):
     async def run():
         fleet = HandOverFleet(**sizes)
         await asyncio.sleep(1.0)
@@ -31,12 +31,12 @@
             async with asyncio.timeout(300.0):
                 return await scenario(fleet)
         finally:
-            await fleet.end()
+            await fleet.stop_all()
 
     return run_virtual(run())
 
 
-def test_a_planned_stop_under_full_load_makes_no_text_again_and_pauses_no_job():
+def test_a_planned_stop_under_full_load_repeats_no_piece_and_stalls_no_job():
     async def scenario(fleet):
         jobs = [make_batch(name, items=4) for name in ("j", "k", "l")]
         for job in jobs:
@@ -50,10 +50,10 @@
         assert fleet.engines.pieces_made_twice() == 0
         assert fleet.engines.longest_stall_seconds() <= MAX_STALL_SECONDS
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_daemons_stopped_one_after_the_other_make_no_text_again():
+def test_daemons_stopped_one_after_the_other_repeat_no_piece():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -65,10 +65,10 @@
         assert fleet.engines.pieces_made_twice() == 0
         assert fleet.engines.longest_stall_seconds() <= MAX_STALL_SECONDS
 
-    play(scenario, names="abcd")
+    run_with_fleet(scenario, names="abcd")
 
 
-def test_switched_off_a_job_goes_through_the_key_value_service():
+def test_without_hand_over_a_job_is_released_through_the_key_value_service():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -77,53 +77,53 @@
         links = fleet.processes["a"].context.daemon.links
         call = links.call
 
-        async def note(peer, method, message, timeout_seconds, stub_kind):
+        async def record(peer, method, message, timeout_seconds, stub_kind):
             sent.append(message)
             return await call(peer, method, message, timeout_seconds, stub_kind)
 
-        links.call = note
+        links.call = record
         await fleet.processes["a"].stop()
         assert fleet.workers() == []
         assert not any(isinstance(message, pb.HandOverRequest) for message in sent)
-        # The successor finds the job without an owner, and the texts in a checkpoint.
+        # The successor claims the unowned job and resumes from its checkpoint.
         assert "control/owners/j" not in fleet.kv.keys
         assert "progress/j" in fleet.kv.keys
         await fleet.wait_complete(job)
 
-    play(scenario, policy=PolicySettings(jobs_handed_over=False))
+    run_with_fleet(scenario, policy=PolicySettings(jobs_handed_over=False))
 
 
 @pytest.mark.parametrize("handed_over", [True, False])
-def test_switched_off_appends_are_tried_through_an_outage(handed_over):
+def test_only_without_hand_over_appends_are_retried_during_an_outage(handed_over):
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
         fleet.set_service_down(True)
-        tried = []
+        appends = []
         store = fleet.processes["a"].job_manager._store
         append = store.append
 
-        class NotingStore(type(store)):
+        class RecordingStore(type(store)):
             __slots__ = ()
 
             async def append(self, *args):
-                tried.append(args)
+                appends.append(args)
                 return await append(*args)
 
-        store.__class__ = NotingStore
+        store.__class__ = RecordingStore
         await asyncio.sleep(6.0)
-        # All texts are whole by now; the first may have been so before the lease was unsure.
-        assert (len(tried) > 1) is not handed_over
+        # All texts are complete by now; the first one may be from before the lease was uncertain.
+        assert (len(appends) > 1) is not handed_over
         fleet.set_service_down(False)
         await fleet.wait_complete(job)
 
-    play(scenario, policy=PolicySettings(jobs_handed_over=handed_over))
+    run_with_fleet(scenario, policy=PolicySettings(jobs_handed_over=handed_over))
 
 
 @pytest.mark.parametrize("phase_seconds", [0.0, 0.04, 0.08, 0.12])
 @pytest.mark.parametrize("leases_end", [True, False])
-def test_a_stop_while_the_service_is_silent_costs_no_text_and_tells_nothing_early(
+def test_a_stop_while_the_service_is_silent_repeats_no_piece_and_serves_no_unlisted_result(
     phase_seconds, leases_end
 ):
     async def scenario(fleet):
@@ -137,11 +137,11 @@
         (worker,) = fleet.workers()
         owned = fleet.processes[worker].job_manager.owned["j"]
         await asyncio.sleep(3.0 + phase_seconds)
-        # All texts are there by now, and none is listed.
+        # All texts are complete by now, and none is listed.
         assert owned.ledger.has_pending
         assert owned.ledger.listed == []
         assert await fleet.listed() == []
-        # Leases may end in an outage, or wait.
+        # Leases may expire during an outage or not.
         for lease_id in list(fleet.kv.leases):
             if leases_end:
                 fleet.kv.end_lease(lease_id)
@@ -154,11 +154,11 @@
         assert fleet.engines.pieces_made_twice() == 0
         assert fleet.engines.longest_stall_seconds() <= MAX_STALL_SECONDS
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
 @pytest.mark.parametrize("phase_seconds", [0.0, 0.04, 0.08, 0.12])
-def test_an_owner_that_stays_lists_what_is_ready_at_once_when_the_service_is_back(phase_seconds):
+def test_an_owner_that_stays_lists_finished_results_right_after_an_outage(phase_seconds):
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -173,12 +173,11 @@
         assert fleet.owners() == ["a"]
         assert len(await fleet.listed()) == len(job.items)
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_a_process_that_began_in_the_outage_leaves_a_job_to_its_owner():
-    # Found in the trace of a day with a roll: a process that had never seen an owner took the job
-    # of one that lived, and had its texts made again.
+def test_a_process_started_in_an_outage_does_not_claim_a_live_owners_job():
+    # Guards against a new process that claims a live owner's job and generates its texts again.
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -195,10 +194,10 @@
         assert fleet.owners() == ["a"]
         assert fleet.engines.pieces_made_twice() == 0
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_the_service_is_back_for_a_moment_and_gone_again():
+def test_short_recoveries_during_an_outage_repeat_no_piece():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -218,11 +217,11 @@
         assert fleet.engines.pieces_made_twice() == 0
         assert fleet.engines.max_concurrent_runs == 1
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
 class LinksThatKillSuccessor:
-    """Ends the daemon that takes a job over, as it gets, makes or ends a call."""
+    """Kills the successor at a given point of the hand-over."""
 
     def __init__(self, fleet, kill_when):
         self._fleet = fleet
@@ -232,21 +231,21 @@
 
     async def call(self, peer, method, message, timeout_seconds, stub_kind):
         if isinstance(message, pb.HandOverRequest) and self._kill_when == "before it claims":
-            self._end(peer.daemon)
+            self._kill(peer.daemon)
         if isinstance(message, pb.YieldJobRequest) and self._kill_when == "after it claims":
-            self._end(message.daemon)
+            self._kill(message.daemon)
         if self.killed and message_sender(message) == self.killed:
             await asyncio.sleep(3600.0)
-        answer = await self._links.call(peer, method, message, timeout_seconds, stub_kind)
+        may_reply = await self._links.call(peer, method, message, timeout_seconds, stub_kind)
         if isinstance(message, pb.YieldJobRequest) and not self.killed:
-            self._end(message.daemon)
+            self._kill(message.daemon)
             await asyncio.sleep(3600.0)
-        return answer
+        return may_reply
 
-    def _end(self, name):
+    def _kill(self, name):
         if not self.killed:
             self.killed = name
-            self._ending = asyncio.create_task(
+            self._kill_task = asyncio.create_task(
                 self._fleet.processes[name].context.daemon.cancel_all()
             )
 
@@ -258,7 +257,7 @@
 @pytest.mark.parametrize(
     "kill_when", ["before it claims", "after it claims", "after it has the texts"]
 )
-def test_a_successor_that_dies_in_the_middle_of_a_hand_over(kill_when):
+def test_a_job_survives_a_successor_that_crashes_during_the_hand_over(kill_when):
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -273,10 +272,10 @@
         if kill_when == "before it claims":
             assert fleet.engines.pieces_made_twice() == 0
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_two_daemons_that_stop_at_once_do_not_choose_each_other():
+def test_two_daemons_that_stop_at_once_do_not_hand_over_to_each_other():
     async def scenario(fleet):
         jobs = [make_batch("j", items=6), make_batch("k", items=6)]
         await fleet.submit("a", jobs[0])
@@ -289,10 +288,10 @@
             await fleet.wait_complete(job)
         assert fleet.engines.pieces_made_twice() == 0
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_a_daemon_told_to_stop_while_it_takes_a_job_passes_it_on():
+def test_a_daemon_stopped_while_it_receives_a_job_hands_it_over():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -300,19 +299,19 @@
         first_stop = asyncio.create_task(fleet.processes["a"].stop())
         while not any(process.job_manager._jobs.incoming for process in fleet.processes.values()):
             await asyncio.sleep(0.001)
-        taker = next(
+        successor = next(
             name for name, process in fleet.processes.items() if process.job_manager._jobs.incoming
         )
-        await asyncio.gather(first_stop, fleet.processes[taker].stop())
-        (third,) = set("bc") - {taker}
-        assert fleet.owners() == [third]
+        await asyncio.gather(first_stop, fleet.processes[successor].stop())
+        (next_successor,) = set("bc") - {successor}
+        assert fleet.owners() == [next_successor]
         await fleet.wait_complete(job)
         assert fleet.engines.pieces_made_twice() == 0
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_where_all_stop_the_checkpoint_in_the_service_counts():
+def test_if_all_daemons_stop_jobs_resume_from_the_stored_checkpoint():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -324,15 +323,15 @@
         await fleet.wait_complete(job)
         assert fleet.engines.pieces_made_twice() == 0
 
-    play(scenario, names="ab")
+    run_with_fleet(scenario, names="ab")
 
 
-def test_a_hand_over_that_crosses_an_orphans_claim_leaves_one_owner():
+def test_a_hand_over_concurrent_with_an_orphan_claim_ends_with_one_owner():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
-        # The owner is cut off, its lease ends, and another daemon claims the job.
+        # The owner loses its connection, its lease expires, and another daemon claims the job.
         fleet.processes["a"].faults.down = True
         fleet.kv.end_lease(fleet.processes["a"].session.lease_id)
         await asyncio.sleep(0.25)
@@ -343,10 +342,10 @@
         assert fleet.workers() == fleet.owners()
         await fleet.wait_complete(job)
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_an_owner_that_wakes_from_a_suspension_lists_nothing_of_a_job_it_has_lost():
+def test_an_owner_resumed_after_a_suspension_lists_no_result_of_a_lost_job():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -362,10 +361,10 @@
         assert fleet.kv.keys["control/owners/j"].entry.mod_revision == before
         await fleet.wait_complete(job)
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_an_owner_that_wakes_in_its_own_hand_over_does_not_go_on():
+def test_an_owner_suspended_during_its_hand_over_does_not_run_the_job_again():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -382,10 +381,10 @@
         await fleet.wait_complete(job)
         assert fleet.engines.pieces_made_twice() == 0
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_a_job_that_may_not_wait_is_not_taken_without_the_service():
+def test_a_successor_without_the_service_refuses_a_job_that_must_be_claimed_at_once():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -401,10 +400,10 @@
         await fleet.wait_complete(job)
         assert fleet.engines.pieces_made_twice() == 0
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_a_job_that_is_ended_during_its_hand_over_is_worked_on_by_nobody():
+def test_a_job_that_is_ended_during_its_hand_over_runs_nowhere():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -416,38 +415,38 @@
         await asyncio.sleep(1.0)
         assert fleet.workers() == []
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_what_is_no_job_is_not_taken_over():
+def test_an_invalid_hand_over_request_is_refused():
     async def scenario(fleet):
         reply = await fleet.processes["a"].job_manager.receive(pb.HandOverRequest(job=b"\xff\x00"))
         assert not reply.taken
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_an_offer_without_an_answer_ends_in_a_release():
+def test_a_job_is_released_after_unanswered_offers():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
 
-        class NoLinks:
+        class UnresponsiveLinks:
             async def call(self, peer, method, message, timeout_seconds, stub_kind):
                 await asyncio.sleep(timeout_seconds)
                 return PeerUnreachable("silent")
 
-        fleet.processes["a"].context.daemon.links = NoLinks()
+        fleet.processes["a"].context.daemon.links = UnresponsiveLinks()
         await fleet.processes["a"].stop()
         assert "control/owners/j" not in fleet.kv.keys
         await fleet.wait_complete(job)
         assert fleet.engines.pieces_made_twice() == 0
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_a_process_that_knows_no_engine_yet_takes_no_job_over():
+def test_a_process_that_knows_no_engine_refuses_a_hand_over():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -460,10 +459,10 @@
         assert not reply.taken
         assert fleet.owners() == ["a"]
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_a_restarted_owner_takes_its_jobs_back_in_one_write_with_their_texts():
+def test_a_restarted_owner_reclaims_its_jobs_in_one_write_with_their_texts():
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -481,7 +480,7 @@
         assert min(item.last_number for item in progress) >= MIN_CHECKPOINT_PIECES
         await fleet.wait_complete(job)
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
 def test_after_a_loss_of_all_daemons_all_jobs_run_within_a_second():
@@ -500,11 +499,11 @@
         for job in jobs:
             await fleet.wait_complete(job)
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def test_a_lone_successor_takes_a_job_when_the_service_has_just_gone():
-    # Found by the path test beside load: neither daemon had noticed the outage yet.
+def test_the_only_successor_takes_a_job_when_an_outage_has_just_begun():
+    # Neither daemon has detected the outage yet.
     async def scenario(fleet):
         job = make_batch()
         await fleet.submit("a", job)
@@ -518,7 +517,7 @@
         await fleet.wait_complete(job)
         assert fleet.engines.pieces_made_twice() == 0
 
-    play(scenario, names="ab")
+    run_with_fleet(scenario, names="ab")
 
 
 def reader_of(process) -> JobReader:
@@ -527,8 +526,8 @@
     )
 
 
-async def read_now(process, position=0):
-    """Return what a daemon tells of the job from its memory; None if nothing."""
+async def read_from_memory(process, position=0):
+    """Return the item ids that a daemon serves from memory; None if it serves none."""
     page = await reader_of(process).owned_page("j", position, 0.0)
     return page and [result.item_id for result in page.results]
 
@@ -539,13 +538,13 @@
             await asyncio.sleep(0.05)
 
 
-def test_a_successor_does_not_tell_of_fewer_results_than_the_sender_had_listed():
+def test_a_successor_serves_no_fewer_results_than_the_sender_had_listed():
     async def scenario(fleet):
         job = make_batch(items=24)
         await fleet.submit("a", job)
         await wait_listed(fleet, 12)
         sender_job = fleet.processes["a"].job_manager.owned["j"]
-        # The answer to the append came after the offer was sent: it holds no results.
+        # The offer was sent before the reply to the append, so it lists no results.
         sender_job.successor = "b"
         reply = await fleet.processes["b"].job_manager.receive(
             pb.HandOverRequest(
@@ -553,32 +552,32 @@
                 job=pack_job(job),
                 owner_revision=sender_job.owner_revision,
                 listed=pack_results([]),
-                checkpoint=_no_texts(fleet.processes["a"]),
+                checkpoint=_empty_checkpoint(fleet.processes["a"]),
                 marker_revision=fleet.processes["a"].job_manager.known.marker_revision("j"),
             )
         )
         assert reply.taken and reply.owner_revision
         before = await fleet.listed()
         while len(await fleet.listed()) < len(job.items):
-            readable_results = await read_now(fleet.processes["b"])
+            readable_results = await read_from_memory(fleet.processes["b"])
             assert readable_results is None or readable_results[: len(before)] == before
             await asyncio.sleep(0.05)
         assert (await fleet.listed())[: len(before)] == before
         await fleet.wait_complete(job)
 
-    play(scenario)
+    run_with_fleet(scenario)
 
 
-def _no_texts(process):
+def _empty_checkpoint(process):
     return pack_checkpoint(process.job_manager._checkpoints._checkpoint((), runs_ended=False))
 
 
-def test_a_new_lease_without_a_claim_tells_nothing():
+def test_an_owner_with_a_new_lease_serves_no_results_before_its_claim():
     async def scenario(fleet):
         await fleet.submit("a", make_batch(items=24))
         await wait_listed(fleet, 12)
         process = fleet.processes["a"]
-        assert len(await read_now(process)) == 12
+        assert len(await read_from_memory(process)) == 12
         claimed = asyncio.Event()
 
         class SlowStore(type(process.job_manager._store)):
@@ -592,23 +591,23 @@
         deadline_seconds = process.context.now_seconds() + 2.5
         waiting = asyncio.create_task(reader_of(process).owned_page("j", 12, deadline_seconds))
         await asyncio.sleep(0.1)
-        lost = process.session.lease_id
-        fleet.kv.end_lease(lost)
-        process.session.over(lost)
-        while process.session.lease_id in (lost, None) or not process.session.is_sure():
+        old_lease_id = process.session.lease_id
+        fleet.kv.end_lease(old_lease_id)
+        process.session.over(old_lease_id)
+        while process.session.lease_id in (old_lease_id, None) or not process.session.is_sure():
             await asyncio.sleep(0.02)
         assert fleet.owners() == ["a"]
-        assert await read_now(process) is None
+        assert await read_from_memory(process) is None
         assert await waiting is None
         claimed.set()
         await asyncio.sleep(1.0)
-        assert len(await read_now(process)) >= 12
+        assert len(await read_from_memory(process)) >= 12
 
-    play(scenario, names="a")
+    run_with_fleet(scenario, names="a")
 
 
 @pytest.mark.parametrize("handed_over", [True, False])
-def test_an_owner_that_comes_back_tells_nothing_before_it_knows_what_another_one_listed(
+def test_an_owner_that_claims_again_serves_no_results_before_it_has_those_of_others(
     handed_over,
 ):
     async def scenario(fleet):
@@ -617,62 +616,62 @@
         await wait_listed(fleet, 12)
         process = fleet.processes["a"]
         await asyncio.sleep(0.5)
-        lost = process.session.lease_id
-        fleet.kv.end_lease(lost)
-        process.session.over(lost)
-        # Another daemon owned the job for a moment, and is gone.
+        old_lease_id = process.session.lease_id
+        fleet.kv.end_lease(old_lease_id)
+        process.session.over(old_lease_id)
+        # Another daemon owned the job for a moment and appended a segment.
         listed = await fleet.listed()
         missing = next(item.item_id for item in job.items if item.item_id not in listed)
         text = "\n".join(f"{missing}:{number + 1}" for number in range(fleet.engines.pieces))
         segment = [JobResult(item_id=missing, completed=True, text=text, versions=(1,))]
         await fleet.kv_put(f"{RESULTS_PREFIX}j/{12:08d}", pack_results(segment))
         while len(await fleet.listed()) < len(job.items):
-            readable_results = await read_now(process)
+            readable_results = await read_from_memory(process)
             assert readable_results is None or missing in readable_results
             await asyncio.sleep(0.05)
         assert (await fleet.listed())[12] == missing
         await fleet.wait_complete(job)
-        # The run of the item that was listed meanwhile has ended, and no other one begins.
+        # No run of the item that was listed meanwhile is active.
         assert fleet.engines.running[missing] == 0
 
-    play(scenario, names="a", policy=PolicySettings(jobs_handed_over=handed_over))
+    run_with_fleet(scenario, names="a", policy=PolicySettings(jobs_handed_over=handed_over))
 
 
-def test_the_answer_to_an_append_of_before_the_lease_was_lost_shows_no_ownership():
+def test_a_late_reply_to_an_append_on_a_lost_lease_does_not_prove_ownership():
     async def scenario(fleet):
         await fleet.submit("a", make_batch(items=24))
         await asyncio.sleep(1.0)
         process = fleet.processes["a"]
-        kept, answer = asyncio.Event(), asyncio.Event()
+        append_done, may_reply = asyncio.Event(), asyncio.Event()
 
-        class LateStore(type(process.job_manager._store)):
+        class LateReplyStore(type(process.job_manager._store)):
             __slots__ = ()
 
             async def append(self, *args):
                 outcome = await super().append(*args)
-                kept.set()
-                await answer.wait()
+                append_done.set()
+                await may_reply.wait()
                 return outcome
 
             async def claim_and_append(self, *args):
                 await asyncio.sleep(2.0)
                 return await super().claim_and_append(*args)
 
-        process.job_manager._store.__class__ = LateStore
-        await kept.wait()
-        lost = process.session.lease_id
-        fleet.kv.end_lease(lost)
-        process.session.over(lost)
-        answer.set()
+        process.job_manager._store.__class__ = LateReplyStore
+        await append_done.wait()
+        old_lease_id = process.session.lease_id
+        fleet.kv.end_lease(old_lease_id)
+        process.session.over(old_lease_id)
+        may_reply.set()
         while process.session.lease_id is None or not process.session.is_sure():
             await asyncio.sleep(0.02)
         assert process.job_manager.owned["j"].ledger.listed
-        assert await read_now(process) is None
+        assert await read_from_memory(process) is None
 
-    play(scenario, names="a")
+    run_with_fleet(scenario, names="a")
 
 
-def test_a_job_that_is_not_in_the_service_is_not_known_by_an_offer_that_is_refused():
+def test_a_refused_offer_of_an_unstored_job_does_not_make_it_known():
     async def scenario(fleet):
         await asyncio.sleep(1.0)
         job = make_batch()
@@ -682,13 +681,13 @@
                 job=pack_job(job),
                 owner_revision=5,
                 listed=pack_results([]),
-                checkpoint=_no_texts(fleet.processes["a"]),
+                checkpoint=_empty_checkpoint(fleet.processes["a"]),
                 marker_revision=5,
             )
         )
         assert not reply.taken
         assert "j" not in fleet.processes["b"].job_manager.known.jobs
-        # Its submitter is told that it is kept only once it is.
+        # A submission is accepted only once the job is stored.
         assert isinstance(await fleet.processes["b"].job_manager.submit(job), JobCreated)
 
-    play(scenario)
+    run_with_fleet(scenario)
--- a/rackswitch/gateway/jobs/tests/test_hand_over_machine.py
+++ b/rackswitch/gateway/jobs/tests/test_hand_over_machine.py
@@ -1,7 +1,7 @@
-"""Owner, successor, service and engines in any order of faults, seen by a reader.
+"""Hand-overs under random sequences of faults, checked by a reader.
 
-A state machine stops, ends and suspends daemons, and silences the service, while jobs are worked
-on. What a reader is told must never go or change, and in the end everything is listed once.
+A state machine stops, kills and suspends daemons and makes the service unreachable while jobs run.
+Results that were read must never disappear or change, and finally each item is listed once.
 """
 
 import asyncio
@@ -20,8 +20,8 @@
 
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.jobs.job_store import JobStore
+from rackswitch.gateway.jobs.tests.fault_injection_run import ReadHistory
 from rackswitch.gateway.jobs.tests.hand_over_fleet import HandOverFleet, make_batch
-from rackswitch.gateway.jobs.tests.long_run import ReadHistory
 from rackswitch.gateway.tests.support import make_gateway_context
 from rackswitch.jobs import JobResult
 
@@ -29,14 +29,14 @@
 PIECES = 40
 ITEMS = 5
 JOBS = ("j", "k")
-SETTLE_SECONDS = 60.0
+COMPLETION_TIMEOUT_SECONDS = 60.0
 
 
 class HandOverMachine(RuleBasedStateMachine):
-    """Faults around hand-overs."""
+    """Rules for the faults, and invariants on the results that readers receive."""
 
     @initialize()
-    def begin(self) -> None:
+    def start_fleet(self) -> None:
         self.loop = looptime.new_event_loop(noop_cycles=1)
         asyncio.set_event_loop(self.loop)
         self.fleet = self.run(self._start())
@@ -52,8 +52,8 @@
             await fleet.submit(name, make_batch(job_id, ITEMS))
         return fleet
 
-    def run(self, work):
-        return self.loop.run_until_complete(work)
+    def run(self, coroutine):
+        return self.loop.run_until_complete(coroutine)
 
     @rule(seconds=st.sampled_from([0.01, 0.05, 0.3, 1.0, 2.5]))
     def time_passes(self, seconds: float) -> None:
@@ -78,21 +78,21 @@
         self.fleet.start(name).faults.down = self.service_down
 
     @rule(name=st.sampled_from(DAEMONS))
-    def daemon_dies_and_is_started_again(self, name: str) -> None:
-        self.run(self._die(name))
+    def daemon_crashes_and_restarts(self, name: str) -> None:
+        self.run(self._crash(name))
         self.stopping.discard(name)
 
-    async def _die(self, name: str) -> None:
+    async def _crash(self, name: str) -> None:
         await self.fleet.processes[name].context.daemon.cancel_all()
         self._restart(name)
 
     @rule(name=st.sampled_from(DAEMONS), suspended=st.booleans())
-    def daemon_is_suspended_or_wakes(self, name: str, suspended: bool) -> None:
+    def daemon_is_suspended_or_resumed(self, name: str, suspended: bool) -> None:
         runs = self.fleet.processes[name].kv.running
         runs.clear() if suspended else runs.set()
 
     @rule(service_down=st.booleans(), leases_end=st.booleans())
-    def service_is_silent_or_back(self, service_down: bool, leases_end: bool) -> None:
+    def service_goes_down_or_recovers(self, service_down: bool, leases_end: bool) -> None:
         self.service_down = service_down
         self.fleet.set_service_down(service_down)
         if leases_end:
@@ -100,7 +100,7 @@
                 self.fleet.kv.end_lease(lease_id)
 
     def readable_results(self, name: str, job_id: str) -> list[JobResult]:
-        """Return what a daemon tells a reader from its memory."""
+        """Return the results that a daemon serves from memory."""
         process = self.fleet.processes[name]
         owned = process.job_manager.owned.get(job_id)
         if owned is None or not owned.may_serve_results or not process.session.is_sure():
@@ -108,7 +108,7 @@
         return list(owned.ledger.listed)
 
     @invariant()
-    def what_is_read_neither_goes_nor_changes(self) -> None:
+    def read_results_stay_unchanged(self) -> None:
         if not hasattr(self, "fleet"):
             return
         self.run(self._read())
@@ -118,10 +118,10 @@
         for job_id in JOBS:
             for name, process in self.fleet.processes.items():
                 if process.kv.running.is_set():
-                    self.history.read(job_id, self.readable_results(name, job_id))
+                    self.history.record_read(job_id, self.readable_results(name, job_id))
 
     @invariant()
-    def no_daemon_breaks_its_own_rules(self) -> None:
+    def no_daemon_fails_an_assertion(self) -> None:
         if not hasattr(self, "fleet"):
             return
         for process in self.fleet.processes.values():
@@ -131,31 +131,31 @@
         if not hasattr(self, "fleet"):
             return
         try:
-            self.run(self._settle())
+            self.run(self._wait_until_complete())
         finally:
             for task in asyncio.all_tasks(self.loop):
                 task.cancel()
             self.run(asyncio.sleep(0))
             self.loop.close()
 
-    async def _settle(self) -> None:
+    async def _wait_until_complete(self) -> None:
         self.service_down = False
         for process in self.fleet.processes.values():
             process.kv.running.set()
             process.faults.down = False
         await asyncio.gather(*self.tasks, return_exceptions=True)
         for job_id in JOBS:
-            await self.fleet.wait_complete(make_batch(job_id, ITEMS), SETTLE_SECONDS)
+            await self.fleet.wait_complete(make_batch(job_id, ITEMS), COMPLETION_TIMEOUT_SECONDS)
             reader = JobStore(make_gateway_context("reader", self.fleet.kv))
             stored = await reader.load_results(job_id, 0)
             assert not isinstance(stored, KvUnavailable)
-            self.history.read(job_id, stored)
+            self.history.record_read(job_id, stored)
         assert self.history.violations == []
-        await self.fleet.end()
+        await self.fleet.stop_all()
 
 
 class UnlistedResultsMachine(HandOverMachine):
-    """The naive twin: whoever works on a job tells what is ready, claimed and listed or not."""
+    """A faulty variant in which daemons serve finished results that are not listed."""
 
     def readable_results(self, name: str, job_id: str) -> list[JobResult]:
         owned = self.fleet.processes[name].job_manager.owned.get(job_id)
@@ -164,7 +164,7 @@
         return [*owned.ledger.listed, *owned.ledger.next_segment()[1]]
 
 
-CHECKS = settings(
+MACHINE_SETTINGS = settings(
     max_examples=25,
     stateful_step_count=25,
     deadline=None,
@@ -173,10 +173,10 @@
 )
 
 TestHandOvers = HandOverMachine.TestCase
-TestHandOvers.settings = CHECKS
+TestHandOvers.settings = MACHINE_SETTINGS
 
 
-def test_owners_that_tell_what_is_not_listed_are_found_out():
-    once = settings(CHECKS, phases=(Phase.generate,), max_examples=60)
-    with pytest.raises(AssertionError, match="changed|stands twice"):
-        run_state_machine_as_test(UnlistedResultsMachine, settings=once)
+def test_the_machine_detects_owners_that_serve_unlisted_results():
+    generate_only = settings(MACHINE_SETTINGS, phases=(Phase.generate,), max_examples=60)
+    with pytest.raises(AssertionError, match="changed|listed twice"):
+        run_state_machine_as_test(UnlistedResultsMachine, settings=generate_only)
--- a/rackswitch/gateway/jobs/tests/test_job_checkpoints.py
+++ b/rackswitch/gateway/jobs/tests/test_job_checkpoints.py
@@ -1,4 +1,4 @@
-"""A new owner goes on with its predecessor's texts once nobody else can run them."""
+"""A new owner resumes its predecessor's texts only once no other daemon can run them."""
 
 import asyncio
 
@@ -13,40 +13,42 @@
 from rackswitch.jobs.tests.support import make_job
 from rackswitch.standins.kv_store import KvStore
 
-FORMER_STARTED = 5.0
-KEPT = ItemCheckpoint(item_id="i0", pieces=("a", "b"), versions=(1,))
+FORMER_STARTED_UNIX_SECONDS = 5.0
+CHECKPOINTED = ItemCheckpoint(item_id="i0", pieces=("a", "b"), versions=(1,))
 
 
 @pytest.mark.parametrize("runs_ended", [True, False])
-@pytest.mark.parametrize("proof_after_seconds", [None, 0.2, 2.0])
-def test_texts_wait_for_the_proof_that_their_runs_have_ended(runs_ended, proof_after_seconds):
+@pytest.mark.parametrize("evidence_after_seconds", [None, 0.2, 2.0])
+def test_checkpointed_texts_wait_for_evidence_that_their_runs_have_ended(
+    runs_ended, evidence_after_seconds
+):
     async def scenario():
         context = make_gateway_context("b", KvStore())
-        context.member_entries["a"] = make_member(FORMER_STARTED)
+        context.member_entries["a"] = make_member(FORMER_STARTED_UNIX_SECONDS)
         checkpoints = JobCheckpoints(context, None, KnownJobs())
         owned = new_owned_job(make_job(), 7, [], None, 0.0)
-        left = JobCheckpoint(
+        checkpoint = JobCheckpoint(
             daemon="a",
-            process_started_unix_seconds=FORMER_STARTED,
+            process_started_unix_seconds=FORMER_STARTED_UNIX_SECONDS,
             runs_ended=runs_ended,
-            items=(KEPT,),
+            items=(CHECKPOINTED,),
         )
         now_seconds = context.now_seconds()
-        checkpoints.resume(owned, left)
-        others = {progress.item.item_id for progress in owned.ledger.waiting(now_seconds)}
-        if proof_after_seconds is not None:
-            await asyncio.sleep(proof_after_seconds)
-            context.member_entries["a"] = make_member(FORMER_STARTED + 1.0)
+        checkpoints.resume(owned, checkpoint)
+        first_startable = {progress.item.item_id for progress in owned.ledger.waiting(now_seconds)}
+        if evidence_after_seconds is not None:
+            await asyncio.sleep(evidence_after_seconds)
+            context.member_entries["a"] = make_member(FORMER_STARTED_UNIX_SECONDS + 1.0)
         await asyncio.sleep(PREDECESSOR_END_TIMEOUT_SECONDS)
         item = owned.ledger.items["i0"]
         startable = item in owned.ledger.waiting(context.now_seconds())
         await context.daemon.cancel_all()
-        return others, item.pieces, startable
+        return first_startable, item.pieces, startable
 
-    others, pieces, startable = run_virtual(scenario())
-    # The other items begin at once in any case.
-    assert {"i1", "i2", "i3"} <= others
-    assert ("i0" in others) is runs_ended
-    proved = runs_ended or proof_after_seconds == 0.2
-    assert pieces == (["a", "b"] if proved else [])
+    first_startable, pieces, startable = run_virtual(scenario())
+    # Items without a checkpoint may start at once.
+    assert {"i1", "i2", "i3"} <= first_startable
+    assert ("i0" in first_startable) is runs_ended
+    resumed = runs_ended or evidence_after_seconds == 0.2
+    assert pieces == (["a", "b"] if resumed else [])
     assert startable
--- a/rackswitch/gateway/jobs/tests/test_job_cleaner.py
+++ b/rackswitch/gateway/jobs/tests/test_job_cleaner.py
@@ -1,4 +1,4 @@
-"""Old jobs are forgotten whole, by one daemon, also after a deletion that failed halfway."""
+"""Old jobs are deleted completely by one daemon, also after an interrupted deletion."""
 
 import asyncio
 import time
@@ -18,11 +18,11 @@
 from rackswitch.standins.faulty_kv import KvFaults
 from rackswitch.standins.kv_store import KvStore
 
-LONG_SECONDS = 60.0
+CLEANING_SECONDS = 60.0
 
 
 async def make_ended_job(context: GatewayContext, kv: KvStore, age_seconds: float) -> KnownJobs:
-    """Keep a job with two segments that was ended; return what a daemon knows of it."""
+    """Store an ended job with two segments; return a daemon's known jobs."""
     store = JobStore(context)
     job = msgspec.structs.replace(make_job(), submitted_at_unix_seconds=time.time() - age_seconds)
     created = await store.create(job, kv.grant(1e9, 0.0))
@@ -36,7 +36,7 @@
     return known
 
 
-def join(context: GatewayContext, *names: str) -> None:
+def set_members(context: GatewayContext, *names: str) -> None:
     entries = [VmEntry(name, "127.0.0.1", 1, "z", leaving=False) for name in names]
     context.daemon.membership.learn_listed(entries, 0.0)
 
@@ -44,11 +44,11 @@
 async def clean(context: GatewayContext, known: KnownJobs) -> None:
     cleaner = JobCleaner(context, known, JobStore(context))
     task = asyncio.create_task(cleaner.run())
-    await asyncio.sleep(LONG_SECONDS)
+    await asyncio.sleep(CLEANING_SECONDS)
     task.cancel()
 
 
-def test_an_old_job_is_forgotten_whole():
+def test_all_entries_of_an_old_job_are_deleted():
     async def scenario():
         kv = KvStore()
         context = make_gateway_context("a", kv)
@@ -59,7 +59,7 @@
     run_virtual(scenario())
 
 
-def test_a_job_within_its_time_is_kept():
+def test_a_job_within_its_retention_time_is_not_deleted():
     async def scenario():
         kv = KvStore()
         context = make_gateway_context("a", kv)
@@ -71,7 +71,7 @@
     run_virtual(scenario())
 
 
-def test_a_deletion_that_fails_halfway_is_gone_on_with():
+def test_an_interrupted_deletion_is_completed_later():
     async def scenario():
         kv = KvStore()
         faults = KvFaults()
@@ -81,7 +81,7 @@
         await clean(context, known)
         assert any(key.startswith(JOBS_PREFIX) for key in kv.keys) or kv.keys == {}
         faults.lost_answer = 0.0
-        # As the session's next renewal would tell.
+        # Stands for a successful renewal of the session.
         context.contact.answered(context.now_seconds())
         await clean(context, known)
         assert kv.keys == {}
@@ -89,13 +89,13 @@
     run_virtual(scenario())
 
 
-def test_one_daemon_of_a_fleet_forgets_a_job():
+def test_one_daemon_of_a_fleet_deletes_a_job():
     async def scenario():
         kv = KvStore()
         contexts = {name: make_gateway_context(name, kv) for name in ("a", "b", "c")}
         known = await make_ended_job(contexts["a"], kv, 1000.0)
         for context in contexts.values():
-            join(context, *contexts)
+            set_members(context, *contexts)
         cleaners = [JobCleaner(c, known, JobStore(c)) for c in contexts.values()]
         assert sum(cleaner._next_job() is not None for cleaner in cleaners) == 1
 
--- a/rackswitch/gateway/jobs/tests/test_job_manager.py
+++ b/rackswitch/gateway/jobs/tests/test_job_manager.py
@@ -39,7 +39,7 @@
             job_manager.marker_put(entry)
 
 
-def test_a_job_written_without_an_answer_is_adopted():
+def test_a_job_whose_creation_was_unanswered_is_adopted():
     async def scenario():
         kv = KvStore()
         job_manager = make_job_manager("a", kv)
@@ -53,9 +53,8 @@
     run_virtual(scenario())
 
 
-def test_a_predecessors_job_that_another_daemon_took_is_not_adopted():
-    # Found on the association's site (trouble-3, seed 867584076257): after a restart the
-    # daemon saw its predecessor's owner key and worked on a job that had moved on.
+def test_a_predecessors_job_that_another_daemon_claimed_is_not_adopted():
+    # Guards against a restarted daemon that runs a job because of its predecessor's owner key.
     async def scenario():
         kv = KvStore()
         lease = kv.grant(100.0, 0.0)
@@ -90,10 +89,9 @@
     run_virtual(scenario())
 
 
-@pytest.mark.parametrize("seen_first", [True, False])
-def test_a_former_owner_yields_its_texts_also_after_it_has_seen_the_new_owner(seen_first):
-    # Found in the register's incident inc-1bc0: the former owner saw the claim in its copy a
-    # tenth of a second before the new owner asked, and had dropped the texts by then.
+@pytest.mark.parametrize("watch_first", [True, False])
+def test_a_former_owner_returns_its_texts_also_after_it_has_seen_the_new_owner(watch_first):
+    # Guards against a former owner that drops its texts when its replica shows the new owner.
     async def scenario():
         kv = KvStore()
         job_manager = make_job_manager("a", kv)
@@ -106,11 +104,11 @@
         successor = JobStore(make_gateway_context("b", kv))
         marker = await successor.load_marker("j")
         claimed = await successor.claim("j", marker.mod_revision, kv.grant(100.0, 0.0), 0)
-        if seen_first:
+        if watch_first:
             job_manager.owner_put(owner_entry(kv))
             assert "j" not in job_manager.owned
             await asyncio.sleep(0.1)
-        # A claim that is not later than its own is none.
+        # A request with a claim that is not later than the owner's own is refused.
         assert await job_manager.yield_job("j", before) is None
         checkpoint = await job_manager.yield_job("j", claimed)
         assert "j" not in job_manager.owned
@@ -120,9 +118,9 @@
     run_virtual(scenario())
 
 
-def test_a_job_claimed_here_outlives_late_word_of_its_former_owners_end():
-    # Found in the trace of a day with a roll: the successor claimed once more when its copy told
-    # of the former owner's end, dropped its own job, and had 53 texts made again.
+def test_a_claimed_job_survives_a_late_deletion_of_the_former_owners_key():
+    # Guards against a second claim after a lagging replica reports the deletion, by which the
+    # successor would drop its own job.
     async def scenario():
         kv = KvStore()
         lease = kv.grant(100.0, 0.0)
@@ -140,10 +138,10 @@
     run_virtual(scenario())
 
 
-@pytest.mark.parametrize("told_first", [True, False])
-def test_a_job_that_is_held_here_goes_on_by_a_claim_that_was_never_answered(told_first):
-    # Found by a soak (seed 8): a daemon's session was lost, its claim of the job that it still
-    # held took effect unanswered, and its next claim made it drop the job for its own key.
+@pytest.mark.parametrize("watch_first", [True, False])
+def test_a_running_job_continues_after_an_unanswered_claim(watch_first):
+    # Guards against a daemon that drops a job because of its own owner key, written by a claim
+    # that took effect without a reply.
     async def scenario():
         kv = KvStore()
         job_manager = make_job_manager("a", kv)
@@ -156,12 +154,12 @@
         marker = await job_manager._store.load_marker("j")
         unanswered = JobStore(make_gateway_context("a", kv))
         await unanswered.claim("j", marker.mod_revision, job_manager._session.lease_id, 0)
-        if told_first:
+        if watch_first:
             job_manager.owner_put(owner_entry(kv))
-            # By then it is clear that no answer comes, and what it holds is no news.
+            # The reply's timeout has passed.
             await asyncio.sleep(CLAIM_REPLY_TIMEOUT_SECONDS + 0.1)
         await job_manager._claims.claim("j", marker.mod_revision)
-        if not told_first:
+        if not watch_first:
             job_manager.owner_put(owner_entry(kv))
         await asyncio.sleep(CLAIM_REPLY_TIMEOUT_SECONDS + 2.0)
         assert job_manager.owned["j"].owner_revision == owner_entry(kv).mod_revision
@@ -170,9 +168,9 @@
     run_virtual(scenario())
 
 
-def test_an_owner_that_sees_its_key_gone_before_its_renewal_tells_why_goes_first():
-    # After a suspension the watch may show the end of the lease before the renewal does. The claim
-    # was refused then, and another daemon was first, with none of the texts.
+def test_an_owner_claims_first_if_its_key_is_deleted_before_its_renewal_fails():
+    # After a suspension the watch may report the lost lease before a renewal fails. Guards against
+    # a refused claim on the old lease, after which another daemon would claim the job first.
     async def scenario():
         kv = KvStore()
         job_manager = make_job_manager("a", kv)
@@ -190,7 +188,7 @@
     run_virtual(scenario())
 
 
-def test_a_job_is_kept_although_the_lease_ran_out_unnoticed():
+def test_a_job_is_stored_although_the_lease_has_expired_unnoticed():
     async def scenario():
         kv = KvStore()
         job_manager = make_job_manager("a", kv)
@@ -203,7 +201,7 @@
 
 
 class RefusingStore(JobStore):
-    """Takes every lease for one that is over."""
+    """Refuses every lease as expired."""
 
     def __init__(self, context: GatewayContext):
         super().__init__(context)
@@ -214,7 +212,7 @@
         return JobNotStored("refused", effect_unknown=False, lease_gone=True)
 
 
-def test_a_service_that_refuses_each_lease_is_not_asked_without_end():
+def test_a_service_that_refuses_each_lease_is_called_a_limited_number_of_times():
     async def scenario():
         job_manager = make_job_manager("a", KvStore())
         store = job_manager._store = RefusingStore(job_manager._context)
--- a/rackswitch/gateway/jobs/tests/test_job_placer.py
+++ b/rackswitch/gateway/jobs/tests/test_job_placer.py
@@ -1,4 +1,4 @@
-"""Jobs that are passed to another daemon: kept once, and never called refused wrongly."""
+"""Jobs forwarded to another daemon are stored once and never wrongly reported as refused."""
 
 import asyncio
 
@@ -21,22 +21,22 @@
 
 
 class FixedLinks:
-    """Brings one reply, whatever is asked; `before` runs at the other daemon first."""
+    """Returns a fixed reply to every call, after running `before` at the other daemon."""
 
     def __init__(self, reply, before=None):
         self.reply = reply
         self.before = before
-        self.asked: list[str] = []
+        self.called: list[str] = []
 
     async def call(self, peer, method, message, timeout_seconds, stub_kind):
-        self.asked.append(peer.daemon)
+        self.called.append(peer.daemon)
         if self.before is not None:
             await self.before(message)
         return self.reply
 
 
 def make_placer(kv: KvStore, links: FixedLinks) -> JobPlacer:
-    """Return the placer of `a`, which knows that `b` owns a job."""
+    """Return the placer of daemon `a`, which knows that daemon `b` owns a job."""
     job_manager = make_job_manager("a", kv)
     context = job_manager._context
     context.daemon.links = links
@@ -47,12 +47,12 @@
     return JobPlacer(context, job_manager)
 
 
-def test_a_job_is_owned_by_the_daemon_that_owns_others():
+def test_a_job_is_forwarded_to_the_daemon_that_owns_others():
     async def scenario():
         links = FixedLinks(pb.TakeJobReply(kept=True, owner_revision=7))
         placer = make_placer(KvStore(), links)
         assert await placer.submit(make_job()) == JobCreated(7)
-        assert links.asked == ["b"]
+        assert links.called == ["b"]
         assert placer._job_manager.known.owner("j").daemon == "b"
         assert not placer._job_manager.owned
         assert await placer.submit(make_job()) == JobKnown()
@@ -61,24 +61,24 @@
 
 
 @pytest.mark.parametrize("reply", [PeerUnreachable("silent"), pb.TakeJobReply(detail="no")])
-def test_a_job_that_the_other_daemon_does_not_take_is_owned_here(reply):
+def test_a_job_that_the_other_daemon_refuses_is_owned_here(reply):
     async def scenario():
         links = FixedLinks(reply)
         placer = make_placer(KvStore(), links)
         assert isinstance(await placer.submit(make_job()), JobCreated)
         assert "j" in placer._job_manager.owned
-        # It is left alone for a while.
+        # The failed daemon is in cooldown.
         await placer.submit(make_job(job_id="k"))
-        assert links.asked == ["b"]
+        assert links.called == ["b"]
 
     run_virtual(scenario())
 
 
-def test_a_job_that_the_other_daemon_kept_without_a_word_is_kept_once():
+def test_a_job_stored_by_the_other_daemon_without_a_reply_is_stored_once():
     async def scenario():
         kv = KvStore()
-        taken = AdoptedJobs(make_job_manager("b", kv)._context, make_job_manager("b", kv))
-        links = FixedLinks(PeerUnreachable("its answer was lost"), taken.take)
+        receiver = AdoptedJobs(make_job_manager("b", kv)._context, make_job_manager("b", kv))
+        links = FixedLinks(PeerUnreachable("its answer was lost"), receiver.take)
         placer = make_placer(kv, links)
         assert await placer.submit(make_job()) == JobKnown()
         assert not placer._job_manager.owned
@@ -94,7 +94,7 @@
         (pb.TakeJobReply(detail="stopping"), False),
     ],
 )
-def test_a_job_that_may_be_kept_elsewhere_is_not_called_refused(reply, unknown):
+def test_a_job_that_may_be_stored_elsewhere_is_not_reported_as_refused(reply, unknown):
     async def scenario():
         placer = make_placer(KvStore(), FixedLinks(reply))
         placer._job_manager._session.lease.lost()
@@ -106,37 +106,37 @@
     run_virtual(scenario())
 
 
-def test_while_the_service_is_away_no_other_daemon_is_asked():
-    # Found on the association's trouble-3 (seed 2): each try in an outage waited for a daemon that
-    # was gone, and was then answered as if the job might have been kept.
+def test_while_the_service_is_unreachable_jobs_are_not_forwarded():
+    # Guards against submissions that wait for a dead daemon in an outage and then report an
+    # unknown outcome.
     async def scenario():
         links = FixedLinks(PeerUnreachable("silent"))
         placer = make_placer(KvStore(), links)
         placer._context.contact.failed(placer._context.now_seconds(), "no answer")
         assert isinstance(await placer.submit(make_job()), JobCreated)
-        assert links.asked == []
+        assert links.called == []
 
     run_virtual(scenario())
 
 
-def test_a_job_whose_submitter_gave_up_is_worked_on_all_the_same():
-    # Found on the association's rolling day (trouble-2, seed 1): the service was slow, the asking
-    # daemon gave up, and the job lay for 3 s with an owner that did not know that it was its own.
+def test_a_job_whose_submitter_gave_up_is_still_run():
+    # Guards against a job that is stored but does not run because the forwarding call was
+    # cancelled.
     async def scenario():
         job_manager = make_job_manager("b", KvStore())
         job_manager._context.daemon.kv.faults.delay_seconds = 0.2
-        taken = AdoptedJobs(job_manager._context, job_manager)
-        asked = asyncio.create_task(taken.take(pb.TakeJobRequest(job=pack_job(make_job()))))
+        receiver = AdoptedJobs(job_manager._context, job_manager)
+        call = asyncio.create_task(receiver.take(pb.TakeJobRequest(job=pack_job(make_job()))))
         await asyncio.sleep(0.05)
-        asked.cancel()
+        call.cancel()
         await asyncio.sleep(1.0)
         assert "j" in job_manager.owned
 
     run_virtual(scenario())
 
 
-@pytest.mark.parametrize(("handed_over", "asked"), [(True, ["c"]), (False, ["b"])])
-def test_while_a_daemon_leaves_a_job_goes_to_one_that_was_restarted(handed_over, asked):
+@pytest.mark.parametrize(("handed_over", "called"), [(True, ["c"]), (False, ["b"])])
+def test_while_a_daemon_stops_a_job_is_forwarded_to_a_restarted_one(handed_over, called):
     async def scenario():
         links = FixedLinks(pb.TakeJobReply(kept=True, owner_revision=7))
         placer = make_placer(KvStore(), links)
@@ -153,25 +153,25 @@
         ]
         context.daemon.membership.learn_listed(entries, 0.0)
         await placer.submit(make_job())
-        assert links.asked == asked
+        assert links.called == called
 
     run_virtual(scenario())
 
 
-def test_what_is_no_job_is_not_taken():
+def test_an_invalid_or_late_forwarded_job_is_refused():
     async def scenario():
         job_manager = make_job_manager("b", KvStore())
-        taken = AdoptedJobs(job_manager._context, job_manager)
-        reply = await taken.take(pb.TakeJobRequest(job=b"\xff\x00"))
+        receiver = AdoptedJobs(job_manager._context, job_manager)
+        reply = await receiver.take(pb.TakeJobRequest(job=b"\xff\x00"))
         assert not reply.kept
         assert "`job`" in reply.detail
         job_manager._context.daemon.stopping = True
-        assert not (await taken.take(pb.TakeJobRequest(job=pack_job(make_job())))).kept
+        assert not (await receiver.take(pb.TakeJobRequest(job=pack_job(make_job())))).kept
 
     run_virtual(scenario())
 
 
-def test_jobs_that_come_anywhere_gather_at_one_daemon_and_are_read_everywhere():
+def test_jobs_submitted_anywhere_are_owned_by_one_daemon_and_read_everywhere():
     async def scenario(fleet):
         gateways = fleet.gateways
         assert await fleet.submit("d0", "j0", [3000]) == 202
--- a/rackswitch/gateway/jobs/tests/test_job_store.py
+++ b/rackswitch/gateway/jobs/tests/test_job_store.py
@@ -24,7 +24,7 @@
     return JobStore(make_gateway_context(name, kv, faults=faults))
 
 
-def test_a_job_is_taken_once_and_read_back_whole():
+def test_a_job_is_created_once_and_loaded_completely():
     async def scenario():
         kv = KvStore()
         lease = kv.grant(100.0, 0.0)
@@ -38,10 +38,10 @@
     run_virtual(scenario())
 
 
-def test_a_job_without_a_living_lease_is_not_kept():
+def test_a_job_without_a_valid_lease_is_not_stored():
     async def scenario():
         kv = KvStore()
-        # Found in a long run (seed 0): this was taken for a job that had been kept before.
+        # Guards against an outcome of JobKnown here.
         outcome = await make_store("a", kv).create(make_job(), 77)
         assert isinstance(outcome, JobNotStored)
         assert kv.keys == {}
@@ -78,9 +78,8 @@
     run_virtual(scenario())
 
 
-def test_a_former_owner_does_not_take_the_new_owners_segment_for_its_own():
-    # Found on the association's site (trouble-3, seed 867584076257): the former owner went
-    # on answering reads from a list that had fallen behind.
+def test_a_former_owner_does_not_accept_the_new_owners_segment_as_its_own():
+    # Guards against a former owner that keeps serving reads from an outdated list.
     async def scenario():
         kv = KvStore()
         former, successor = make_store("a", kv), make_store("b", kv)
@@ -98,7 +97,7 @@
     run_virtual(scenario())
 
 
-def test_of_two_claims_one_wins():
+def test_one_of_two_claims_succeeds():
     async def scenario():
         kv = KvStore()
         lease = kv.grant(100.0, 0.0)
@@ -130,14 +129,14 @@
     run_virtual(scenario())
 
 
-def test_identities_that_do_not_fit_a_key_are_digested():
+def test_identities_that_do_not_fit_in_a_key_are_hashed():
     assert job_key_part("7c41e09b52d6a3f8") == "7c41e09b52d6a3f8"
     assert job_key_part("a/b").startswith(".")
     assert len(job_key_part("x" * 500)) < 64
 
 
-def test_a_claim_takes_the_former_owners_checkpoint_away():
-    # Else a third owner could go on with texts that the second one's runs make longer.
+def test_a_claim_deletes_the_former_owners_checkpoint():
+    # Guards against a third owner that resumes from texts which the second one's runs extend.
     async def scenario():
         kv = KvStore()
         first, second, third = (make_store(name, kv) for name in ("a", "b", "c"))
@@ -147,18 +146,18 @@
         )
         await first.release("j", created.owner_revision, checkpoint)
         marker = await second.load_marker("j")
-        kept = await second.load_checkpoint("j")
-        assert kept.checkpoint == checkpoint
+        stored = await second.load_checkpoint("j")
+        assert stored.checkpoint == checkpoint
         lease = kv.grant(100.0, 0.0)
         stale = await second.claim("j", marker.mod_revision, lease, 0)
         assert stale == 0
-        assert await second.claim("j", marker.mod_revision, lease, kept.revision) > 0
+        assert await second.claim("j", marker.mod_revision, lease, stored.revision) > 0
         assert (await third.load_checkpoint("j")).checkpoint is None
 
     run_virtual(scenario())
 
 
-def test_only_the_owner_keeps_checkpoints():
+def test_only_the_owner_can_store_checkpoints():
     async def scenario():
         kv = KvStore()
         store = make_store("a", kv)
@@ -174,7 +173,7 @@
     run_virtual(scenario())
 
 
-def test_a_claim_at_a_position_is_refused_where_a_result_is_kept_there():
+def test_a_claim_at_a_position_is_refused_if_a_result_is_stored_there():
     async def scenario():
         kv = KvStore()
         store = make_store("a", kv)
@@ -185,7 +184,7 @@
         assert await store.claim_and_append("j", first, 0, lease_id, 0) == 0
         claimed = await store.claim_and_append("j", first, 0, lease_id, len(FIRST))
         assert claimed > first
-        # Who does not ask for a position is told nothing about what is kept.
+        # A claim without a position succeeds whatever is stored.
         assert await store.claim_and_append("j", claimed, 0, lease_id) > claimed
         assert await store.load_results("j", 0) == FIRST
 
--- a/rackswitch/gateway/jobs/tests/test_long_runs.py
+++ b/rackswitch/gateway/jobs/tests/test_long_runs.py
@@ -1,4 +1,4 @@
-"""Long seeded runs: positions and ownership of jobs, orders to engines, two faults at once."""
+"""Long seeded runs with concurrent faults: results keep their positions and are listed once."""
 
 import asyncio
 
@@ -6,16 +6,23 @@
 
 from rackswitch.daemon.tests.support import run_virtual
 from rackswitch.gateway.jobs.job_store import JobStore
-from rackswitch.gateway.jobs.tests.long_run import FAULTS, STOPS, FaultInjectionRun, NaiveJobStore
+from rackswitch.gateway.jobs.tests.fault_injection_run import (
+    FAULTS,
+    FAULTS_WITH_STOPS,
+    FaultInjectionRun,
+    UnfencedJobStore,
+)
 
 RUN_SECONDS = 60.0
 SEEDS = range(8)
-NAIVE_SEEDS = range(6)
+UNFENCED_SEEDS = range(6)
 
 
-def play(seed: int, store_kind: type[JobStore] = JobStore, faults=FAULTS) -> FaultInjectionRun:
+def run_with_faults(
+    seed: int, store_class: type[JobStore] = JobStore, faults=FAULTS
+) -> FaultInjectionRun:
     async def scenario() -> FaultInjectionRun:
-        run = FaultInjectionRun(seed, store_kind, faults)
+        run = FaultInjectionRun(seed, store_class, faults)
         await run.run(RUN_SECONDS)
         await asyncio.sleep(0)
         return run
@@ -25,17 +32,19 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_positions_never_change_and_every_item_is_listed_once(seed):
-    run = play(seed)
+    run = run_with_faults(seed)
     assert run.history.violations == []
     assert run.accepted == {job.job_id for job in run.jobs}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nothing_changes_where_daemons_are_stopped_as_planned_among_the_faults(seed):
-    run = play(seed, faults=STOPS)
+def test_positions_never_change_with_planned_stops_among_the_faults(seed):
+    run = run_with_faults(seed, faults=FAULTS_WITH_STOPS)
     assert run.history.violations == []
     assert run.accepted == {job.job_id for job in run.jobs}
 
 
-def test_owners_that_append_without_a_fence_are_found_out():
-    assert any(play(seed, NaiveJobStore).history.violations for seed in NAIVE_SEEDS)
+def test_the_run_detects_owners_that_append_without_a_fencing_number():
+    assert any(
+        run_with_faults(seed, UnfencedJobStore).history.violations for seed in UNFENCED_SEEDS
+    )
--- a/rackswitch/gateway/jobs/tests/test_path_jobs.py
+++ b/rackswitch/gateway/jobs/tests/test_path_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs on the whole path, on loopback."""
+"""Batch jobs end to end, with complete gateways on loopback."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 from rackswitch.peers.links import PeerUnreachable
 
 
-def test_a_job_is_run_scored_and_read_alike_at_every_daemon():
+def test_a_job_is_run_and_scored_and_read_identically_at_every_daemon():
     async def scenario(fleet):
         pieces = [3, 1, 8, 2, 5, 4]
         assert await fleet.submit("d0", "j1", pieces) == 202
@@ -32,7 +32,7 @@
     play(scenario)
 
 
-def test_streams_that_break_inside_an_event_are_resumed_and_joined_whole():
+def test_streams_that_break_inside_an_event_are_resumed_without_loss():
     async def scenario(fleet):
         for engine in fleet.engines:
             engine.faults.break_after = 2
@@ -74,9 +74,9 @@
     play(scenario)
 
 
-def test_a_job_whose_acceptance_went_unanswered_is_not_called_refused_and_runs_once_listed():
+def test_a_job_whose_acceptance_went_unanswered_is_not_refused_and_is_listed_once():
     async def scenario(fleet):
-        # Another daemon's write, of its entry or a role, may come first.
+        # Writes of other daemons may come first and must not consume the fault.
         fleet.store.faults.lost_about = JOBS_PREFIX
         fleet.store.faults.lost_answers = 1
         part = TxnPart((), (Operation("other", b"of another daemon"),))
@@ -89,7 +89,7 @@
     play(scenario)
 
 
-def test_what_was_accepted_goes_on_while_the_store_is_down():
+def test_an_accepted_job_keeps_running_while_the_store_is_down():
     async def scenario(fleet):
         assert await fleet.submit("d0", "j1", [40, 50, 60]) == 202
         fleet.store.faults.down = "busy"
@@ -116,7 +116,7 @@
         assert status == 200
         check_whole(await fleet.read_all("d1", "j1", 15.0), pieces, "j1")
         await stopping
-        # The texts go along: what was made is not made again.
+        # The texts are handed over too, so no piece is generated again.
         runs = [run for engine in fleet.engines for run in engine.runs]
         resumed = [run for run in runs if run.last_event_id]
         assert len(resumed) == 2
@@ -125,7 +125,7 @@
     play(scenario)
 
 
-def test_a_planned_stop_while_the_store_is_down_hands_the_jobs_over_and_tells_nothing():
+def test_a_planned_stop_while_the_store_is_down_hands_the_jobs_over_unclaimed():
     async def scenario(fleet):
         pieces = [300, 300]
         assert await fleet.submit("d0", "j1", pieces) == 202
@@ -145,9 +145,8 @@
     play(scenario)
 
 
-def test_a_daemon_that_the_store_turns_away_leaves_its_job_to_the_next_owner_with_its_texts():
-    # Found on the association's site (trouble-1 seed 3): two whole texts of a daemon that the
-    # store had turned away were made again, and the step ran out of time.
+def test_a_daemon_without_access_to_the_store_releases_its_job_with_its_texts():
+    # Guards against generating the texts of a daemon again that has lost access to the store.
     async def scenario(fleet):
         pieces = [1, 300, 300]
         assert await fleet.submit("d0", "j1", pieces) == 202
@@ -163,19 +162,19 @@
         assert len(resumed) == 2
         assert not former.jobs.owned
 
-    # With peers that pass its calls on it would go on with the job itself; and a run that moves
-    # to a faster engine, as some do on a busy machine, would count among the five.
+    # Without these settings the former owner could reach the store through its peers, and runs
+    # that move to a faster engine would be counted too.
     play(scenario, policy=PolicySettings(calls_through_peers=False, runs_move=False))
 
 
-def test_a_job_that_is_handed_over_goes_on_without_waiting_for_its_former_owner(monkeypatch):
+def test_a_job_that_is_handed_over_continues_without_a_wait_for_its_former_owner(monkeypatch):
     async def scenario(fleet):
         assert await fleet.submit("d0", "j1", [3, 400]) == 202
         stopping = asyncio.create_task(fleet.gateways["d0"].stop())
         await wait_for(lambda: "j1" in fleet.gateways["d1"].jobs.owned)
         await stopping
 
-    # Only a daemon that waits for nobody claims within the test's time.
+    # Only a claim without a wait happens within the scenario's timeout.
     monkeypatch.setattr("rackswitch.jobs.orphaned_jobs.RANK_PAUSE_SECONDS", 1000.0)
     play(scenario)
 
@@ -189,13 +188,13 @@
             await fleet.start_gateway(name)
         await wait_for(lambda: any("j1" in g.jobs.owned for g in fleet.gateways.values()))
 
-    # Only a daemon that waits for nobody claims within the test's time.
+    # Only a claim without a wait happens within the scenario's timeout.
     monkeypatch.setattr("rackswitch.jobs.orphaned_jobs.RANK_PAUSE_SECONDS", 1000.0)
     play(scenario)
 
 
-class LinksToOwners:
-    """Links over which owners of jobs never answer, or answer however long that takes."""
+class OwnerReadLinks:
+    """Links over which reads at job owners always fail, or have the whole scenario's timeout."""
 
     def __init__(self, links, owners_answer):
         self._links = links
@@ -204,7 +203,7 @@
     async def call(self, peer, method, request, timeout_seconds, *rest):
         if isinstance(request, pb.ReadJobRequest):
             if not self._owners_answer:
-                return PeerUnreachable("not answered on order")
+                return PeerUnreachable("read refused by the test")
             timeout_seconds = SCENARIO_SECONDS
         return await self._links.call(peer, method, request, timeout_seconds, *rest)
 
@@ -212,14 +211,14 @@
         self._links.close()
 
 
-@pytest.mark.parametrize("kept_before_the_end", [True, False])
-def test_the_end_of_an_ended_job_is_read_from_the_service_once(kept_before_the_end):
-    """The one read after the end comes with the first read of any position if the daemon has kept
-    nothing of the job, and with the first read at the end if it had kept all there was."""
+@pytest.mark.parametrize("cached_before_the_end", [True, False])
+def test_the_end_of_an_ended_job_is_read_from_the_service_once(cached_before_the_end):
+    """The one read of the service after the end happens on the first read of any position if the
+    daemon has nothing of the job in its cache, else on the first read at the end."""
 
     async def scenario(fleet):
         reading = fleet.gateways["d1"]
-        links = LinksToOwners(reading.context.daemon.links, not kept_before_the_end)
+        links = OwnerReadLinks(reading.context.daemon.links, not cached_before_the_end)
         reading.context.daemon.links = links
         assert await fleet.submit("d0", "j1", [1, 1, 4000]) == 202
         await wait_for(lambda: reading.jobs.known.owner(job_key_part("j1")) is not None)
@@ -237,7 +236,7 @@
         reads = range_reads()
         first = await fleet.read("d1", "j1")
         assert first.results[: len(before.results)] == before.results
-        assert range_reads() == reads + (not kept_before_the_end)
+        assert range_reads() == reads + (not cached_before_the_end)
         for _ in range(5):
             end = await fleet.read("d1", "j1", len(first.results))
             assert (end.status, end.results) == (200, [])
--- a/rackswitch/gateway/jobs/tests/test_unsettled_appends.py
+++ b/rackswitch/gateway/jobs/tests/test_unsettled_appends.py
@@ -1,4 +1,4 @@
-"""What an owner answers while it does not know whether its last append took effect."""
+"""Reads at an owner whose last append is unconfirmed."""
 
 from unittest.mock import patch
 
@@ -12,7 +12,7 @@
 from rackswitch.standins.kv_store import KvStore
 
 
-def test_an_owner_lists_what_others_may_have_read_before_its_append_is_settled():
+def test_an_owner_serves_a_segment_whose_append_is_unconfirmed():
     async def scenario(fleet):
         append = JobStore.append
         written = []
@@ -31,7 +31,7 @@
     play(scenario)
 
 
-def test_results_that_went_along_with_an_unanswered_claim_may_be_kept_too():
+def test_results_of_an_unanswered_claim_count_as_an_unconfirmed_append():
     async def scenario():
         kv = KvStore()
         job_manager = make_job_manager("a", kv)
