--- a/rackswitch/gateway/jobs/hand_over_sender.py
+++ b/rackswitch/gateway/jobs/hand_over_sender.py
@@ -132,7 +132,7 @@
     def _candidates(self) -> list[SuccessorCandidate]:
         context = self._context
         open_items = self._known.open_items()
-        newest = self._known.last_submit_unix_seconds()
+        last_submits = self._known.last_submit_unix_seconds()
         now_unix_seconds = context.unix_seconds()
         return [
             SuccessorCandidate(
@@ -140,7 +140,7 @@
                     name,
                     context.room_of(name),
                     open_items[name],
-                    now_unix_seconds - newest.get(name, float("-inf")),
+                    now_unix_seconds - last_submits.get(name, float("-inf")),
                     is_renewed(
                         context.process_start(name),
                         context.process_started_unix_seconds,
--- a/rackswitch/gateway/jobs/job_checkpoints.py
+++ b/rackswitch/gateway/jobs/job_checkpoints.py
@@ -72,7 +72,7 @@
     # Checkpoints of owned jobs
 
     def store_due(self, owned_jobs: Iterable[OwnedJob]) -> None:
-        """Store checkpoints that are due of owned jobs with long unfinished texts."""
+        """Store checkpoints of owned jobs with long unfinished texts, at intervals."""
         if not self._context.policy.texts_kept:
             return
         now_seconds = self._context.now_seconds()
@@ -134,23 +134,23 @@
         owner_revision : int
             Revision of this daemon's claim.
         writer : str or None, optional
-            Daemon that wrote the stored checkpoint. It is taken for the former owner if no former
-            owner is known, as in a process that started during an outage.
+            Daemon that wrote the stored checkpoint, used if no former owner is known, as in a
+            process that started during an outage.
 
         Returns
         -------
         JobCheckpoint or None
             None if there is no other former owner, it does not reply, or it does not run the job.
         """
-        former = self._known.former_owner(job_key_part(job_id)) or writer
-        if former is None or former == self._context.daemon_name:
+        former_owner = self._known.former_owner(job_key_part(job_id)) or writer
+        if former_owner is None or former_owner == self._context.daemon_name:
             return None
-        return await self._ask(
-            former, pb.YieldJobRequest(job_id=job_id, owner_revision=owner_revision)
+        return await self._request_release(
+            former_owner, pb.YieldJobRequest(job_id=job_id, owner_revision=owner_revision)
         )
 
     async def fetch_from_sender(
-        self, former: str, job_id: str, owner_revision: int
+        self, sender: str, job_id: str, owner_revision: int
     ) -> JobCheckpoint | None:
         """Have the daemon that hands a job over release it, and return the final checkpoint."""
         request = pb.YieldJobRequest(
@@ -158,14 +158,16 @@
             owner_revision=owner_revision,
             daemon=self._context.daemon_name,
         )
-        return await self._ask(former, request)
+        return await self._request_release(sender, request)
 
-    async def _ask(self, former: str, request: pb.YieldJobRequest) -> JobCheckpoint | None:
-        entry = self._context.member_entries.get(former)
+    async def _request_release(
+        self, former_owner: str, request: pb.YieldJobRequest
+    ) -> JobCheckpoint | None:
+        entry = self._context.member_entries.get(former_owner)
         if entry is None:
             return None
         reply = await self._context.daemon.links.call(
-            member_address(former, entry),
+            member_address(former_owner, entry),
             lambda stub: stub.YieldJob,
             request,
             YIELD_TIMEOUT_SECONDS,
--- a/rackswitch/gateway/jobs/job_claims.py
+++ b/rackswitch/gateway/jobs/job_claims.py
@@ -66,7 +66,7 @@
         "_known",
         "_next_probe_seconds",
         "_orphans",
-        "_owner_starts",
+        "_owner_process_starts",
         "_session",
         "_store",
     )
@@ -90,7 +90,7 @@
         self._jobs = jobs
         self._checkpoints = checkpoints
         self._orphans = orphans
-        self._owner_starts: dict[str, float | None] = {}
+        self._owner_process_starts: dict[str, float | None] = {}
         self._next_probe_seconds = float("-inf")
 
     # Events of the key-value service's watch
@@ -98,11 +98,11 @@
     def owner_put(self, key_part: str, owner: JobOwner) -> None:
         """Record a job's owner and the start time of the owner's process."""
         self._orphans.owned(key_part)
-        self._owner_starts[key_part] = self._context.process_start(owner.daemon)
+        self._owner_process_starts[key_part] = self._context.process_start(owner.daemon)
 
     def record_marker_deleted(self, key: str) -> None:
         """Remove what is recorded for a deleted job."""
-        self._owner_starts.pop(key.removeprefix(JOBS_PREFIX), None)
+        self._owner_process_starts.pop(key.removeprefix(JOBS_PREFIX), None)
 
     def owner_deleted(self, key: str) -> None:
         """Record that a job has no owner."""
@@ -171,12 +171,12 @@
         if this process has never seen an owner, unless an outage has just ended: a live owner
         would have claimed the job again by then.
         """
-        former = self._known.former_owner(key_part)
-        if former is None:
+        former_owner = self._known.former_owner(key_part)
+        if former_owner is None:
             return not (self._has_just_recovered() and self._context.policy.jobs_handed_over)
-        if self._context.daemon.membership.is_leaving(former):
+        if self._context.daemon.membership.is_leaving(former_owner):
             return True
-        return self._context.process_start(former) != self._owner_starts.get(key_part)
+        return self._context.process_start(former_owner) != self._owner_process_starts.get(key_part)
 
     def _has_just_recovered(self) -> bool:
         """Return whether an outage of the key-value service has ended a moment ago."""
@@ -222,18 +222,18 @@
     async def reclaim(self, key_part: str, owner: JobOwner) -> None:
         """Claim a job of an earlier process of this daemon, which has ended, in one write.
 
-        If that is not possible, the earlier process's lease is revoked so that others can claim
-        the job. After an outage the lease is always revoked, since the earlier process may have
-        handed the job over during it.
+        If that is not possible, the earlier process's lease is ended so that others can claim the
+        job. Right after an outage it is always ended, since the earlier process may have handed the
+        job over during the outage.
         """
         job_id = self._known.job_id_of(key_part)
         if job_id is not None and self._may_reclaim(job_id):
             self._jobs.incoming.add(job_id)
             try:
-                taken = await self._claim_from_predecessor(job_id, owner.revision)
+                is_claimed = await self._claim_from_predecessor(job_id, owner.revision)
             finally:
                 self._jobs.incoming.discard(job_id)
-            if taken:
+            if is_claimed:
                 return
         await self._session.end_predecessors(owner.lease_id)
 
--- a/rackswitch/gateway/jobs/job_placer.py
+++ b/rackswitch/gateway/jobs/job_placer.py
@@ -74,7 +74,7 @@
         if not self._context.policy.jobs_gathered or self._context.contact.is_away:
             return self._context.daemon_name
         open_items = self._job_manager.known.open_items()
-        newest = self._job_manager.known.last_submit_unix_seconds()
+        last_submits = self._job_manager.known.last_submit_unix_seconds()
         restarted = self._restarted_daemons()
         zone = self._context.settings.zone
         candidates = [
@@ -82,7 +82,7 @@
                 name,
                 self._context.room_of(name),
                 open_items[name],
-                idle_seconds=job.submitted_at_unix_seconds - newest.get(name, float("-inf")),
+                idle_seconds=job.submitted_at_unix_seconds - last_submits.get(name, float("-inf")),
                 is_renewed=name in restarted,
             )
             for name, member_zone in self._context.daemon.membership.live_zones()
--- a/rackswitch/gateway/jobs/job_reader.py
+++ b/rackswitch/gateway/jobs/job_reader.py
@@ -192,10 +192,10 @@
             except TimeoutError:
                 break
         # Readers at other daemons may have read an unconfirmed segment already.
-        may_be_more = owned.appending.locked() or owned.append_is_unknown
+        has_unconfirmed_append = owned.appending.locked() or owned.append_is_unknown
         # If the job was released meanwhile, the caller reads it elsewhere at once.
         is_certain = self._session.is_sure() and (owned.may_serve_results or ledger.ended)
-        if len(ledger.listed) <= position and (may_be_more or not is_certain):
+        if len(ledger.listed) <= position and (has_unconfirmed_append or not is_certain):
             return None
         return ResultsPage(
             ledger.total, _page(ledger.listed, position), "owner", len(ledger.listed)
--- a/rackswitch/gateway/jobs/known_jobs.py
+++ b/rackswitch/gateway/jobs/known_jobs.py
@@ -45,11 +45,11 @@
         The jobs by identity. Ended ones are included until their markers are deleted.
     """
 
-    __slots__ = ("_former", "_owners", "jobs")
+    __slots__ = ("_former_owners", "_owners", "jobs")
 
     def __init__(self) -> None:
         self._owners: dict[str, JobOwner] = {}
-        self._former: dict[str, str] = {}
+        self._former_owners: dict[str, str] = {}
         self.jobs: dict[str, KnownJob] = {}
 
     def marker(self, job_id: str) -> JobMarker | None:
@@ -75,11 +75,11 @@
     def marker_deleted(self, key: str) -> list[str]:
         """Apply the deletion of a marker; return the jobs that are removed with it."""
         key_part = key.removeprefix(JOBS_PREFIX)
-        forgotten = [job_id for job_id in self.jobs if job_key_part(job_id) == key_part]
-        for job_id in forgotten:
+        removed_ids = [job_id for job_id in self.jobs if job_key_part(job_id) == key_part]
+        for job_id in removed_ids:
             del self.jobs[job_id]
-        self._former.pop(key_part, None)
-        return forgotten
+        self._former_owners.pop(key_part, None)
+        return removed_ids
 
     def created(self, marker: JobMarker, revision: int) -> None:
         """Record a job that was just created, unless the watch has reported it."""
@@ -102,15 +102,15 @@
 
     def last_submit_unix_seconds(self) -> dict[str, float]:
         """Return the submit time of the newest job of each current or former owner."""
-        newest: dict[str, float] = {}
+        last_submits: dict[str, float] = {}
         for job_id, known in self.jobs.items():
             key_part = job_key_part(job_id)
             owner = self._owners.get(key_part)
-            daemon = owner.daemon if owner is not None else self._former.get(key_part)
+            daemon = owner.daemon if owner is not None else self._former_owners.get(key_part)
             if daemon is not None:
-                at_seconds = known.marker.submitted_at_unix_seconds
-                newest[daemon] = max(newest.get(daemon, 0.0), at_seconds)
-        return newest
+                submitted_seconds = known.marker.submitted_at_unix_seconds
+                last_submits[daemon] = max(last_submits.get(daemon, 0.0), submitted_seconds)
+        return last_submits
 
     def record_ended(self, marker: JobMarker) -> None:
         """Record that a job was just ended."""
@@ -135,11 +135,11 @@
         key_part = key.removeprefix(OWNERS_PREFIX)
         owner = self._owners.pop(key_part, None)
         if owner is not None:
-            self._former[key_part] = owner.daemon
+            self._former_owners[key_part] = owner.daemon
 
     def former_owner(self, key_part: str) -> str | None:
         """Return the last owner of a job whose owner key was deleted, if that is known."""
-        return self._former.get(key_part)
+        return self._former_owners.get(key_part)
 
     def oldest_usable_version(self, model: str) -> int:
         """Return the oldest version of a model that all open jobs may use; 0 if none is open."""
--- a/rackswitch/gateway/jobs/local_job_claims.py
+++ b/rackswitch/gateway/jobs/local_job_claims.py
@@ -16,7 +16,7 @@
 
 __all__ = ["LocalJobClaims"]
 
-RETRY_SECONDS = 0.15
+RETRY_DELAY_SECONDS = 0.15
 """Delay after an unanswered claim. Finished results are to be listed within 0.3 s of the end of an
 outage."""
 
@@ -68,43 +68,47 @@
         A job that was handed over without a claim may still have the sender's owner key, or none
         if the sender's lease has expired.
         """
-        fences = (owned.owner_revision, 0) if owned.awaits_claim else (0,)
-        for fence in fences:
-            if await self._write_claim(owned, fence) != 0:
+        expected_revisions = (owned.owner_revision, 0) if owned.awaits_claim else (0,)
+        for expected_revision in expected_revisions:
+            if await self._write_claim(owned, expected_revision) != 0:
                 return
         await self.resolve_refused_claim(owned.ledger.job.job_id)
 
     async def _write_claim(
-        self, owned: OwnedJob, fence: int, with_results: bool = True
+        self, owned: OwnedJob, expected_revision: int, with_results: bool = True
     ) -> int | None:
         """Try one claim; return the owner revision, 0 if refused, None if unanswered."""
         if not with_results or owned.appending.locked():
-            claimed = await self._claim_on_lease(owned, fence, None, [])
+            claimed = await self._claim_on_lease(owned, expected_revision, None, [])
         else:
             async with owned.appending:
                 position, results = owned.ledger.next_segment()
-                claimed = await self._claim_on_lease(owned, fence, position, results)
+                claimed = await self._claim_on_lease(owned, expected_revision, position, results)
                 if claimed and results:
                     self._appender.record_stored_segment(owned, position, results)
                 elif claimed is None and results:
                     # The write may have taken effect, so others may read the results.
                     owned.append_is_unknown = True
         if claimed is None:
-            next_attempt_seconds = self._context.now_seconds() + RETRY_SECONDS
+            next_attempt_seconds = self._context.now_seconds() + RETRY_DELAY_SECONDS
             self._orphans.retry(job_key_part(owned.ledger.job.job_id), next_attempt_seconds)
         return claimed
 
     async def _claim_on_lease(
-        self, owned: OwnedJob, fence: int, position: int | None, results: list[JobResult]
+        self,
+        owned: OwnedJob,
+        expected_revision: int,
+        position: int | None,
+        results: list[JobResult],
     ) -> int | None:
         job_id = owned.ledger.job.job_id
         marker_revision = self._known.marker_revision(job_id)
-        if not marker_revision and not fence:
+        if not marker_revision and not expected_revision:
             return None
         claimed = await write_on_lease(
             self._session,
             lambda lease_id: self._store.claim_and_append(
-                job_id, fence, marker_revision, lease_id, position, results
+                job_id, expected_revision, marker_revision, lease_id, position, results
             ),
         )
         if not isinstance(claimed, int):
--- a/rackswitch/gateway/jobs/result_appender.py
+++ b/rackswitch/gateway/jobs/result_appender.py
@@ -15,7 +15,7 @@
 
 __all__ = ["ResultAppender"]
 
-APPEND_RETRY_SECONDS = 0.25
+APPEND_RETRY_DELAY_SECONDS = 0.25
 """Delay after a failed append."""
 
 
@@ -74,7 +74,7 @@
     def _catch_up_if_due(self, owned: OwnedJob, now_seconds: float) -> None:
         is_due = owned.may_miss_results and now_seconds >= owned.next_append_seconds
         if is_due and self._session.is_sure():
-            owned.next_append_seconds = now_seconds + APPEND_RETRY_SECONDS
+            owned.next_append_seconds = now_seconds + APPEND_RETRY_DELAY_SECONDS
             self._context.daemon.spawn(self._catch_up(owned))
 
     async def _catch_up(self, owned: OwnedJob) -> None:
@@ -137,9 +137,9 @@
             # The owner key is deleted or another daemon's: a new claim resolves that.
             owned.may_miss_results = True
             self._orphans.orphaned(job_key_part(job_id), now_seconds)
-            owned.next_append_seconds = now_seconds + APPEND_RETRY_SECONDS
+            owned.next_append_seconds = now_seconds + APPEND_RETRY_DELAY_SECONDS
         else:
-            owned.next_append_seconds = now_seconds + APPEND_RETRY_SECONDS
+            owned.next_append_seconds = now_seconds + APPEND_RETRY_DELAY_SECONDS
         self._log(owned, position, segment, type(outcome).__name__)
         return isinstance(outcome, Appended)
 
--- a/rackswitch/gateway/jobs/tests/fault_injection_run.py
+++ b/rackswitch/gateway/jobs/tests/fault_injection_run.py
@@ -54,7 +54,7 @@
 REPLICA_INTERVAL_SECONDS = 0.3
 FAULT_DURATION_SECONDS = (0.5, 7.0)
 FAULT_FREE_SECONDS = (0.2, 2.0)
-READ_SECONDS = 0.4
+READ_INTERVAL_SECONDS = 0.4
 FAULTS = ("crash", "freeze", "cut off", "lapse", "lost_answer", "late_effect", "lost_request")
 FAULTS_WITH_STOPS = (*FAULTS, "stop", "stop", "stop", "outage")
 STOP_GRACE_SECONDS = 6.0
@@ -354,7 +354,7 @@
         """Read as trainers do, from owners with a valid lease and from the key-value service."""
         reader = JobStore(make_gateway_context("reader", self.kv))
         while True:
-            await asyncio.sleep(READ_SECONDS * self.rng.random())
+            await asyncio.sleep(READ_INTERVAL_SECONDS * self.rng.random())
             for job in self.jobs:
                 for process in self.processes.values():
                     owned = process.job_manager.owned.get(job.job_id)
--- a/rackswitch/gateway/jobs/tests/hand_over_fleet.py
+++ b/rackswitch/gateway/jobs/tests/hand_over_fleet.py
@@ -24,7 +24,7 @@
 from rackswitch.platform.item_runs import ItemRunEnd, ItemRunEnded
 from rackswitch.standins.kv_store import KvStore
 
-PIECE_SECONDS = 0.04
+PIECE_INTERVAL_SECONDS = 0.04
 FULL_LOAD_ITEMS = ENGINES * SLOTS
 
 
@@ -37,7 +37,7 @@
         self.running: dict[str, int] = defaultdict(int)
         self.max_concurrent_runs = 0
 
-    def pieces_made_twice(self) -> int:
+    def repeated_pieces(self) -> int:
         """Return the number of pieces that were generated more than once."""
         return sum(
             len(generated) - len({number for number, _, _ in generated})
@@ -47,7 +47,7 @@
     def longest_stall_seconds(self) -> float:
         """Return the longest interval between two pieces of an item, minus the regular interval."""
         stalls = [
-            later - earlier - PIECE_SECONDS
+            later - earlier - PIECE_INTERVAL_SECONDS
             for generated in self.generated.values()
             for (_, earlier, _), (_, later, _) in pairwise(generated)
         ]
@@ -68,7 +68,7 @@
         engines.max_concurrent_runs = max(engines.max_concurrent_runs, engines.running[item_id])
         try:
             while progress.last_number < engines.pieces:
-                await asyncio.sleep(PIECE_SECONDS)
+                await asyncio.sleep(PIECE_INTERVAL_SECONDS)
                 number = progress.last_number + 1
                 at_seconds = asyncio.get_running_loop().time()
                 engines.generated[item_id].append((number, at_seconds, self._context.daemon_name))
--- a/rackswitch/gateway/jobs/tests/test_hand_over.py
+++ b/rackswitch/gateway/jobs/tests/test_hand_over.py
@@ -23,9 +23,9 @@
 MAX_STALL_SECONDS = 0.3
 
 
-def run_with_fleet(scenario, **sizes):
+def run_with_fleet(scenario, **fleet_options):
     async def run():
-        fleet = HandOverFleet(**sizes)
+        fleet = HandOverFleet(**fleet_options)
         await asyncio.sleep(1.0)
         try:
             async with asyncio.timeout(300.0):
@@ -47,7 +47,7 @@
             assert fleet.owners(job.job_id) in (["b"], ["c"])
         for job in jobs:
             await fleet.wait_complete(job)
-        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.repeated_pieces() == 0
         assert fleet.engines.longest_stall_seconds() <= MAX_STALL_SECONDS
 
     run_with_fleet(scenario)
@@ -62,7 +62,7 @@
             await fleet.processes[name].stop()
             fleet.start(name)
         await fleet.wait_complete(job)
-        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.repeated_pieces() == 0
         assert fleet.engines.longest_stall_seconds() <= MAX_STALL_SECONDS
 
     run_with_fleet(scenario, names="abcd")
@@ -151,7 +151,7 @@
         await asyncio.sleep(0.3)
         assert fleet.owners() == [worker]
         assert len(await fleet.listed()) == len(job.items)
-        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.repeated_pieces() == 0
         assert fleet.engines.longest_stall_seconds() <= MAX_STALL_SECONDS
 
     run_with_fleet(scenario)
@@ -192,7 +192,7 @@
         fleet.set_service_down(False)
         await fleet.wait_complete(job)
         assert fleet.owners() == ["a"]
-        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.repeated_pieces() == 0
 
     run_with_fleet(scenario)
 
@@ -214,7 +214,7 @@
             await asyncio.sleep(1.0)
         fleet.set_service_down(False)
         await fleet.wait_complete(job)
-        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.repeated_pieces() == 0
         assert fleet.engines.max_concurrent_runs == 1
 
     run_with_fleet(scenario)
@@ -236,11 +236,11 @@
             self._kill(message.daemon)
         if self.killed and message_sender(message) == self.killed:
             await asyncio.sleep(3600.0)
-        may_reply = await self._links.call(peer, method, message, timeout_seconds, stub_kind)
+        reply = await self._links.call(peer, method, message, timeout_seconds, stub_kind)
         if isinstance(message, pb.YieldJobRequest) and not self.killed:
             self._kill(message.daemon)
             await asyncio.sleep(3600.0)
-        return may_reply
+        return reply
 
     def _kill(self, name):
         if not self.killed:
@@ -270,7 +270,7 @@
         await fleet.wait_complete(job)
         assert fleet.owners() == [survivor]
         if kill_when == "before it claims":
-            assert fleet.engines.pieces_made_twice() == 0
+            assert fleet.engines.repeated_pieces() == 0
 
     run_with_fleet(scenario)
 
@@ -286,7 +286,7 @@
         assert fleet.owners("k") == ["c"]
         for job in jobs:
             await fleet.wait_complete(job)
-        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.repeated_pieces() == 0
 
     run_with_fleet(scenario)
 
@@ -306,7 +306,7 @@
         (next_successor,) = set("bc") - {successor}
         assert fleet.owners() == [next_successor]
         await fleet.wait_complete(job)
-        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.repeated_pieces() == 0
 
     run_with_fleet(scenario)
 
@@ -321,7 +321,7 @@
         for name in "ab":
             fleet.start(name)
         await fleet.wait_complete(job)
-        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.repeated_pieces() == 0
 
     run_with_fleet(scenario, names="ab")
 
@@ -379,7 +379,7 @@
         await stopping
         assert "a" not in fleet.workers()
         await fleet.wait_complete(job)
-        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.repeated_pieces() == 0
 
     run_with_fleet(scenario)
 
@@ -398,7 +398,7 @@
         assert reply.service_away
         assert fleet.owners() == ["a"]
         await fleet.wait_complete(job)
-        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.repeated_pieces() == 0
 
     run_with_fleet(scenario)
 
@@ -441,7 +441,7 @@
         await fleet.processes["a"].stop()
         assert "control/owners/j" not in fleet.kv.keys
         await fleet.wait_complete(job)
-        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.repeated_pieces() == 0
 
     run_with_fleet(scenario)
 
@@ -515,7 +515,7 @@
         await fleet.processes["a"].context.daemon.cancel_all()
         fleet.set_service_down(False)
         await fleet.wait_complete(job)
-        assert fleet.engines.pieces_made_twice() == 0
+        assert fleet.engines.repeated_pieces() == 0
 
     run_with_fleet(scenario, names="ab")
 
--- a/rackswitch/gateway/jobs/tests/test_hand_over_machine.py
+++ b/rackswitch/gateway/jobs/tests/test_hand_over_machine.py
@@ -88,8 +88,8 @@
 
     @rule(name=st.sampled_from(DAEMONS), suspended=st.booleans())
     def daemon_is_suspended_or_resumed(self, name: str, suspended: bool) -> None:
-        runs = self.fleet.processes[name].kv.running
-        runs.clear() if suspended else runs.set()
+        running = self.fleet.processes[name].kv.running
+        running.clear() if suspended else running.set()
 
     @rule(service_down=st.booleans(), leases_end=st.booleans())
     def service_goes_down_or_recovers(self, service_down: bool, leases_end: bool) -> None:
--- a/rackswitch/gateway/jobs/tests/test_job_store.py
+++ b/rackswitch/gateway/jobs/tests/test_job_store.py
@@ -41,7 +41,7 @@
 def test_a_job_without_a_valid_lease_is_not_stored():
     async def scenario():
         kv = KvStore()
-        # Guards against an outcome of JobKnown here.
+        # Guards against JobKnown, by which the submitter would assume that the job is stored.
         outcome = await make_store("a", kv).create(make_job(), 77)
         assert isinstance(outcome, JobNotStored)
         assert kv.keys == {}
