--- a/rackswitch/platform/__init__.py
+++ b/rackswitch/platform/__init__.py
@@ -1,12 +1,12 @@
-"""The operator platform: its names, formats and calls, and nothing that decides.
+"""Adapter to the operator platform: its names, formats and calls, without any decisions.
 
-Everything that the platform sends is decoded here, once, into types of the other
-subpackages; nothing outside this folder knows a header, key, path or field of it.
+Data from the platform is decoded here into the types of the other subpackages. No other folder
+depends on the platform's headers, keys, paths or fields.
 
-- `names`: headers, paths and keys; `settings`: the file that each process gets;
+- `names`: headers, paths and keys; `settings`: the settings file of each process;
 - `ingress` and `job_calls`: what callers and trainers send;
 - `desired_state` and `servers`: what operators, trainers and targets write;
 - `store` and `store_messages`: the key-value service;
-- `connections`, `answers`, `target_calls`, `item_runs`, `events` and `orders`: calls of
+- `connections`, `answers`, `target_calls`, `item_runs`, `events` and `orders`: calls to
   engines and plain services.
 """
--- a/rackswitch/platform/answers.py
+++ b/rackswitch/platform/answers.py
@@ -1,4 +1,4 @@
-"""What the head of a target's answer says, and what is passed on of a call and its answer."""
+"""Checks of an answer's status and headers, and the headers that are forwarded."""
 
 import aiohttp
 from multidict import CIMultiDictProxy
@@ -7,17 +7,17 @@
 from rackswitch.requests import TargetFailed
 
 __all__ = [
-    "OTHER_TARGET_STATUS",
+    "MISDIRECTED_STATUS",
     "close_connection",
     "end_to_end_headers",
-    "refusal_or_fault",
+    "check_answer_head",
     "release_or_close",
 ]
 
-OTHER_TARGET_STATUS = 421
-"""By which a target says that the one expected is not there."""
+MISDIRECTED_STATUS = 421
+"""Status with which a target reports that the expected instance is not at its address."""
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -30,13 +30,13 @@
         "expect",
     )
 )
-"""Headers that concern one connection only (RFC 9110, section 7.6.1), with those that the
-client library sets for the body it sends."""
+"""Headers that apply to a single connection (RFC 9110, section 7.6.1), and those that the client
+library sets for the body it sends."""
 
 
-def refusal_or_fault(answer: aiohttp.ClientResponse, request_id: str) -> TargetFailed | None:
-    """Return why an answer's head shows that the call was not served, or None."""
-    if answer.status == OTHER_TARGET_STATUS:
+def check_answer_head(answer: aiohttp.ClientResponse, request_id: str) -> TargetFailed | None:
+    """Return the failure that an answer's status and headers show, or None."""
+    if answer.status == MISDIRECTED_STATUS:
         return TargetFailed(False, "another target has the address", not_there=True)
     if NOT_RUN_HEADER in answer.headers:
         return TargetFailed(False, f"the target did not begin: status {answer.status}")
@@ -52,25 +52,25 @@
 
 
 async def release_or_close(answer: aiohttp.ClientResponse, request_id: str) -> None:
-    """Keep the connection of an answer by which its target itself refused, or close it.
+    """Return the connection of a target's own refusal to the pool; close any other connection.
 
-    Busy engines refuse often, and each refusal would else cost a connection. What may still come
-    on any other connection belongs to nobody. To be called within the time limit of the call.
+    Busy engines refuse often, so reusing the connection saves a new one per refusal. Other
+    connections may still carry bytes of another answer. Call this within the call's timeout.
     """
-    fault = refusal_or_fault(answer, request_id)
+    fault = check_answer_head(answer, request_id)
     refused = fault is not None and not fault.may_have_run
-    own_word = answer.headers.get(REQUEST_ID_HEADER) == request_id
-    if refused and own_word and "Content-Length" in answer.headers:
+    answers_request = answer.headers.get(REQUEST_ID_HEADER) == request_id
+    if refused and answers_request and "Content-Length" in answer.headers:
         await answer.read()
     else:
         close_connection(answer)
 
 
 def close_connection(answer: aiohttp.ClientResponse) -> None:
-    """Close the connection that an answer came on, also if its body is already here.
+    """Close the connection of an answer, even if its body has been received.
 
-    Once the body is here the library takes the connection for free, whatever the answer was. Where
-    that belonged to another request, each further request would get the answer of the one before.
+    The library returns a connection to the pool once the body is complete. If the answer belonged
+    to another request, each later request on it would receive the answer to the previous one.
     """
     answer.close()
     protocol = answer._protocol
@@ -81,6 +81,6 @@
 def end_to_end_headers(
     headers: CIMultiDictProxy[str] | tuple[tuple[str, str], ...],
 ) -> tuple[tuple[str, str], ...]:
-    """Return the headers that go past a connection, in their order."""
+    """Return the end-to-end headers, in their order."""
     pairs = headers if isinstance(headers, tuple) else headers.items()
-    return tuple((name, value) for name, value in pairs if name.lower() not in HOP_BY_HOP)
+    return tuple((name, value) for name, value in pairs if name.lower() not in HOP_BY_HOP_HEADERS)
--- a/rackswitch/platform/caller_headers.py
+++ b/rackswitch/platform/caller_headers.py
@@ -1,4 +1,4 @@
-"""Which of a caller's headers reach an engine."""
+"""Selection of the caller's headers that are forwarded to a target."""
 
 from multidict import CIMultiDict
 
@@ -10,17 +10,17 @@
 
 
 def headers_for_target(headers: tuple[tuple[str, str], ...], caller: Caller) -> CIMultiDict[str]:
-    """Return the headers to send on, before those of this system are set.
+    """Return the headers to forward, without those that this system sets for each call.
 
-    A key is for this system alone, and only this system names the tenant: whatever the caller
-    sent under these names, in any case and any number, stays here.
+    API keys are not forwarded, and the tenant header is set by this system only. All headers of
+    the caller with these names are removed, in any letter case and number.
 
     Parameters
     ----------
     headers : tuple of (str, str)
-        As the caller sent them with its request or with an item.
+        Headers of the caller's request or item.
     caller : Caller
-        Who sent them.
+        The caller that sent them.
     """
     sent = CIMultiDict(end_to_end_headers(headers))
     sent.popall(TENANT_HEADER, None)
--- a/rackswitch/platform/connections.py
+++ b/rackswitch/platform/connections.py
@@ -8,38 +8,39 @@
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-from rackswitch.platform.answers import OTHER_TARGET_STATUS
-from rackswitch.platform.load_header import load_word_of
+from rackswitch.platform.answers import MISDIRECTED_STATUS
+from rackswitch.platform.load_header import parse_load_report
 from rackswitch.platform.names import REQUEST_ID_HEADER
 from rackswitch.routing import ListedTarget, ReportedLoad
 
-__all__ = ["TargetSessions", "WordHeard"]
+__all__ = ["TargetSessions", "LoadReportCallback"]
 
-WordHeard = Callable[[ListedTarget, ReportedLoad], None]
-"""Takes in what a target says of its load."""
+LoadReportCallback = Callable[[ListedTarget, ReportedLoad], None]
+"""Receives each load report of a target."""
 
 CONNECT_TIMEOUT_SECONDS = 0.5
-"""A new connection takes 1 ms and two network delays; an engine whose queue of new
-connections is full drops the first packet, which is sent again after a second."""
+"""Shorter than a TCP retransmission (1 s), which follows if the target's backlog is full."""
 
-UNTOLD_KEPT_SECONDS = 4.0
-"""How long an unused connection is kept while no target has told how long it keeps its own; a
-request on a connection that is just being closed is lost."""
+DEFAULT_KEEP_ALIVE_SECONDS = 4.0
+"""Keep-alive timeout of unused connections until a target has sent its own.
 
-CLOSING_MARGIN_SECONDS = 1.0
-"""How much earlier than the targets this daemon closes: they tell whole seconds, and a request
-takes its time to arrive. A larger margin would open more new connections."""
+A request on a connection that the target is closing is lost."""
 
-KEEP_ALIVE_SECONDS = re.compile(r"timeout=(\d{1,4})")
+KEEP_ALIVE_MARGIN_SECONDS = 1.0
+"""How much earlier than the target this daemon closes an unused connection.
 
-SKIPPED_DEFAULTS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
-"""Headers that the client library would add by itself."""
+It covers the rounding to whole seconds in the target's header and the network delay."""
+
+KEEP_ALIVE_TIMEOUT_PATTERN = re.compile(r"timeout=(\d{1,4})")
+
+SKIPPED_AUTO_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
+"""Headers that the client library would otherwise add."""
 
 
 class _CheckedResponseHandler(ResponseHandler):
-    """Tells a body that ends with its connection from one that was reset.
+    """Raises an error if the connection is reset within a body.
 
-    The library takes both for the body's end.
+    The library treats both a close and a reset as the end of a body without a length.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -50,79 +51,81 @@
 
 
 class TargetSessions:
-    """Connections to targets: kept ones, and single-use ones for what must run once.
+    """Connections to targets: pooled, and single-use for calls that must not be repeated.
 
     Parameters
     ----------
     word_heard : callable, optional
-        Told of each word of a target about its load.
+        Called with each load report of a target.
 
     Attributes
     ----------
     kept_seconds : float
-        How long an unused connection is kept.
+        Keep-alive timeout of unused connections.
     """
 
     __slots__ = (
-        "_kept_connector",
-        "_told_seconds",
-        "_word_heard",
-        "kept",
+        "_pooled_connector",
+        "_keep_alive_seconds_by_service",
+        "_on_load_report",
+        "pooled",
         "kept_seconds",
         "single_use",
     )
 
-    def __init__(self, word_heard: WordHeard | None = None) -> None:
-        self._word_heard = word_heard
-        self.kept_seconds = UNTOLD_KEPT_SECONDS
-        self._told_seconds: dict[str, float] = {}
-        self._kept_connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=self.kept_seconds)
-        self.kept = _session(self._kept_connector)
+    def __init__(self, on_load_report: LoadReportCallback | None = None) -> None:
+        self._on_load_report = on_load_report
+        self.kept_seconds = DEFAULT_KEEP_ALIVE_SECONDS
+        self._keep_alive_seconds_by_service: dict[str, float] = {}
+        self._pooled_connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=self.kept_seconds)
+        self.pooled = _session(self._pooled_connector)
         self.single_use = _session(aiohttp.TCPConnector(limit=0, force_close=True))
 
-    def heard(self, target: ListedTarget, answer: aiohttp.ClientResponse, request_id: str) -> None:
-        """Learn from the head of a target's answer to a request."""
-        self._learn_keeping(target.service, answer)
+    def record_response(
+        self, target: ListedTarget, answer: aiohttp.ClientResponse, request_id: str
+    ) -> None:
+        """Record the keep-alive timeout and load report in the headers of a target's answer."""
+        self._record_keep_alive(target.service, answer)
         if answer.headers.get(REQUEST_ID_HEADER, request_id) == request_id:
-            self.heard_load(target, answer)
+            self.record_load_report(target, answer)
 
-    def heard_load(self, target: ListedTarget, answer: aiohttp.ClientResponse) -> None:
-        """Learn a target's load from its answer; one of another target tells nothing of it."""
-        if self._word_heard is None or answer.status == OTHER_TARGET_STATUS:
+    def record_load_report(self, target: ListedTarget, answer: aiohttp.ClientResponse) -> None:
+        """Record the load report in an answer, unless another target sent it."""
+        if self._on_load_report is None or answer.status == MISDIRECTED_STATUS:
             return
-        word = load_word_of(answer.headers, asyncio.get_running_loop().time())
-        if word is not None:
-            self._word_heard(target, word)
+        report = parse_load_report(answer.headers, asyncio.get_running_loop().time())
+        if report is not None:
+            self._on_load_report(target, report)
 
-    def _learn_keeping(self, service: str, answer: aiohttp.ClientResponse) -> None:
-        """Learn from an answer how long the targets of a service keep unused connections.
+    def _record_keep_alive(self, service: str, answer: aiohttp.ClientResponse) -> None:
+        """Record the keep-alive timeout that the targets of a service send.
 
-        What the least patient service tells holds for all: the library has one time for a pool.
+        The shortest one applies to all services, as the library has one timeout per pool.
         """
-        told = KEEP_ALIVE_SECONDS.search(answer.headers.get("Keep-Alive", ""))
-        if told is None:
+        match = KEEP_ALIVE_TIMEOUT_PATTERN.search(answer.headers.get("Keep-Alive", ""))
+        if match is None:
             return
-        seconds = max(0.0, int(told[1]) - CLOSING_MARGIN_SECONDS)
-        if self._told_seconds.get(service) == seconds:
+        seconds = max(0.0, int(match[1]) - KEEP_ALIVE_MARGIN_SECONDS)
+        if self._keep_alive_seconds_by_service.get(service) == seconds:
             return
-        self._told_seconds[service] = seconds
-        self.kept_seconds = min(self._told_seconds.values())
-        # The library takes this time at the start only, but looks it up at each use.
-        self._kept_connector._keepalive_timeout = self.kept_seconds
+        self._keep_alive_seconds_by_service[service] = seconds
+        self.kept_seconds = min(self._keep_alive_seconds_by_service.values())
+        # The library has no public way to change the timeout later, but reads it at each use.
+        self._pooled_connector._keepalive_timeout = self.kept_seconds
 
     def drop_unused(self) -> None:
-        """Close the connections that rest.
+        """Close the unused connections.
 
-        The library counts their rest by the steady clock, so after a suspension of the machine it
-        would send on connections that the targets have closed long since.
+        The library measures idle time by the monotonic clock, which stops while the VM is
+        suspended, so it would reuse connections that the targets have already closed.
         """
-        for kept in self._kept_connector._conns.values():
-            for protocol, _ in kept:
+        for connections in self._pooled_connector._conns.values():
+            for protocol, _ in connections:
                 protocol.close()
 
     async def close(self) -> None:
         """Close all connections."""
-        await asyncio.gather(self.kept.close(), self.single_use.close())
+        await asyncio.gather(self.pooled.close(), self.single_use.close())
 
 
 def _session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
@@ -133,6 +136,6 @@
         connector=connector,
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS),
         auto_decompress=False,
-        skip_auto_headers=SKIPPED_DEFAULTS,
+        skip_auto_headers=SKIPPED_AUTO_HEADERS,
         cookie_jar=aiohttp.DummyCookieJar(),
     )
--- a/rackswitch/platform/desired_state.py
+++ b/rackswitch/platform/desired_state.py
@@ -1,4 +1,4 @@
-"""What operators and trainers write to the platform's service, as our rows and types."""
+"""Decodes what operators and trainers write to the platform's key-value service."""
 
 from dataclasses import dataclass
 
@@ -38,9 +38,9 @@
 ]
 
 LIMITS_NAME = "callers"
-"""Name of the one row of callers' limits."""
+"""Name of the only row of callers' limits."""
 
-HANDLING_OF_KIND = {
+HANDLING_BY_KIND = {
     "safe": Handling.REPEATABLE,
     "unsafe": Handling.ONCE,
     "rollout": Handling.BATCH,
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedEntry:
-    """An entry of the platform that cannot be read; what was known before stays."""
+    """An entry of the platform that is malformed; the previous one stays in force."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class NamedVersion:
-    """A version of a model's weights that its trainer has named."""
+    """A version of a model's weights that its trainer has published."""
 
     model: str
     version: int
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetireOrder:
-    """An order to move everything that must last off a VM."""
+    """An order to move all durable data off a VM."""
 
     vm: str
 
@@ -85,13 +85,13 @@
     service: str | None = None
     split: list[_WireSplit] = []
     timeout_ms: float = 60_000
-    # The time within which an answer is wanted; not a limit.
+    # A latency target, not a timeout.
     goal_ms: float = 1_000
-    # For batch jobs: when all results are due, counted from the first submission.
+    # For batch jobs: deadline of all results, counted from the first submission.
     run_target_ms: float = 600_000
     keep_s: float = 3_600
     priority: int = 5
-    # Different engines that one request may be sent to; a repeat at the same one is free.
+    # Counts distinct engines; a retry at the same engine does not count.
     max_attempts: int = 1
     streaming: bool = False
     resumable: bool = False
@@ -109,11 +109,11 @@
 
 
 class _WireScaling(msgspec.Struct):
-    # Both count for each zone by itself, and for both kinds of engines together.
+    # Bounds per zone, for both kinds of engines together.
     min: int = 0
     max: int = 0
     boot_s: float = 0.0
-    # A share of the zone's price, not a price.
+    # A fraction of the price in `zone_prices`, not a price.
     spot_price: float = 1.0
     zone_prices: dict[str, float] = {}
 
@@ -135,7 +135,7 @@
 class _WireTenant(msgspec.Struct):
     name: str
     api_keys: list[str] = []
-    # Absent where the routes' own holds.
+    # If absent, the priority of the route applies.
     priority: int | None = None
 
 
@@ -165,17 +165,19 @@
     rows.extend(_service_row(service) for service in wire.services)
     rows.extend(_route_row(route) for route in wire.routes)
     tenants = [_tenant_row(tenant) for tenant in wire.tenants]
-    holders = shared_key(tenants)
-    if holders is not None:
-        # The key itself must not show up in a log line.
-        return MalformedEntry(f"`tenants`: {holders[0]!r} and {holders[1]!r} have one key")
+    sharing_tenants = shared_key(tenants)
+    if sharing_tenants is not None:
+        # The message is logged, so it must not contain the key.
+        return MalformedEntry(
+            f"`tenants`: {sharing_tenants[0]!r} and {sharing_tenants[1]!r} have one key in common"
+        )
     rows.extend(tenants)
     stored = {row_key(row): StoredRow(wire.version, row) for row in rows}
     return TableDocument(revision=wire.version, rows=stored)
 
 
 def decode_operator_entry(key: str, value: bytes) -> OperatorEntry | None:
-    """Return what an entry of the operators or trainers says; None if it concerns us not."""
+    """Return a decoded entry of the operators or trainers; None for a key that is not used here."""
     if key == CONFIG_KEY:
         return decode_desired_state(value)
     if key.startswith(VERSION_PREFIX):
@@ -194,7 +196,7 @@
 
 
 def encode_retired(vm: str) -> tuple[str, bytes]:
-    """Return key and value that say that a VM holds nothing more."""
+    """Return the key and value that report that a VM holds no more durable data."""
     return RETIRE_STATUS_PREFIX + vm, msgspec.json.encode({"state": "completed"})
 
 
@@ -238,19 +240,22 @@
 
 
 def _scaling_fault(services: list[_WireService]) -> str | None:
-    """Return why terms of scaling make no sense, naming the field, or None."""
+    """Return a message that names the invalid field of the scaling terms, or None."""
     for service in services:
         scaling = service.scaling
         if scaling is None:
             continue
-        at = f"`scaling` of {service.name!r}: "
+        location = f"`scaling` of {service.name!r}: "
         if not 0 <= scaling.min <= scaling.max:
-            return f"{at}`min` {scaling.min} and `max` {scaling.max} are no bounds"
+            return (
+                f"{location}`min` {scaling.min} and `max` {scaling.max} "
+                "must satisfy 0 <= min <= max"
+            )
         if scaling.spot_price < 0 or scaling.boot_s < 0:
-            return f"{at}`spot_price` and `boot_s` must not be negative"
+            return f"{location}`spot_price` and `boot_s` must not be negative"
         for zone, price in scaling.zone_prices.items():
             if price < 0:
-                return f"{at}`zone_prices` of {zone!r} is negative"
+                return f"{location}`zone_prices` of {zone!r} must not be negative"
     return None
 
 
@@ -264,8 +269,8 @@
         choices=tuple(choices),
         host=wire.host,
         path_prefix=wire.path_prefix,
-        # A kind that is not known here is treated with the most care.
-        handling=HANDLING_OF_KIND.get(wire.kind, Handling.ONCE),
+        # Requests of an unknown kind are never repeated.
+        handling=HANDLING_BY_KIND.get(wire.kind, Handling.ONCE),
         timeout_seconds=wire.timeout_ms / 1000,
         goal_seconds=wire.goal_ms / 1000,
         caller_class=max(0, wire.priority),
--- a/rackswitch/platform/duty_calls.py
+++ b/rackswitch/platform/duty_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the operators' API that one daemon at a time makes."""
+"""Calls to the operators' API, made by one daemon of the fleet at a time."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,30 +14,29 @@
 __all__ = ["DutyAnswer", "DutyClient", "DutyOutcome", "Holder"]
 
 CALL_TIMEOUT_SECONDS = 1.0
-"""An answer takes some 10 ms on a calm day; a call that was lost is made again, and its turn is
-over by then."""
+"""A lost call is repeated, and only after this time."""
 
 
 class DutyOutcome(Enum):
-    """What became of a call."""
+    """Outcome of a call."""
 
     TAKEN = "taken"
     NONE_TO_BE_HAD = "none to be had"
-    """The platform has no more engines of the kind in the zone now."""
+    """The platform has no more engines of this kind in the zone at present."""
 
     BUSY = "busy"
-    """Too many calls, or the API is down for the moment; nothing was done."""
+    """Rate limit reached, or the API is temporarily unavailable; the call had no effect."""
 
     REFUSED = "refused"
-    """It will not be taken later either."""
+    """A permanent error; a retry would not succeed."""
 
     UNKNOWN = "unknown"
-    """No answer: it may have been taken, or may still be."""
+    """No usable answer; the call may have taken effect, or may still do so."""
 
 
 @dataclass(frozen=True, slots=True)
 class DutyAnswer:
-    """What became of a call, and a few words on it."""
+    """Outcome of a call, with a description."""
 
     outcome: DutyOutcome
     detail: str
@@ -45,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """Who makes a call, and the fencing number of its role."""
+    """The daemon that makes a call, and the fencing number of its role."""
 
     daemon: str
     fencing: int
@@ -57,10 +56,10 @@
     Parameters
     ----------
     url : str
-        Where the API is.
+        Address of the API.
     sessions : HttpSessions
-        Connections to use; each call takes one of its own, as a late one must not wait for
-        another's answer.
+        Connections to use. Each call opens a new one, so that it does not wait for the answer to
+        another.
     """
 
     __slots__ = ("_sessions", "_url")
@@ -70,13 +69,13 @@
         self._sessions = sessions
 
     async def report_usage(self, holder: Holder, window: int, counts: dict[str, int]) -> DutyAnswer:
-        """Report how many of each tenant's requests began in a window."""
+        """Report the number of requests of each tenant that began in a window."""
         return await self._post("/usage", holder, {"window": window, "counts": counts})
 
     async def order_engines(
         self, holder: Holder, service: str, zone: str, count: int, reclaimable: bool
     ) -> DutyAnswer:
-        """Order how many engines of one kind a service is to have in a zone."""
+        """Order a number of engines of one kind for a service in a zone."""
         body: dict[str, Any] = {"service": service, "zone": zone, "desired_count": count}
         if reclaimable:
             body["spot"] = True
@@ -100,10 +99,10 @@
             return DutyAnswer(DutyOutcome.BUSY, f"cannot connect: {type(error).__name__}")
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return DutyAnswer(DutyOutcome.UNKNOWN, f"no answer: {type(error).__name__}")
-        return _answer_of(answer.status)
+        return _answer_for_status(answer.status)
 
 
-def _answer_of(status: int) -> DutyAnswer:
+def _answer_for_status(status: int) -> DutyAnswer:
     detail = f"status {status}"
     if 200 <= status < 300:
         return DutyAnswer(DutyOutcome.TAKEN, detail)
--- a/rackswitch/platform/events.py
+++ b/rackswitch/platform/events.py
@@ -1,4 +1,4 @@
-"""Event streams of the platform's engines."""
+"""Parsers of the event streams of the platform's engines."""
 
 from collections.abc import Iterator
 
@@ -11,42 +11,41 @@
 
 
 class EventParser:
-    """Cuts a stream into whole events (the text/event-stream format).
+    """Parses a stream in the text/event-stream format into complete events.
 
     Parameters
     ----------
     version : int or None
-        The weights that make the first event; None if the answer names none.
+        Version of the weights that generate the first event; None if the answer names none.
 
     Attributes
     ----------
     events : int
-        Whole events so far.
+        Number of complete events so far.
     fault : str
-        Why the stream is not to be trusted from here on; empty while it is.
+        Why the stream is malformed, after which nothing more is parsed; empty if it is not.
     """
 
-    __slots__ = ("_buffer", "_data", "_is_open", "_number", "_version", "events", "fault")
+    __slots__ = ("_buffer", "_data", "_in_event", "_number", "_version", "events", "fault")
 
     def __init__(self, version: int | None):
         self._version = version
         self.events = 0
         self._buffer = b""
-        self._is_open = False
+        self._in_event = False
         self._data: list[str] = []
         self._number: int | None = None
         self.fault = ""
 
     @property
     def is_between_events(self) -> bool:
-        """Whether no part of an event is left over."""
-        return not self._buffer and not self._is_open
+        """Whether the stream is not inside an event."""
+        return not self._buffer and not self._in_event
 
     def feed(self, data: bytes) -> Iterator[TextPiece]:
-        """Take in bytes and yield the events that are whole now.
+        """Add bytes and yield the events that are now complete.
 
-        An engine may stop inside an event; what is not closed by an empty line is never
-        yielded.
+        An event is complete once an empty line follows it; an engine may stop inside one.
         """
         self._buffer += data
         *lines, self._buffer = self._buffer.split(b"\n")
@@ -59,16 +58,16 @@
                 self.fault = "bytes that are not text"
                 return
             if text:
-                self._take_field(text)
+                self._parse_field(text)
                 continue
-            self._is_open = False
+            self._in_event = False
             if self._data or self._number is not None:
-                piece = self._close_event()
+                piece = self._finish_event()
                 if piece is not None:
                     yield piece
 
-    def _take_field(self, line: str) -> None:
-        self._is_open = True
+    def _parse_field(self, line: str) -> None:
+        self._in_event = True
         name, _, value = line.partition(":")
         value = value.removeprefix(" ")
         if name == "data":
@@ -81,7 +80,7 @@
             else:
                 self.fault = f"version {value!r} is no number"
 
-    def _close_event(self) -> TextPiece | None:
+    def _finish_event(self) -> TextPiece | None:
         if self._number is None:
             self.fault = "an event without a number"
             return None
@@ -96,12 +95,12 @@
 
 
 class EventSplitter:
-    """Cuts a stream into whole events without changing a byte.
+    """Splits a stream into complete events without changing any byte.
 
     Attributes
     ----------
     last_number : str
-        Number of the last whole event; empty before the first.
+        Number of the last complete event; empty before the first.
     """
 
     __slots__ = ("_buffer", "last_number")
@@ -112,15 +111,15 @@
 
     @property
     def is_between_events(self) -> bool:
-        """Whether no part of an event is left over."""
+        """Whether the stream is not inside an event."""
         return not self._buffer
 
     def drop_part(self) -> None:
-        """Forget the event that has only come in part."""
+        """Discard the event of which only a part has arrived."""
         self._buffer = b""
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Take in bytes and yield the events that are whole now."""
+        """Add bytes and yield the events that are now complete."""
         self._buffer += data
         while (end := _event_end(self._buffer)) >= 0:
             event, self._buffer = self._buffer[:end], self._buffer[end:]
@@ -131,6 +130,10 @@
 
 
 def _event_end(buffer: bytes) -> int:
-    """Return where the first event ends, behind its empty line; -1 if it is not whole."""
-    ends = [buffer.find(mark) + len(mark) for mark in (b"\n\n", b"\r\n\r\n") if mark in buffer]
+    """Return the offset after the first event and its empty line; -1 if it is incomplete."""
+    ends = [
+        buffer.find(terminator) + len(terminator)
+        for terminator in (b"\n\n", b"\r\n\r\n")
+        if terminator in buffer
+    ]
     return min(ends) if ends else -1
--- a/rackswitch/platform/ingress.py
+++ b/rackswitch/platform/ingress.py
@@ -1,4 +1,4 @@
-"""What callers send through the platform's balancer, and how they are answered."""
+"""Headers of callers' requests and of the answers to them."""
 
 from dataclasses import dataclass, replace
 
@@ -22,39 +22,41 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedRequest:
-    """The request cannot be read; the text names the field."""
+    """A malformed request; the detail names the field."""
 
     detail: str
 
 
 def request_identity(exchange: Exchange) -> str:
-    """Return the caller's identity of its request; empty if it gave none."""
+    """Return the request ID that the caller sent; empty if there is none."""
     return exchange.header(REQUEST_ID_HEADER) or ""
 
 
 def request_deadline_seconds(
     exchange: Exchange, arrived_seconds: float
 ) -> float | None | MalformedRequest:
-    """Return until when (event loop time) the caller waits; None if it does not say."""
+    """Return the caller's deadline (event loop time); None if it sent none."""
     text = exchange.header(DEADLINE_HEADER)
     if text is None:
         return None
     try:
-        left_ms = float(text)
+        remaining_ms = float(text)
     except ValueError:
         return MalformedRequest(f"`{DEADLINE_HEADER}` must be a number (found {text!r})")
-    return arrived_seconds + max(0.0, left_ms) / 1000
+    return arrived_seconds + max(0.0, remaining_ms) / 1000
 
 
 def resumed_after(call: Call, last_number: str) -> Call:
-    """Return the call that goes on with a stream after an event."""
-    kept = tuple(pair for pair in call.headers if pair[0].lower() != LAST_EVENT_HEADER.lower())
-    headers = (*kept, (LAST_EVENT_HEADER, last_number)) if last_number else call.headers
+    """Return the call that resumes a stream after an event."""
+    other_headers = tuple(
+        pair for pair in call.headers if pair[0].lower() != LAST_EVENT_HEADER.lower()
+    )
+    headers = (*other_headers, (LAST_EVENT_HEADER, last_number)) if last_number else call.headers
     return replace(call, headers=headers)
 
 
 def stamp_of(answer: TargetAnswer) -> str:
-    """Return the signature that a target puts on its answers."""
+    """Return the signature in a target's answer; empty if there is none."""
     for name, value in answer.headers:
         if name.lower() == STAMP_HEADER.lower():
             return value
--- a/rackswitch/platform/item_runs.py
+++ b/rackswitch/platform/item_runs.py
@@ -1,4 +1,4 @@
-"""Running items of batch jobs at the platform's engines."""
+"""Runs items of batch jobs at the platform's engines."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -12,14 +12,14 @@
 from rackswitch.clients.http import NOT_SENT_ERRORS
 from rackswitch.jobs import EngineLoad, JobItem, TextPiece
 from rackswitch.platform.answers import (
+    check_answer_head,
     close_connection,
-    refusal_or_fault,
     release_or_close,
 )
 from rackswitch.platform.caller_headers import headers_for_target
 from rackswitch.platform.connections import TargetSessions
 from rackswitch.platform.events import EventParser
-from rackswitch.platform.load_header import load_word_of
+from rackswitch.platform.load_header import parse_load_report
 from rackswitch.platform.names import (
     EXPECT_INSTANCE_HEADER,
     LAST_EVENT_HEADER,
@@ -38,32 +38,32 @@
 
     WHOLE = "whole"
     BROKEN = "broken"
-    """The stream stopped before its end; it can go on elsewhere."""
+    """The stream stopped before its end; another engine can continue it."""
 
     SILENT = "silent"
-    """The engine did not take a connection, or stopped sending."""
+    """The engine accepted no connection, or stopped sending."""
 
     NOT_RUN = "not run"
-    """The engine said that it did not begin, as it is full or loads weights."""
+    """The engine reported that it did not begin, as it is full or is loading weights."""
 
     NOT_THERE = "not there"
-    """Another engine has the address."""
+    """Another engine now has the address."""
 
     FAILED = "failed"
-    """The engine ended the run with a failure of its own."""
+    """The engine reported an internal error."""
 
     IMPOSSIBLE = "impossible"
-    """The engine said that this item can never be done."""
+    """The engine reported that the item can never be processed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ItemRunEnded:
-    """The last thing a run of an item brings.
+    """End of an item's run.
 
     Attributes
     ----------
     was_sent : bool
-        False if no byte of the item can have reached the engine.
+        False if no part of the item can have reached the engine.
     """
 
     end: ItemRunEnd
@@ -78,11 +78,11 @@
     Attributes
     ----------
     after_piece : int
-        Number of the last piece that is there already; 0 for a run from the beginning.
+        Number of the last piece already received; 0 for a run from the beginning.
     urgency : int
-        Rank among the engine's runs, on the platform's scale.
+        Priority among the engine's runs, on the platform's scale.
     caller : Caller
-        Whose item it is.
+        Caller that submitted the item.
     """
 
     host: str
@@ -110,10 +110,10 @@
         self,
         target: ListedTarget,
         request: ItemRequest,
-        first_patience_seconds: float,
-        next_patience_seconds: float,
+        first_byte_timeout_seconds: float,
+        idle_timeout_seconds: float,
     ) -> AsyncIterator[EngineLoad | TextPiece | ItemRunEnded]:
-        """Run an item; closing the iterator ends the engine's work.
+        """Run an item; closing the iterator aborts the run.
 
         Parameters
         ----------
@@ -121,36 +121,36 @@
             The engine.
         request : ItemRequest
             What to run.
-        first_patience_seconds, next_patience_seconds : float
-            How long the first bytes may take, counted from the run's start, and any next
-            ones, counted from those before them.
+        first_byte_timeout_seconds, idle_timeout_seconds : float
+            Timeouts of the first bytes, from the start of the run, and of each later chunk, from
+            the previous one.
 
         Yields
         ------
         EngineLoad, TextPiece or ItemRunEnded
-            The engine's load, if it tells it, the pieces in order, then how the run ended.
+            The engine's load, if reported, then the pieces in order, then the end of the run.
         """
         headers = _run_headers(target, request)
         url = URL(target.url + request.item.path, encoded=True)
         loop = asyncio.get_running_loop()
         try:
             async with (
-                asyncio.timeout(first_patience_seconds) as limit,
-                self._sessions.kept.post(
+                asyncio.timeout(first_byte_timeout_seconds) as timeout,
+                self._sessions.pooled.post(
                     url, data=request.item.body, headers=headers, allow_redirects=False
                 ) as answer,
             ):
-                self._sessions.heard(target, answer, request.item.item_id)
-                word = load_word_of(answer.headers, loop.time())
-                if word is not None:
-                    yield EngineLoad(word.running, word.waiting)
+                self._sessions.record_response(target, answer, request.item.item_id)
+                load = parse_load_report(answer.headers, loop.time())
+                if load is not None:
+                    yield EngineLoad(load.running, load.waiting)
                 parser = _event_parser(answer, request.item.item_id)
                 if isinstance(parser, ItemRunEnded):
                     await release_or_close(answer, request.item.item_id)
                     yield parser
                     return
                 async for data in answer.content.iter_any():
-                    limit.reschedule(loop.time() + next_patience_seconds)
+                    timeout.reschedule(loop.time() + idle_timeout_seconds)
                     for piece in parser.feed(data):
                         yield piece
                     if parser.fault:
@@ -179,7 +179,7 @@
 
 
 def _event_parser(answer: aiohttp.ClientResponse, item_id: str) -> EventParser | ItemRunEnded:
-    """Return what reads an answer's events, or why it brings none."""
+    """Return a parser of the answer's events, or the end of the run if it has none."""
     ended = _item_refusal(answer, item_id)
     if ended is not None:
         return ended
@@ -194,26 +194,26 @@
 def _end_of_stream(
     answer: aiohttp.ClientResponse, parser: EventParser, request: ItemRequest
 ) -> ItemRunEnded:
-    """Return whether a stream that ended in order has brought the whole text.
+    """Return whether a stream that ended without an error contained the complete text.
 
-    A run that broke off right behind its last event is gone on with to no avail: the engine
-    answers without a version and without an event. Taken for a broken run, such an item would be
-    tried until its step is given up.
+    If the previous run was interrupted directly after its last event, the engine answers the
+    resumed one without a version and without events. The text is complete then; counting the run
+    as interrupted would repeat it until the step is given up.
     """
     if not parser.is_between_events:
-        # An engine that stops may end its answer in order, but inside an event.
+        # An engine that shuts down may end its answer correctly, but inside an event.
         return ItemRunEnded(ItemRunEnd.BROKEN, "the stream ended inside an event")
     if parser.events:
         return ItemRunEnded(ItemRunEnd.WHOLE)
     names_version = VERSIONS_HEADER in answer.headers
-    tells_end = "Transfer-Encoding" in answer.headers or "Content-Length" in answer.headers
-    if request.after_piece and tells_end and not names_version:
+    has_declared_end = "Transfer-Encoding" in answer.headers or "Content-Length" in answer.headers
+    if request.after_piece and has_declared_end and not names_version:
         return ItemRunEnded(ItemRunEnd.WHOLE, "nothing was left of it")
     return ItemRunEnded(ItemRunEnd.BROKEN, "the stream brought no event")
 
 
 def _item_refusal(answer: aiohttp.ClientResponse, item_id: str) -> ItemRunEnded | None:
-    fault = refusal_or_fault(answer, item_id)
+    fault = check_answer_head(answer, item_id)
     if fault is not None:
         if fault.not_there:
             return ItemRunEnded(ItemRunEnd.NOT_THERE, fault.detail)
--- a/rackswitch/platform/job_calls.py
+++ b/rackswitch/platform/job_calls.py
@@ -1,4 +1,4 @@
-"""What trainers send about batch jobs, and how they are answered."""
+"""Decodes trainers' calls about batch jobs and encodes the results."""
 
 import re
 from dataclasses import dataclass
@@ -26,20 +26,19 @@
 RESULTS_PATH = "/rackswitch/lots/"
 ITEMS_PATH = "/rackswitch/items/"
 MAX_WAIT_SECONDS = 30.0
-"""Longest time that a read may ask to be held for."""
+"""Maximum duration of a long poll."""
 
+COUNT_PATTERN = re.compile(r"[0-9]{1,9}")
+"""A number of tokens; longer numbers are invalid."""
 
-COUNT = re.compile(r"[0-9]{1,9}")
-"""More digits than any prompt's count has are another writer's."""
-
-HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-HEADER_VALUE = re.compile(r"[^\x00-\x08\x0a-\x1f\x7f]*")
-"""What a header's name and value may hold (RFC 9110, sections 5.1 and 5.5)."""
+HEADER_NAME_PATTERN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+HEADER_VALUE_PATTERN = re.compile(r"[^\x00-\x08\x0a-\x1f\x7f]*")
+"""Characters allowed in a header's name and value (RFC 9110, sections 5.1 and 5.5)."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadResults:
-    """Read a job's results from a position on; wait for some if there are none yet."""
+    """Read a job's results from a position on, waiting for one if there are none yet."""
 
     job_id: str
     position: int
@@ -82,12 +81,12 @@
 
 
 class _WireJob(msgspec.Struct):
-    # Left undecoded at first, so that a job with too many of them costs little.
+    # Decoded later, so that a job with too many items is refused at low cost.
     items: list[msgspec.Raw]
     step: int = 0
     model: str = ""
     min_version: int = 0
-    # A number of whole groups, not of items.
+    # Counts complete groups, not items.
     desired_count: int = 0
 
 
@@ -101,13 +100,13 @@
 
 class _WireResults(msgspec.Struct):
     total: int
-    # The position to read from next; nothing to do with tokens.
+    # The position to read from next, not a token.
     next_token: int
     results: list[_WireResult]
 
 
 def decode_job_call(exchange: Exchange) -> JobCall | MalformedRequest | None:
-    """Return the call about a batch job that a request makes; None if it is another one."""
+    """Return a request's call about a batch job; None for any other request."""
     path = exchange.path
     if path.startswith(RESULTS_PATH):
         return _results_call(exchange, path.removeprefix(RESULTS_PATH))
@@ -122,7 +121,7 @@
         return EndJob(job_id)
     if exchange.method != "GET":
         return None
-    # A position, under the name that the store uses for revisions.
+    # A position in the results, not a revision.
     position = _query_value(exchange, "since_rev") or "0"
     if not position.isdigit():
         return MalformedRequest(f"`since_rev` must be a whole number (found {position!r})")
@@ -139,14 +138,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JobOutline:
-    """A batch job whose items are counted, and not decoded yet.
+    """A batch job whose items are not decoded yet.
 
     Attributes
     ----------
     job : Job
         The job without items.
     raw_items : list of msgspec.Raw
-        The items as they came.
+        The encoded items.
     """
 
     job: Job
@@ -156,7 +155,7 @@
 def decode_job_outline(
     job_id: str, host: str, path: str, body: bytes, now_unix_seconds: float
 ) -> JobOutline | MalformedRequest:
-    """Return the batch job in a body, with its items still to be decoded."""
+    """Return the batch job in a body, without decoding its items."""
     try:
         wire = msgspec.json.decode(body, type=_WireJob)
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
@@ -176,13 +175,13 @@
 
 
 def decode_job_items(
-    outline: JobOutline, first: int, count: int
+    outline: JobOutline, start: int, count: int
 ) -> list[JobItem] | MalformedRequest:
-    """Return some of a job's items, so that a large job can be decoded in pieces."""
+    """Decode a range of a job's items, so that a large job can be decoded in batches."""
     items: list[JobItem] = []
-    for number, raw in enumerate(outline.raw_items[first : first + count], start=first):
+    for number, raw in enumerate(outline.raw_items[start : start + count], start=start):
         try:
-            # Bodies are base64 in JSON, which msgspec reads into bytes.
+            # msgspec decodes the base64 text of bodies into bytes.
             items.append(_item(msgspec.json.decode(raw, type=_WireItem)))
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
             return MalformedRequest(f"`$.items[{number}]`: {error}")
@@ -211,24 +210,28 @@
 
 
 def _check_headers(headers: dict[str, str]) -> None:
-    """Raise ValueError for a header that no HTTP message can carry.
+    """Check that the headers are valid in an HTTP message.
+
+    An invalid one could inject another header or request, or make each run of its item fail.
 
-    Sent on, it would be a header of another name or a second request; taken and kept, its item
-    would fail at each run.
+    Raises
+    ------
+    ValueError
+        If a name or value contains a forbidden character.
     """
     for name, value in headers.items():
-        if not HEADER_NAME.fullmatch(name):
-            raise ValueError(f"`headers` names {name!r}, which is no header")
-        if not HEADER_VALUE.fullmatch(value):
-            raise ValueError(f"`headers` holds a value of {name!r} with control characters")
+        if not HEADER_NAME_PATTERN.fullmatch(name):
+            raise ValueError(f"`headers` contains {name!r}, which is not a valid name")
+        if not HEADER_VALUE_PATTERN.fullmatch(value):
+            raise ValueError(f"`headers` contains a value of {name!r} with control characters")
 
 
-def _prompt_tokens(headers: dict[str, str], all_tokens: int) -> int:
-    """Return the first of an item's counts, which is part of `all_tokens`; 0 if there is none."""
+def _prompt_tokens(headers: dict[str, str], total_tokens: int) -> int:
+    """Return an item's prompt tokens, which are part of `total_tokens`; 0 if not stated."""
     for name, value in headers.items():
         if name.lower() == TOKEN_COUNTS_HEADER.lower():
             count = value.partition(",")[0].strip()
-            return min(int(count), max(0, all_tokens)) if COUNT.fullmatch(count) else 0
+            return min(int(count), max(0, total_tokens)) if COUNT_PATTERN.fullmatch(count) else 0
     return 0
 
 
@@ -243,7 +246,7 @@
 
 
 def encode_results(total: int, position: int, results: list[JobResult]) -> bytes:
-    """Return the body that tells of the results from a position on."""
+    """Return the body that lists the results from a position on."""
     wire = [
         _WireResult(
             id=result.item_id,
--- a/rackswitch/platform/load_header.py
+++ b/rackswitch/platform/load_header.py
@@ -1,7 +1,7 @@
-"""Reading what targets say of their own load.
+"""Parses the load reports in targets' answers.
 
-The header holds whole numbers with commas between them: requests running, requests waiting, slots,
-and at some services the pace in percent of the usual time.
+The header contains integers separated by commas: running requests, waiting requests, slots, and
+for some services the pace in percent of the typical time.
 """
 
 from collections.abc import Mapping
@@ -9,51 +9,51 @@
 from rackswitch.platform.names import SERVER_LOAD_HEADER
 from rackswitch.routing import ReportedLoad
 
-__all__ = ["load_word_of"]
+__all__ = ["parse_load_report"]
 
-MIN_FIGURES = 3
-"""Running, waiting, slots; with fewer there is no word."""
+MIN_FIELDS = 3
+"""Running, waiting, slots; a header with fewer fields is ignored."""
 
-PACE_FIGURE = 3
-"""Index of the pace, if there is one."""
+PACE_INDEX = 3
+"""Index of the optional pace."""
 
-USUAL_PERCENT = 100
-"""The pace of a target at which work takes its usual time."""
+TYPICAL_PERCENT = 100
+"""The pace at which work takes its typical time."""
 
 MAX_PERCENT = 100_000
-"""A pace over this, a thousand times slower than usual, is taken for an error of the target."""
+"""A larger pace is treated as an error of the target."""
 
 MAX_DIGITS = 9
-"""Longer numbers are no counts, and would be costly to convert."""
+"""Bounds the cost of converting a number."""
 
 
-def load_word_of(headers: Mapping[str, str], now_seconds: float) -> ReportedLoad | None:
-    """Return the load that a target tells with an answer; None if it tells none that makes sense.
+def parse_load_report(headers: Mapping[str, str], now_seconds: float) -> ReportedLoad | None:
+    """Return the load report in an answer's headers; None if there is no valid one.
 
     Parameters
     ----------
     headers : mapping of str to str
         The answer's headers.
     now_seconds : float
-        When the answer came (monotonic).
+        Time at which the answer arrived (monotonic).
     """
     parts = headers.get(SERVER_LOAD_HEADER, "").split(",")
-    figures = [_figure(part) for part in parts[: PACE_FIGURE + 1]]
-    if len(figures) < MIN_FIGURES:
+    fields = [_parse_count(part) for part in parts[: PACE_INDEX + 1]]
+    if len(fields) < MIN_FIELDS:
         return None
-    running, waiting, slots = figures[:MIN_FIGURES]
+    running, waiting, slots = fields[:MIN_FIELDS]
     if running is None or waiting is None or not slots:
         return None
-    if len(figures) <= PACE_FIGURE:
+    if len(fields) <= PACE_INDEX:
         return ReportedLoad(running, waiting, slots, None, now_seconds)
-    percent = figures[PACE_FIGURE]
+    percent = fields[PACE_INDEX]
     if not percent or percent > MAX_PERCENT:
         return None
-    return ReportedLoad(running, waiting, slots, percent / USUAL_PERCENT, now_seconds)
+    return ReportedLoad(running, waiting, slots, percent / TYPICAL_PERCENT, now_seconds)
 
 
-def _figure(text: str) -> int | None:
-    """Return a whole number as it stands in a header, or None."""
+def _parse_count(text: str) -> int | None:
+    """Return a non-negative integer from a field of the header, or None."""
     digits = text.strip()
     if not digits.isascii() or not digits.isdigit() or len(digits) > MAX_DIGITS:
         return None
--- a/rackswitch/platform/loaded_models.py
+++ b/rackswitch/platform/loaded_models.py
@@ -1,4 +1,4 @@
-"""The weights that a target says it has, in its entry of the list and in its report."""
+"""The loaded weights in a target's entry of the list and in its report."""
 
 from typing import Annotated
 
@@ -7,14 +7,14 @@
 __all__ = ["Count", "WireLoadedModel", "versions_of"]
 
 MAX_COUNT = 2**53
-"""The largest whole number that every writer of JSON can tell."""
+"""The largest integer that all JSON implementations represent exactly."""
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
-"""A whole number that counts something."""
+"""A non-negative integer."""
 
 
 class WireLoadedModel(msgspec.Struct):
-    """A model that a target carries, and the version of its weights."""
+    """A model that a target has loaded, and the version of its weights."""
 
     name: str
     version: Count = 0
--- a/rackswitch/platform/orders.py
+++ b/rackswitch/platform/orders.py
@@ -1,4 +1,4 @@
-"""What the platform's engines say about themselves, and orders to load weights."""
+"""Reads engines' reports and orders engines to load weights."""
 
 import asyncio
 from dataclasses import dataclass
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """An engine's own word about itself, some hundred milliseconds old.
+    """An engine's report of its state, which may be some hundred milliseconds old.
 
     Attributes
     ----------
     orders_taken : int
-        Orders since its start; an order that names another number is not carried out.
+        Orders accepted since its start; an order that names another number is rejected.
     memory_used_tokens, memory_total_tokens : int
-        Memory that cannot give way, and all that it has; the latter is 0 if it does not say.
+        Memory that cannot be evicted, and the total; the total is 0 if not reported.
     """
 
     versions: dict[str, int]
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoReport:
-    """The engine did not tell."""
+    """Why there is no report of an engine."""
 
     detail: str
 
@@ -55,12 +55,12 @@
     Attributes
     ----------
     holder, fencing : str, int
-        The daemon that orders, and the fencing number of its role.
+        The daemon that sends the order, and the fencing number of its role.
     orders_taken : int
-        How many orders the engine has taken, by its last report.
-    runs_go_on : bool
-        Whether the engine's runs go on under the new weights; else it waits for their ends
-        before it loads.
+        Orders that the engine has accepted according to its last report.
+    continues_runs : bool
+        Whether the engine's runs continue with the new weights; otherwise the engine waits for
+        their ends before it loads.
     """
 
     model: str
@@ -68,11 +68,11 @@
     holder: str
     fencing: int
     orders_taken: int
-    runs_go_on: bool
+    continues_runs: bool
 
 
 class OrderAnswer(Enum):
-    """How an engine answered an order."""
+    """An engine's answer to an order."""
 
     TAKEN = "taken"
     HOLDS_ALREADY = "holds already"
@@ -81,18 +81,17 @@
 
 
 class _WireReport(msgspec.Struct):
-    # Orders taken since the engine's start; in the platform's list the same name counts
-    # heartbeats.
+    # Orders accepted since the engine's start; in the list of targets, `seq` counts heartbeats.
     seq: Count = 0
-    # True while an order is carried out, whatever the number of requests.
+    # True while an order is being executed, independent of the number of requests.
     busy: bool = False
     waiting: Count = 0
     running: Count = 0
-    # Counted in tokens; what is used is what cannot give way.
+    # In tokens; `kv_used` excludes what can be evicted.
     kv_used: Count = 0
     kv_total: Count = 0
     models: list[WireLoadedModel] = []
-    # When the engine started, in Unix time; older ones do not tell.
+    # Start of the engine in Unix time; 0 for older engines, which do not report it.
     born: Count = 0
 
 
@@ -111,15 +110,15 @@
         self._sessions = sessions
 
     async def report(self, target: ListedTarget) -> EngineReport | NoReport:
-        """Read what an engine says about itself."""
+        """Read an engine's report."""
         url = URL(target.url + "/rackswitch/report", encoded=True)
         headers = {EXPECT_INSTANCE_HEADER: target.instance}
         try:
             async with (
                 asyncio.timeout(REPORT_TIMEOUT_SECONDS),
-                self._sessions.kept.get(url, headers=headers) as answer,
+                self._sessions.pooled.get(url, headers=headers) as answer,
             ):
-                self._sessions.heard_load(target, answer)
+                self._sessions.record_load_report(target, answer)
                 content = await answer.read()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return NoReport(type(error).__name__)
@@ -130,7 +129,7 @@
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             return NoReport(f"cannot read the report: {error}")
         if wire.born and target.started_at_unix_ms and wire.born != target.started_at_unix_ms:
-            # Its orders are counted anew, and its weights are others than the listed ones.
+            # After a restart the order count begins at 0, and the listed weights do not apply.
             return NoReport("another start has its identity")
         return EngineReport(
             versions=versions_of(wire.models),
@@ -149,14 +148,14 @@
     ) -> OrderAnswer:
         """Order an engine to load a version.
 
-        The order names the engine's instance and the number of orders it has taken, so
-        that one which arrives late or after a restart has no effect.
+        The order names the engine's instance and the number of orders it has accepted, so that
+        a delayed order, or one that arrives after a restart, has no effect.
         """
         body = {
             "op": "version",
             "model": order.model,
             "version": order.version,
-            "mode": "keep" if order.runs_go_on else "wait",
+            "mode": "keep" if order.continues_runs else "wait",
             "holder": order.holder,
             "fence": order.fencing,
             "expected": order.orders_taken,
--- a/rackswitch/platform/servers.py
+++ b/rackswitch/platform/servers.py
@@ -1,4 +1,4 @@
-"""The platform's list of engines and plain services, as listed targets."""
+"""Decodes the platform's list of engines and plain services."""
 
 import re
 from ipaddress import IPv4Address
@@ -14,9 +14,9 @@
 __all__ = ["decode_target", "target_instance"]
 
 MAX_SLOTS = 100_000
-"""More than any engine works on at once; a larger number is another writer's."""
+"""Above the concurrency of any engine; an entry with more slots is invalid."""
 
-ADDRESS = re.compile(r"([0-9.]+):([0-9]{1,5})", re.ASCII)
+ADDRESS_PATTERN = re.compile(r"([0-9.]+):([0-9]{1,5})", re.ASCII)
 
 Slots = Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
 Milliseconds = Annotated[float, msgspec.Meta(ge=0)]
@@ -26,9 +26,9 @@
 class _WireServer(msgspec.Struct):
     """An entry as targets write it.
 
-    Anybody may write under the prefix. What lacks a field that is needed to use a target, or has
-    one of another type or out of its range, names none: taken for a target, it would get requests
-    that nobody answers. Fields that are not known are passed over.
+    Other writers can also write under the prefix. An entry that lacks a required field, or has
+    one of another type or out of range, is rejected; otherwise requests would be sent to a target
+    that does not exist. Unknown fields are ignored.
     """
 
     service: Name
@@ -36,24 +36,24 @@
     zone: str
     slots: Slots
     state: Literal["ready", "spot", "draining"]
-    # An engine that may be taken away says so; where it does that in place of `ready`, it serves.
+    # Marks a reclaimable engine; state `spot` means the same, and such an engine is ready.
     spot: bool = False
     models: list[WireLoadedModel] = []
-    # When the target started, in Unix time; older ones do not tell.
+    # Start of the target in Unix time; 0 for older targets, which do not report it.
     born: Count = 0
-    # What is left of the time that one which is taken away still has; others do not tell.
+    # Time until a reclaimed target stops, when the entry was written; absent otherwise.
     leaves_ms: Milliseconds | None = None
-    # Counts heartbeats, from the target's start on; it is checked, but says nothing of orders.
+    # Counts heartbeats since the target's start, not orders; only validated here.
     seq: Count = 0
 
 
 def target_instance(key: str) -> str:
-    """Return the instance that a key of the list is about."""
+    """Return the instance that a key of the list names."""
     return key.removeprefix(SERVERS_PREFIX)
 
 
 def decode_target(instance: str, value: bytes) -> ListedTarget | MalformedEntry:
-    """Return a target as it lists itself."""
+    """Return the target that an entry of the list describes."""
     try:
         wire = msgspec.json.decode(value, type=_WireServer)
         host, port = _address(wire.address)
@@ -81,17 +81,17 @@
 
 
 def _address(text: str) -> tuple[str, int]:
-    """Return the host and port of an address by IP number.
+    """Return the IPv4 address and port of an address.
 
     Raises
     ------
     ValueError
-        If it is none.
+        If the text is not an IPv4 address with a port.
     """
-    parts = ADDRESS.fullmatch(text)
+    parts = ADDRESS_PATTERN.fullmatch(text)
     if parts is None:
-        raise ValueError(f"no address: {text!r}")
+        raise ValueError(f"`address` must be IPV4:PORT: {text!r}")
     port = int(parts[2])
     if not 0 < port <= 65535:
-        raise ValueError(f"no port: {text!r}")
+        raise ValueError(f"port of `address` must be in 1..65535: {text!r}")
     return str(IPv4Address(parts[1])), port
--- a/rackswitch/platform/settings.py
+++ b/rackswitch/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform gives each process."""
+"""Reads the settings file that the platform provides to each process."""
 
 import os
 from dataclasses import dataclass
@@ -13,20 +13,20 @@
 
 USAGE_DUTY = "usage"
 SCALE_DUTY = "autoscale"
-"""How the settings file names the calls that one daemon is to make."""
+"""Names, in the settings file, of the calls that one daemon of the fleet makes."""
 
-CROWDED_CONTRACT = "pressure"
-"""Among the parts of the platform's rules: callers may press beyond the room there is."""
+SATURATION_CONTRACT = "pressure"
+"""Name, in the settings file, of the rule that callers may exceed the capacity."""
 
 METRICS_PORT = 9464
 METRICS_PATH = "/metrics"
-"""As `deploy/system.toml` tells the platform; the port is the usual one of OpenTelemetry's
-Prometheus exporters."""
+"""As `deploy/system.toml` states; the port is the default of OpenTelemetry's Prometheus
+exporters."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where to listen or connect."""
+    """An address to listen on or to connect to."""
 
     host: str
     port: int
@@ -34,16 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DutySettings:
-    """The operators' API, and what one daemon of the fleet does there.
+    """The operators' API, and the calls that one daemon of the fleet makes to it.
 
     Attributes
     ----------
     reports_usage, orders_engines : bool
-        Which of the calls are wanted.
+        Which calls to make.
     calls_per_second : float
-        Calls that the API takes from all daemons together.
+        Rate limit of the API for all daemons together.
     window_seconds, late_seconds : float
-        Length of a window of usage, and how long after its end a report is in time.
+        Length of a usage window, and how long after its end a report is accepted.
     """
 
     url: str
@@ -56,36 +56,36 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What a process learns of its VM and of the bounds that hold.
+    """Settings of a daemon: its VM, its addresses and its limits.
 
     Attributes
     ----------
     daemon : str
-        Name of the VM, and so of the one daemon on it.
+        Name of the VM, and therefore of the only daemon on it.
     callers, readiness : Address or None
-        Where to listen for callers, and for the balancer's question whether this daemon
-        is ready; None on VMs that callers do not reach.
+        Where to listen for callers, and for the load balancer's readiness checks; None on VMs
+        that callers do not reach.
     metrics : Address or None
-        Where the daemon's own figures are served; None for nowhere.
+        Where the daemon's metrics are served; None if they are not.
     peer_ports : (int, int)
-        First and last port that is free for calls between daemons.
+        First and last port of the range for calls between daemons.
     stop_grace_seconds : float
-        From the order to stop until the process is killed.
+        Time from the stop signal until the process is killed.
     order_turn_seconds : float
-        How long the last order of one holder must be past before another holder orders.
+        Minimum time between the last order of one holder and the first of the next.
     kv_most_value_bytes : int
-        Largest value that the key-value service takes.
+        Maximum size of a value in the key-value service.
     keep_results_seconds : float
-        How long after its submission a batch job can be read.
+        How long after its submission a batch job's results can be read.
     processor_share : float
-        Part of a processor that the VM has; 0 if the file does not say.
+        Fraction of a processor that the VM has; 0 if the file does not state it.
     duties : DutySettings or None
-        What is to be done towards the operators' API; None for nothing.
+        Calls to make to the operators' API; None for none.
     drain_seconds : float
-        How long a target serves at least from its word that it leaves; 0 if the file does not say.
+        Minimum time that a draining target still serves; 0 if the file does not state it.
     queues_calls : bool
-        Whether callers may want more than there is room for, so that calls wait in order here and
-        those that cannot be served are refused at once.
+        Whether callers may exceed the capacity, so that calls are queued here and those that
+        cannot be served are refused at once.
     """
 
     daemon: str
@@ -145,7 +145,7 @@
     platform: _WirePlatform
     machine_class: str = ""
     listen: _WireListen = msgspec.field(default_factory=_WireListen)
-    # The first and the last of a range, not a list of ports.
+    # The first and last port of a range, not a list of ports.
     internal_ports: list[int] = msgspec.field(default_factory=list)
     bounds: _WireBounds = msgspec.field(default_factory=_WireBounds)
     limits: _WireLimits = msgspec.field(default_factory=_WireLimits)
@@ -159,12 +159,12 @@
     Parameters
     ----------
     path : str, optional
-        The file; by default the one that the platform's environment variable names.
+        The file; by default the one that the environment variable of the platform names.
 
     Returns
     -------
     NodeSettings or SettingsFault
-        The settings, or one line with file, field and what is wrong.
+        The settings, or a one-line message with file, field and fault.
     """
     if path is None:
         path = os.environ.get(SETTINGS_VARIABLE)
@@ -205,7 +205,7 @@
         processor_share=wire.limits.cpu_share,
         duties=_duty_settings(wire),
         drain_seconds=max(0.0, wire.bounds.drain_ms / 1000),
-        queues_calls=CROWDED_CONTRACT in wire.contracts,
+        queues_calls=SATURATION_CONTRACT in wire.contracts,
     )
 
 
--- a/rackswitch/platform/store_calls.py
+++ b/rackswitch/platform/store_calls.py
@@ -1,6 +1,6 @@
-"""One call to the platform's key-value service, and the direct way of making it.
+"""Calls to the platform's key-value service, and the transport that sends them directly.
 
-A call is a value, so that it can be made here, or be passed to another daemon and made there.
+A call is a message, so that it can be sent from here or be forwarded to another daemon.
 """
 
 import asyncio
@@ -24,19 +24,19 @@
 ]
 
 METHODS = ("GET", "POST", "DELETE")
-"""The service's calls use these."""
+"""Methods of the service's calls."""
 
 TARGET_PREFIX = "/rackswitch/kv-"
-"""All calls to the service begin so; nothing else is passed on."""
+"""Prefix of the paths of the service; calls to other paths are not forwarded."""
 
 MAX_TARGET_CHARACTERS = 2000
-"""A key has at most 200 bytes; escaped, and with the other fields, it stays below this."""
+"""Enough for an escaped key of 200 bytes with the other fields."""
 
 MAX_CONTENT_BYTES = 4_000_000
-"""A value may have 1 MiB, some 1.4 MB in base64; a job of several chunks has more of them."""
+"""Enough for two values of 1 MiB in base64; a transaction may contain several."""
 
 MAX_LIMIT_SECONDS = 5.0
-"""More than any call of ours is given."""
+"""Above the timeout of any call of this system."""
 
 
 class StoreCall(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
@@ -47,13 +47,13 @@
     target : str
         Path and query.
     content : bytes
-        The body; empty for none.
+        The body; empty if there is none.
     limit_seconds : float
-        How long the answer may take.
+        Timeout of the call.
     repeatable : bool
-        Whether making the call twice does no harm.
+        Whether the call may be sent again.
     held : bool
-        Whether the service keeps the call open until there is news.
+        Whether the call is a long poll, which the service answers on a change.
     """
 
     method: str
@@ -66,45 +66,45 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedCall:
-    """Why bytes are no call that may be passed on; names the field."""
+    """Why a call must not be forwarded; the detail names the field."""
 
     detail: str
 
 
 class StoreTransport(Protocol):
-    """A way of making calls."""
+    """Sends calls to the service."""
 
     async def send(self, call: StoreCall) -> StoreAnswer | KvUnavailable:
-        """Make a call; an answer of any status is an answer."""
+        """Send a call; an answer with any status is returned."""
         ...
 
 
 def encode_call(call: StoreCall) -> bytes:
-    """Return a call as it is passed to another daemon."""
+    """Return an encoded call, to be forwarded to another daemon."""
     return msgspec.msgpack.encode(call)
 
 
 def decode_call(data: bytes) -> StoreCall | MalformedCall:
-    """Return a call that another daemon passed, if it is one that this service may get."""
+    """Decode a call from another daemon and check that it may be sent to the service."""
     try:
         call = msgspec.msgpack.decode(data, type=StoreCall)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return MalformedCall(f"`call`: {error}")
     if call.method not in METHODS:
-        return MalformedCall(f"`method` {call.method!r} is none of {METHODS}")
+        return MalformedCall(f"`method` {call.method!r} must be one of {METHODS}")
     if not call.target.startswith(TARGET_PREFIX) or not call.target.isprintable():
-        return MalformedCall(f"`target` does not begin with {TARGET_PREFIX}")
+        return MalformedCall(f"`target` must be printable and begin with {TARGET_PREFIX}")
     if len(call.target) > MAX_TARGET_CHARACTERS:
-        return MalformedCall(f"`target` has more than {MAX_TARGET_CHARACTERS} characters")
+        return MalformedCall(f"`target` must have at most {MAX_TARGET_CHARACTERS} characters")
     if len(call.content) > MAX_CONTENT_BYTES:
-        return MalformedCall(f"`content` has more than {MAX_CONTENT_BYTES} bytes")
+        return MalformedCall(f"`content` must have at most {MAX_CONTENT_BYTES} bytes")
     if not 0 < call.limit_seconds <= MAX_LIMIT_SECONDS:
-        return MalformedCall(f"`limit_seconds` is not in (0, {MAX_LIMIT_SECONDS}]")
+        return MalformedCall(f"`limit_seconds` must be in (0, {MAX_LIMIT_SECONDS}]")
     return call
 
 
 class HttpTransport:
-    """Makes calls directly.
+    """Sends calls directly to the service.
 
     Parameters
     ----------
@@ -121,7 +121,7 @@
         self._sessions = sessions
 
     async def send(self, call: StoreCall) -> StoreAnswer | KvUnavailable:
-        """Make a call."""
+        """Send a call."""
         headers = {"Content-Type": "application/json"} if call.content else None
         request = self._sessions.pooled.request(
             call.method, self.url + call.target, data=call.content or None, headers=headers
--- a/rackswitch/platform/store_messages.py
+++ b/rackswitch/platform/store_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the platform's key-value service, and how they map to our interface."""
+"""Messages of the platform's key-value service, and their conversion to the `KvClient` types."""
 
 from base64 import b64decode, b64encode
 from typing import Any, TypeVar
@@ -16,35 +16,35 @@
     "WireRange",
     "WireTxnDone",
     "WireWatch",
-    "checked_answer",
-    "present_entry",
+    "check_answer_status",
+    "first_existing_entry",
     "txn_body",
-    "without_effect",
+    "mark_without_effect",
 ]
 
 T = TypeVar("T")
 
-TURNED_AWAY_STATUSES = (429, 503)
-"""Answers by which the service says that it has done nothing: too many calls, or not now."""
+REJECTED_STATUSES = (429, 503)
+"""Statuses with which the service rejects a call without effect: rate limit, or unavailable."""
 
 
 class WireItem(msgspec.Struct, frozen=True):
-    """An entry, or what is left of one."""
+    """An entry, or the tombstone of a deleted one."""
 
     key: str
     value: str = ""
-    # The revision of the last change, where other services say "mod revision".
+    # The revision of the last change; called "mod revision" in etcd.
     revision: int = 0
     create_revision: int = 0
     tombstone: bool = False
 
     def entry(self) -> KvEntry:
-        """Return the entry as our interface has it."""
+        """Return the entry as a `KvEntry`."""
         return KvEntry(self.key, b64decode(self.value), self.create_revision, self.revision)
 
 
 class WireKey(WireItem, frozen=True):
-    """Answer to the reading of one key."""
+    """Answer to a read of one key."""
 
     store_revision: int = 0
 
@@ -58,33 +58,33 @@
 
 
 class WireWatch(msgspec.Struct, frozen=True):
-    """What changed under a prefix."""
+    """Changes under a prefix."""
 
     store_revision: int
     events: list[WireItem] = []
 
 
 class WireTxnDone(msgspec.Struct, frozen=True):
-    """A transaction that took effect."""
+    """A committed transaction."""
 
     revision: int
 
 
 class WireConflict(msgspec.Struct, frozen=True):
-    """A transaction whose conditions did not hold, with the entries that it compared."""
+    """A transaction whose conditions failed, with the compared entries."""
 
     items: list[WireItem] = []
 
 
 class WireLease(msgspec.Struct, frozen=True):
-    """A lease that was made or prolonged."""
+    """A lease that was created or renewed."""
 
     ttl_ms: float
     lease: int = 0
 
 
 class StoreAnswer:
-    """Status and content of one call."""
+    """Status and body of the answer to a call."""
 
     __slots__ = ("content", "status")
 
@@ -94,42 +94,42 @@
 
     @property
     def turned_away(self) -> bool:
-        """Whether the service did not look at the call, so that another way may do better."""
-        return self.status in TURNED_AWAY_STATUSES
+        """Whether the service rejected the call unprocessed, so that another path may succeed."""
+        return self.status in REJECTED_STATUSES
 
-    def decode(self, kind: type[T]) -> T | KvUnavailable:
-        """Return the content as a message."""
+    def decode(self, message_type: type[T]) -> T | KvUnavailable:
+        """Decode the content as a message."""
         try:
-            return msgspec.json.decode(self.content, type=kind)
+            return msgspec.json.decode(self.content, type=message_type)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             return KvUnavailable(f"cannot read the answer: {error}", effect_unknown=True)
 
 
-def checked_answer(answer: StoreAnswer) -> StoreAnswer | KvUnavailable:
-    """Return an answer that may be read, or by its status why it may not."""
+def check_answer_status(answer: StoreAnswer) -> StoreAnswer | KvUnavailable:
+    """Return the answer if its status is one that callers handle, otherwise the failure."""
     if answer.status in (200, 404, 412):
         return answer
     if answer.status == 410:
         return KvUnavailable("the history is gone", effect_unknown=False, history_lost=True)
-    # By the platform's word a refusal with one of these means that nothing was done.
+    # The platform specifies that these statuses mean that the call had no effect.
     refused = answer.turned_away or answer.status in (400, 403, 413)
     return KvUnavailable(f"status {answer.status}", effect_unknown=not refused)
 
 
-def without_effect(answer: KvUnavailable) -> KvUnavailable:
-    """Return the failure of a call that has no effect by its kind."""
+def mark_without_effect(answer: KvUnavailable) -> KvUnavailable:
+    """Return the failure of a call that cannot have an effect, such as a read."""
     return KvUnavailable(answer.detail, effect_unknown=False, history_lost=answer.history_lost)
 
 
 def txn_body(part: TxnPart) -> dict[str, Any]:
-    """Return a transaction as the service takes it."""
-    # A key of ours is never written again where its create revision is compared, so both
-    # kinds of comparison are the same here.
+    """Return the body of a transaction."""
+    # The service compares modification revisions only. Keys whose create revision is compared are
+    # never written again, so both revisions are equal.
     expected = [{"key": compare.key, "revision": compare.revision} for compare in part.compares]
     puts = []
     removals = []
     for operation in part.operations:
-        check_invariant(not operation.is_prefix, "this service deletes single keys only")
+        check_invariant(not operation.is_prefix, "the platform's service deletes single keys only")
         if operation.value is None:
             removals.append(operation.key)
             continue
@@ -138,11 +138,11 @@
     return {"expected": expected, "set_keys": puts, "remove": removals}
 
 
-def present_entry(part: TxnPart, conflict: WireConflict) -> KvEntry | None:
-    """Return the first entry that a part wanted to read or compare, of those that are there."""
-    wanted = part.read_keys or tuple(compare.key for compare in part.compares)
+def first_existing_entry(part: TxnPart, conflict: WireConflict) -> KvEntry | None:
+    """Return the first existing entry of the keys that a part reads or compares."""
+    keys = part.read_keys or tuple(compare.key for compare in part.compares)
     by_key = {item.key: item for item in conflict.items if not item.tombstone}
-    for key in wanted:
+    for key in keys:
         if key in by_key:
             return by_key[key].entry()
     return None
--- a/rackswitch/platform/target_calls.py
+++ b/rackswitch/platform/target_calls.py
@@ -1,4 +1,4 @@
-"""Passing callers' calls through to the platform's engines and plain services."""
+"""Forwards callers' calls to the platform's engines and plain services."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,9 +9,9 @@
 
 from rackswitch.clients.http import NOT_SENT_ERRORS
 from rackswitch.platform.answers import (
+    check_answer_head,
     close_connection,
     end_to_end_headers,
-    refusal_or_fault,
     release_or_close,
 )
 from rackswitch.platform.caller_headers import headers_for_target
@@ -23,11 +23,11 @@
 __all__ = ["TargetClient"]
 
 CALL_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError)
-"""What a call that brings no whole answer may raise."""
+"""Errors of a call that ends without a complete answer."""
 
 
 class TargetClient:
-    """Passes calls through, unchanged but for the platform's own headers.
+    """Forwards calls, unchanged except for the platform's headers.
 
     Parameters
     ----------
@@ -42,20 +42,20 @@
 
     @property
     def kept_seconds(self) -> float:
-        """How long an unused connection to a target is kept."""
+        """Keep-alive timeout of unused connections to targets."""
         return self._sessions.kept_seconds
 
     async def forward(
         self, target: ListedTarget, call: Call, deadline_seconds: float, fresh_connection: bool
     ) -> TargetAnswer | TargetFailed:
-        """Send a call to a target once and read its whole answer."""
+        """Send a call to a target once and read the complete answer."""
         try:
             async with (
                 asyncio.timeout_at(deadline_seconds),
                 self._open(target, call, deadline_seconds, fresh_connection) as answer,
             ):
-                self._sessions.heard(target, answer, call.request_id)
-                fault = refusal_or_fault(answer, call.request_id)
+                self._sessions.record_response(target, answer, call.request_id)
+                fault = check_answer_head(answer, call.request_id)
                 if fault is not None:
                     await release_or_close(answer, call.request_id)
                     return fault
@@ -67,9 +67,9 @@
     async def open_stream(
         self, target: ListedTarget, call: Call, deadline_seconds: float, fresh_connection: bool
     ) -> TargetStream | TargetAnswer | TargetFailed:
-        """Send a call and return its answer as soon as its head is there.
+        """Send a call and return its answer as soon as the headers have arrived.
 
-        An answer that is no success is read whole, since it is no stream.
+        An answer with an error status is not a stream and is read completely.
         """
         request = self._open(target, call, deadline_seconds, fresh_connection)
         try:
@@ -77,14 +77,14 @@
                 answer = await request
         except CALL_ERRORS as error:
             return _failure(error)
-        self._sessions.heard(target, answer, call.request_id)
-        fault = refusal_or_fault(answer, call.request_id)
+        self._sessions.record_response(target, answer, call.request_id)
+        fault = check_answer_head(answer, call.request_id)
         if fault is not None:
             close_connection(answer)
             return fault
         headers = end_to_end_headers(answer.headers)
         if 200 <= answer.status < 300:
-            return TargetStream(answer.status, headers, _body_pieces(answer), answer.close)
+            return TargetStream(answer.status, headers, _body_chunks(answer), answer.close)
         try:
             async with asyncio.timeout_at(deadline_seconds), answer:
                 return TargetAnswer(answer.status, headers, await answer.read())
@@ -94,13 +94,13 @@
     def _open(
         self, target: ListedTarget, call: Call, deadline_seconds: float, fresh_connection: bool
     ) -> Any:
-        session = self._sessions.single_use if fresh_connection else self._sessions.kept
-        left_seconds = deadline_seconds - asyncio.get_running_loop().time()
+        session = self._sessions.single_use if fresh_connection else self._sessions.pooled
+        remaining_seconds = deadline_seconds - asyncio.get_running_loop().time()
         headers = headers_for_target(call.headers, call.caller)
         headers["Host"] = call.host
         headers[REQUEST_ID_HEADER] = call.request_id
         headers[EXPECT_INSTANCE_HEADER] = target.instance
-        headers[DEADLINE_HEADER] = str(max(1, int(left_seconds * 1000)))
+        headers[DEADLINE_HEADER] = str(max(1, int(remaining_seconds * 1000)))
         return session.request(
             call.method,
             URL(target.url + call.path, encoded=True),
@@ -117,13 +117,13 @@
     return TargetFailed(True, f"no whole answer: {type(error).__name__}", silent=silent)
 
 
-async def _body_pieces(answer: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
-    """Yield a body as it comes.
+async def _body_chunks(answer: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
+    """Yield the chunks of a body as they arrive.
 
     Raises
     ------
     ConnectionError
-        If it breaks off.
+        If the connection fails before the end of the body.
     """
     try:
         async for data in answer.content.iter_any():
--- a/rackswitch/platform/tests/support.py
+++ b/rackswitch/platform/tests/support.py
@@ -1,4 +1,4 @@
-"""Targets that answer requests with given bytes."""
+"""Fake targets that answer requests with given bytes."""
 
 import asyncio
 import socket
@@ -12,7 +12,7 @@
 
 
 class RawTarget:
-    """Answers each connection's first request with the same bytes, then closes or resets."""
+    """Answers one request per connection with fixed bytes, then closes or resets the connection."""
 
     def __init__(self, answer: bytes, reset: bool):
         self.requests: list[bytes] = []
@@ -25,15 +25,15 @@
         await writer.drain()
         if self._reset:
             await asyncio.sleep(RESET_AFTER_SECONDS)
-            raw = writer.get_extra_info("socket")
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            raw_socket = writer.get_extra_info("socket")
+            raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             writer.transport.abort()
             return
         writer.close()
 
 
-class KeepingTarget:
-    """Answers all requests with the same bytes, and counts the connections they come on."""
+class KeepAliveTarget:
+    """Answers all requests with the same bytes, and counts the connections."""
 
     def __init__(self, answer: bytes):
         self.connections = 0
@@ -47,12 +47,12 @@
 
 
 @asynccontextmanager
-async def keeping_target(answer: bytes) -> AsyncIterator[tuple[ListedTarget, KeepingTarget]]:
-    keeping = KeepingTarget(answer)
-    server = await asyncio.start_server(keeping.serve, "127.0.0.1", 0)
+async def keep_alive_target(answer: bytes) -> AsyncIterator[tuple[ListedTarget, KeepAliveTarget]]:
+    fake_target = KeepAliveTarget(answer)
+    server = await asyncio.start_server(fake_target.serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     try:
-        yield ListedTarget("i-1", "s", "127.0.0.1", port, "z"), keeping
+        yield ListedTarget("i-1", "s", "127.0.0.1", port, "z"), fake_target
     finally:
         server.close()
 
@@ -61,10 +61,10 @@
 async def raw_target(
     answer: bytes, reset: bool = False
 ) -> AsyncIterator[tuple[ListedTarget, RawTarget]]:
-    raw = RawTarget(answer, reset)
-    server = await asyncio.start_server(raw.serve, "127.0.0.1", 0)
+    fake_target = RawTarget(answer, reset)
+    server = await asyncio.start_server(fake_target.serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     try:
-        yield ListedTarget("i-1", "s", "127.0.0.1", port, "z"), raw
+        yield ListedTarget("i-1", "s", "127.0.0.1", port, "z"), fake_target
     finally:
         server.close()
--- a/rackswitch/platform/tests/test_caller_headers.py
+++ b/rackswitch/platform/tests/test_caller_headers.py
@@ -1,4 +1,4 @@
-"""No key and no tenant of a caller's own choice reaches an engine."""
+"""A caller's API key or its own tenant header must not be forwarded to a target."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 
 
 @given(headers, st.sampled_from(["", "a"]))
-def test_where_keys_are_in_force_only_the_decided_tenant_is_named(sent, tenant):
+def test_replaces_the_tenant_header_and_removes_the_key_if_keys_are_in_force(sent, tenant):
     passed = headers_for_target(tuple(sent), Caller(tenant, keys_in_force=True))
     assert "authorization" not in passed
     assert passed.getall("X-Rackswitch-Tenant", []) == ([tenant] if tenant else [])
@@ -24,7 +24,7 @@
 
 
 @given(headers)
-def test_without_tenants_an_authorization_is_the_callers_and_engines_own_affair(sent):
+def test_forwards_the_authorization_header_if_there_are_no_tenants(sent):
     passed = headers_for_target(tuple(sent), Caller())
     own = [value for name, value in sent if name.lower() == "authorization"]
     assert passed.getall("Authorization", []) == own
--- a/rackswitch/platform/tests/test_decoding.py
+++ b/rackswitch/platform/tests/test_decoding.py
@@ -32,7 +32,7 @@
     return {row.name: row for row in found}
 
 
-def test_a_desired_state_becomes_rows_of_its_version():
+def test_decodes_a_desired_state_into_rows_of_its_version():
     document = decode_desired_state(encode(desired_state(7)))
     assert isinstance(document, TableDocument)
     assert document.revision == 7
@@ -46,7 +46,7 @@
     assert rows(document, LimitsRow)["callers"].most_body_bytes == 200_000
 
 
-def test_a_split_route_has_its_weights_and_an_unknown_kind_runs_once():
+def test_decodes_the_weights_of_a_split_route_and_never_repeats_an_unknown_kind():
     state = desired_state(1)
     split = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]
     state["routes"] = [
@@ -57,10 +57,10 @@
     assert route.handling is Handling.ONCE
 
 
-def test_the_longest_prefix_of_the_host_wins():
+def test_selects_the_route_with_the_longest_prefix():
     state = desired_state(1)
-    short = {"name": "short", "host": "h", "path_prefix": "/a/", "service": "s"}
-    state["routes"] = [short, {**short, "name": "long", "path_prefix": "/a/b/"}]
+    short_route = {"name": "short", "host": "h", "path_prefix": "/a/", "service": "s"}
+    state["routes"] = [short_route, {**short_route, "name": "long", "path_prefix": "/a/b/"}]
     index = index_routes(decode_desired_state(encode(state)))
     assert index.find("H:80", "/a/b/c").name == "long"
     assert index.find("h", "/a/c").name == "short"
@@ -68,14 +68,14 @@
     assert index.find("other", "/a/c") is None
 
 
-def test_entries_that_cannot_be_read_are_named_and_change_nothing():
+def test_reports_malformed_entries():
     for value in (b"", b"{", b'{"version":"x"}', b'{"routes":[]}', b"\xff"):
         assert isinstance(decode_desired_state(value), MalformedEntry)
     assert isinstance(decode_operator_entry("op/version/m", b"{}"), MalformedEntry)
     assert isinstance(decode_target("i-1", b'{"service":"s","address":"x"}'), MalformedEntry)
 
 
-def test_other_entries_of_the_operators():
+def test_decodes_versions_and_retire_orders():
     version = encode({"model": "m", "version": 4})
     assert decode_operator_entry("op/version/m", version) == NamedVersion("m", 4)
     assert decode_operator_entry("op/retire/store-1", b"{}") == RetireOrder("store-1")
@@ -83,7 +83,7 @@
     assert encode_retired("store-1") == ("status/retire/store-1", b'{"state":"completed"}')
 
 
-def test_a_listed_target_is_read_without_its_misleading_fields():
+def test_ignores_the_version_and_sequence_number_of_a_listed_target():
     entry = {
         "service": "s",
         "address": "10.128.0.9:8080",
@@ -101,7 +101,7 @@
     assert target.versions == {"m": 3}
 
 
-def test_results_are_told_as_the_platform_expects():
+def test_encodes_results_in_the_platforms_format():
     results = [
         JobResult(item_id="a", completed=True, text="x\ny", versions=(1, 2), score="s"),
         JobResult(item_id="b", completed=False),
@@ -118,44 +118,44 @@
 
 def with_scaling(**terms: object) -> bytes:
     state = desired_state(2)
-    good = {"min": 1, "max": 4, "boot_s": 4.0, "spot_price": 0.15, "zone_prices": {"a": 1.0}}
-    state["services"][1]["scaling"] = {**good, **terms}
+    valid = {"min": 1, "max": 4, "boot_s": 4.0, "spot_price": 0.15, "zone_prices": {"a": 1.0}}
+    state["services"][1]["scaling"] = {**valid, **terms}
     return encode(state)
 
 
-def test_terms_on_which_engines_are_had_are_read_and_nonsense_is_refused_by_its_field():
+def test_decodes_scaling_terms_and_names_an_invalid_field():
     scaling = rows(decode_desired_state(with_scaling()), ServiceRow)["engines"].scaling
     assert (scaling.least, scaling.most, scaling.reclaimable_price) == (1, 4, 0.15)
     assert rows(decode_desired_state(with_scaling()), ServiceRow)["desk"].scaling is None
-    for field, bad in (
+    for field, terms in (
         ("min", {"min": 5}),
         ("spot_price", {"spot_price": -1}),
         ("zone_prices", {"zone_prices": {"a": -1.0}}),
     ):
-        fault = decode_desired_state(with_scaling(**bad))
-        assert isinstance(fault, MalformedEntry)
-        assert f"`{field}`" in fault.detail
-        assert "'engines'" in fault.detail
+        malformed = decode_desired_state(with_scaling(**terms))
+        assert isinstance(malformed, MalformedEntry)
+        assert f"`{field}`" in malformed.detail
+        assert "'engines'" in malformed.detail
 
 
-def test_tenants_become_rows_that_hold_digests_only():
+def test_stores_only_digests_of_api_keys():
     state = desired_state(2, tenants=[{"name": "t", "api_keys": ["secret-key"], "priority": 0}])
     document = decode_desired_state(encode(state))
     assert rows(document, TenantRow)["t"].caller_class == 0
     assert b"secret-key" not in encode(document)
     shared = desired_state(3, tenants=[{"name": n, "api_keys": ["secret-key"]} for n in "tu"])
-    fault = decode_desired_state(encode(shared))
-    assert "'t' and 'u'" in fault.detail
-    assert "secret-key" not in fault.detail
+    malformed = decode_desired_state(encode(shared))
+    assert "'t' and 'u'" in malformed.detail
+    assert "secret-key" not in malformed.detail
 
 
-def test_an_engine_that_may_be_taken_away_serves_until_it_drains():
+def test_a_reclaimable_engine_serves_until_it_drains():
     entry = {"service": "s", "address": "10.0.0.1:8080", "zone": "a", "slots": 4}
-    for said, reclaimable, draining in (
+    for changes, reclaimable, draining in (
         ({"state": "ready"}, False, False),
         ({"state": "ready", "spot": True}, True, False),
         ({"state": "spot"}, True, False),
         ({"state": "draining", "spot": True, "leaves_ms": 2500}, True, True),
     ):
-        target = decode_target("i", encode({**entry, **said}))
+        target = decode_target("i", encode({**entry, **changes}))
         assert (target.reclaimable, target.draining) == (reclaimable, draining)
--- a/rackswitch/platform/tests/test_item_runs.py
+++ b/rackswitch/platform/tests/test_item_runs.py
@@ -1,4 +1,4 @@
-"""How the runs of items end, by what the engine sends."""
+"""Ends of item runs for complete, interrupted and malformed answers of engines."""
 
 import asyncio
 
@@ -17,13 +17,13 @@
 ITEM = JobItem(item_id="i1", path="/p", headers=(), body=b"b", tokens=1)
 
 
-NOTHING_LEFT = HEAD.replace(b"X-Rackswitch-Weight-Versions: 4\r\n", b"")
+HEAD_WITHOUT_VERSION = HEAD.replace(b"X-Rackswitch-Weight-Versions: 4\r\n", b"")
 
 
 async def run_with(
     answer: bytes, reset: bool = False, after_piece: int = 0
 ) -> tuple[list[TextPiece], ItemRunEnded, bytes]:
-    """Run an item at a target that answers with bytes."""
+    """Run an item at a target that answers with the given bytes."""
     sessions = TargetSessions()
     request = ItemRequest("h.example", ITEM, after_piece, 5)
     pieces: list[TextPiece] = []
@@ -49,7 +49,7 @@
     [
         (chunked(EVENT) + b"0\r\n\r\n", False, ItemRunEnd.WHOLE, 1),
         (HEAD + b"\r\n" + EVENT, False, ItemRunEnd.WHOLE, 1),
-        # The end of the answer is in order, that of the event is not.
+        # The answer ends correctly, but inside an event.
         (chunked(EVENT, b"id: 2\nda") + b"0\r\n\r\n", False, ItemRunEnd.BROKEN, 1),
         (chunked(EVENT, b"id: 2\n") + b"0\r\n\r\n", False, ItemRunEnd.BROKEN, 1),
         (HEAD + b"\r\n" + EVENT + b"id: 2\ndata: b\n", False, ItemRunEnd.BROKEN, 1),
@@ -69,7 +69,7 @@
         (b"", False, ItemRunEnd.BROKEN, 0),
     ],
 )
-def test_only_a_stream_that_ends_between_two_events_is_whole(answer, reset, end, count):
+def test_a_stream_is_complete_only_if_it_ends_between_events(answer, reset, end, count):
     pieces, ended, _ = asyncio.run(run_with(answer, reset))
     assert ended.end is end, ended
     assert [piece.number for piece in pieces] == list(range(1, count + 1))
@@ -78,21 +78,25 @@
 @pytest.mark.parametrize(
     ("answer", "after_piece", "end"),
     [
-        # Nothing comes behind the last event: such an answer names no version.
-        (NOTHING_LEFT + b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 7, ItemRunEnd.WHOLE),
-        (NOTHING_LEFT + b"Content-Length: 0\r\n\r\n", 7, ItemRunEnd.WHOLE),
-        # A run from the beginning always makes events.
-        (NOTHING_LEFT + b"Content-Length: 0\r\n\r\n", 0, ItemRunEnd.BROKEN),
-        (NOTHING_LEFT + b"Transfer-Encoding: chunked\r\n\r\n", 7, ItemRunEnd.BROKEN),
-        # An event that no version made cannot be listed.
-        (NOTHING_LEFT + b"\r\n" + EVENT, 0, ItemRunEnd.BROKEN),
-        # A version is named where events follow; without one the engine stopped early.
+        # An answer after the last event names no version.
+        (
+            HEAD_WITHOUT_VERSION + b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            7,
+            ItemRunEnd.WHOLE,
+        ),
+        (HEAD_WITHOUT_VERSION + b"Content-Length: 0\r\n\r\n", 7, ItemRunEnd.WHOLE),
+        # A run from the beginning always yields events.
+        (HEAD_WITHOUT_VERSION + b"Content-Length: 0\r\n\r\n", 0, ItemRunEnd.BROKEN),
+        (HEAD_WITHOUT_VERSION + b"Transfer-Encoding: chunked\r\n\r\n", 7, ItemRunEnd.BROKEN),
+        # An event without a version is invalid.
+        (HEAD_WITHOUT_VERSION + b"\r\n" + EVENT, 0, ItemRunEnd.BROKEN),
+        # The version announces events; without any, the engine stopped early.
         (HEAD + b"Content-Length: 0\r\n\r\n", 7, ItemRunEnd.BROKEN),
-        # The end of a connection says too little where no length was told.
-        (NOTHING_LEFT + b"\r\n", 7, ItemRunEnd.BROKEN),
+        # Without a declared length, a closed connection does not show that the text is complete.
+        (HEAD_WITHOUT_VERSION + b"\r\n", 7, ItemRunEnd.BROKEN),
     ],
 )
-def test_a_text_that_broke_off_behind_its_last_event_is_found_whole(answer, after_piece, end):
+def test_resuming_after_the_last_event_completes_the_text(answer, after_piece, end):
     pieces, ended, _ = asyncio.run(run_with(answer, after_piece=after_piece))
     assert ended.end is end, ended
     assert pieces == []
@@ -109,7 +113,7 @@
         (b"", None),
     ],
 )
-def test_an_engines_load_comes_with_its_answer(header, load):
+def test_yields_the_load_in_an_engines_answer(header, load):
     answer = HEAD + header + b"\r\n" + EVENT
     pieces, _, _ = asyncio.run(run_with(answer))
     assert [piece for piece in pieces if isinstance(piece, EngineLoad)] == ([load] if load else [])
--- a/rackswitch/platform/tests/test_job_items.py
+++ b/rackswitch/platform/tests/test_job_items.py
@@ -1,4 +1,4 @@
-"""Items of batch jobs as trainers send them."""
+"""Decoding of prompt tokens in the items of batch jobs."""
 
 import msgspec
 import pytest
@@ -20,7 +20,7 @@
         ("540,400", 540),
         (" 540 , 400", 540),
         ("540", 540),
-        # More than all of its tokens: the whole is what counts.
+        # Limited to the item's total tokens.
         ("5400,400", 940),
         ("", 0),
         ("-5,400", 0),
@@ -28,10 +28,10 @@
         ("9" * 400, 0),
     ],
 )
-def test_the_tokens_of_an_items_prompt(counts, prompt_tokens):
+def test_decodes_the_prompt_tokens_of_an_item(counts, prompt_tokens):
     item = decoded_item({"x-rackswitch-token-counts": counts})
     assert item.prompt_tokens == prompt_tokens
 
 
-def test_an_item_that_does_not_count_its_prompt():
+def test_an_item_without_token_counts_has_no_prompt_tokens():
     assert decoded_item({}).prompt_tokens == 0
--- a/rackswitch/platform/tests/test_orders.py
+++ b/rackswitch/platform/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Engines' reports, from their bytes on."""
+"""Decoding of engines' reports."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 async def report_of(body: bytes) -> EngineReport | NoReport:
-    """Let an engine report; return what the client makes of it."""
+    """Return the decoded report of an engine that sends a body."""
     sessions = TargetSessions()
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
     async with raw_target(answer) as (target, _):
@@ -19,7 +19,7 @@
     return report
 
 
-def test_a_report_tells_load_and_memory():
+def test_decodes_load_and_memory():
     report = asyncio.run(
         report_of(b'{"busy":false,"waiting":1,"running":12,"kv_used":41000,"kv_total":90000}')
     )
@@ -28,12 +28,12 @@
     assert (report.memory_used_tokens, report.memory_total_tokens) == (41_000, 90_000)
 
 
-def test_a_report_without_memory_says_that_it_is_not_known():
+def test_a_report_without_memory_has_a_total_of_zero():
     report = asyncio.run(report_of(b'{"waiting":1,"running":12}'))
     assert isinstance(report, EngineReport)
     assert report.memory_total_tokens == 0
 
 
 @pytest.mark.parametrize("body", [b'{"kv_used":"many"}', b'{"kv_total":-1}', b"[]", b""])
-def test_what_is_no_report_is_told_as_none(body):
+def test_rejects_a_malformed_report(body):
     assert isinstance(asyncio.run(report_of(body)), NoReport)
--- a/rackswitch/platform/tests/test_settings.py
+++ b/rackswitch/platform/tests/test_settings.py
@@ -5,7 +5,7 @@
 from rackswitch.platform.settings import Address, NodeSettings, read_node_settings
 from rackswitch.settings import SettingsFault
 
-GOOD = """
+VALID_SETTINGS = """
 node: "front-a-1"
 machine_class: "front"
 ip: "10.1.0.10"
@@ -35,8 +35,8 @@
     return read_node_settings(str(path))
 
 
-def test_the_platforms_file_is_read_and_new_fields_are_passed_over(tmp_path):
-    settings = read(tmp_path, GOOD)
+def test_reads_the_settings_file_and_ignores_unknown_fields(tmp_path):
+    settings = read(tmp_path, VALID_SETTINGS)
     assert isinstance(settings, NodeSettings)
     assert settings.callers == Address("10.1.0.10", 8161)
     assert settings.peer_ports == (7720, 7735)
@@ -44,15 +44,15 @@
     assert settings.order_turn_seconds == 3.0
 
 
-def test_a_vm_without_callers_listens_for_none(tmp_path):
-    listening = '  front: "10.1.0.10:8161"\n  ready: "10.1.0.10:8167"\n'
-    settings = read(tmp_path, GOOD.replace(listening, "  {}\n"))
+def test_a_vm_without_callers_has_no_caller_address(tmp_path):
+    listen_entries = '  front: "10.1.0.10:8161"\n  ready: "10.1.0.10:8167"\n'
+    settings = read(tmp_path, VALID_SETTINGS.replace(listen_entries, "  {}\n"))
     assert isinstance(settings, NodeSettings)
     assert settings.callers is None
 
 
 @pytest.mark.parametrize(
-    ("before", "after", "named"),
+    ("valid_text", "invalid_text", "message_part"),
     [
         ('node: "front-a-1"', "node: 3", "$.node"),
         ('zone: "a"\n', "", "zone"),
@@ -62,17 +62,17 @@
         ("node:", "node: [", ""),
     ],
 )
-def test_a_wrong_value_is_named_in_one_line(tmp_path, before, after, named):
-    fault = read(tmp_path, GOOD.replace(before, after))
+def test_names_an_invalid_field_in_one_line(tmp_path, valid_text, invalid_text, message_part):
+    fault = read(tmp_path, VALID_SETTINGS.replace(valid_text, invalid_text))
     assert isinstance(fault, SettingsFault)
-    assert named in fault.line
+    assert message_part in fault.line
 
 
-def test_a_file_that_is_not_there_is_a_fault():
+def test_reports_a_missing_file():
     assert isinstance(read_node_settings("/nowhere/node.yaml"), SettingsFault)
 
 
-CLOUD = """
+CLOUD_SETTINGS = """
 cloud:
   address: "10.200.0.68:8380"
   duties: [usage, autoscale]
@@ -80,32 +80,44 @@
 """
 
 
-def test_what_one_daemon_does_at_the_operators_api(tmp_path):
-    assert read(tmp_path, GOOD).duties is None
-    assert read(tmp_path, GOOD + CLOUD.replace("usage, autoscale", "something")).duties is None
-    duties = read(tmp_path, GOOD.replace("bounds:", "bounds:\n  usage_late_s: 9") + CLOUD).duties
+def test_reads_the_duties_at_the_operators_api(tmp_path):
+    assert read(tmp_path, VALID_SETTINGS).duties is None
+    assert (
+        read(
+            tmp_path, VALID_SETTINGS + CLOUD_SETTINGS.replace("usage, autoscale", "something")
+        ).duties
+        is None
+    )
+    duties = read(
+        tmp_path, VALID_SETTINGS.replace("bounds:", "bounds:\n  usage_late_s: 9") + CLOUD_SETTINGS
+    ).duties
     assert duties.url == "http://10.200.0.68:8380"
     assert (duties.reports_usage, duties.orders_engines) == (True, True)
     assert (duties.window_seconds, duties.late_seconds) == (5.0, 9.0)
-    only = read(tmp_path, GOOD + CLOUD.replace("usage, autoscale", "usage")).duties
-    assert (only.reports_usage, only.orders_engines) == (True, False)
+    usage_only = read(
+        tmp_path, VALID_SETTINGS + CLOUD_SETTINGS.replace("usage, autoscale", "usage")
+    ).duties
+    assert (usage_only.reports_usage, usage_only.orders_engines) == (True, False)
 
 
-def test_a_window_without_length_is_refused_by_its_field(tmp_path):
-    fault = read(tmp_path, GOOD.replace("bounds:", "bounds:\n  report_window_s: 0") + CLOUD)
+def test_rejects_a_report_window_of_zero(tmp_path):
+    fault = read(
+        tmp_path,
+        VALID_SETTINGS.replace("bounds:", "bounds:\n  report_window_s: 0") + CLOUD_SETTINGS,
+    )
     assert isinstance(fault, SettingsFault)
     assert "report_window_s" in str(fault)
 
 
 @pytest.mark.parametrize("parts", ["", 'contracts: ["base", "drain"]'])
-def test_calls_wait_in_order_only_where_callers_may_press(tmp_path, parts):
-    settings = read(tmp_path, GOOD + parts)
+def test_queues_calls_only_with_the_pressure_contract(tmp_path, parts):
+    settings = read(tmp_path, VALID_SETTINGS + parts)
     assert isinstance(settings, NodeSettings) and not settings.queues_calls
-    settings = read(tmp_path, GOOD + 'contracts: ["base", "pressure"]')
+    settings = read(tmp_path, VALID_SETTINGS + 'contracts: ["base", "pressure"]')
     assert isinstance(settings, NodeSettings) and settings.queues_calls
 
 
-def test_how_long_a_target_serves_after_its_word_that_it_leaves(tmp_path):
-    assert read(tmp_path, GOOD).drain_seconds == 0.0
-    settings = read(tmp_path, GOOD.replace("bounds:", "bounds:\n  drain_ms: 2500"))
+def test_reads_the_drain_time(tmp_path):
+    assert read(tmp_path, VALID_SETTINGS).drain_seconds == 0.0
+    settings = read(tmp_path, VALID_SETTINGS.replace("bounds:", "bounds:\n  drain_ms: 2500"))
     assert settings.drain_seconds == 2.5
--- a/rackswitch/platform/tests/test_target_calls.py
+++ b/rackswitch/platform/tests/test_target_calls.py
@@ -1,13 +1,13 @@
-"""What the client makes of answers that a library alone would take for whole."""
+"""Incomplete and foreign answers that the HTTP library accepts must count as failures."""
 
 import asyncio
 from dataclasses import replace
 
 import pytest
 
-from rackswitch.platform.connections import UNTOLD_KEPT_SECONDS, TargetSessions
+from rackswitch.platform.connections import DEFAULT_KEEP_ALIVE_SECONDS, TargetSessions
 from rackswitch.platform.target_calls import TargetClient
-from rackswitch.platform.tests.support import keeping_target, raw_target
+from rackswitch.platform.tests.support import keep_alive_target, raw_target
 from rackswitch.requests import Call, TargetAnswer, TargetFailed, TargetStream
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Rackswitch-Request-Id: r1\r\nX-Rackswitch-Server-Stamp: s\r\n"
@@ -15,7 +15,7 @@
 
 
 async def answer_with(answer: bytes, reset: bool = False) -> tuple[object, bytes]:
-    """Let a target answer with bytes; return what the client makes of them, and the request."""
+    """Return the client's result for an answer of the given bytes, and the request sent."""
     sessions = TargetSessions()
     deadline_seconds = asyncio.get_running_loop().time() + 2.0
     async with raw_target(answer, reset) as (target, raw):
@@ -24,13 +24,13 @@
     return result, raw.requests[0]
 
 
-def test_an_answer_without_length_that_ends_with_its_connection_is_whole():
+def test_an_answer_without_length_is_complete_when_its_connection_closes():
     result, _ = asyncio.run(answer_with(HEAD + b"\r\nthe whole"))
     assert isinstance(result, TargetAnswer)
     assert result.body == b"the whole"
 
 
-def test_an_answer_without_length_whose_connection_is_reset_is_not_whole():
+def test_an_answer_without_length_is_incomplete_if_its_connection_is_reset():
     result, _ = asyncio.run(answer_with(HEAD + b"\r\nthe first pa", reset=True))
     assert isinstance(result, TargetFailed)
     assert result.may_have_run
@@ -49,13 +49,13 @@
         b"",
     ],
 )
-def test_what_is_not_the_targets_whole_answer_may_have_run(answer):
+def test_a_call_without_a_complete_answer_of_its_target_may_have_run(answer):
     result, _ = asyncio.run(answer_with(answer))
     assert isinstance(result, TargetFailed)
     assert result.may_have_run
 
 
-def test_only_the_targets_own_word_says_that_nothing_ran():
+def test_only_the_not_run_header_shows_that_a_call_did_not_run():
     refusal = b"HTTP/1.1 503 X\r\nX-Rackswitch-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
     result, _ = asyncio.run(answer_with(refusal))
     assert isinstance(result, TargetFailed) and not result.may_have_run
@@ -64,7 +64,7 @@
     assert result.status == 503
 
 
-def test_a_call_is_passed_byte_for_byte_with_what_the_platform_wants():
+def test_forwards_a_call_unchanged_with_the_platforms_headers():
     _, request = asyncio.run(answer_with(HEAD + b"Content-Length: 0\r\n\r\n"))
     head, _, body = request.partition(b"\r\n\r\n")
     lines = head.split(b"\r\n")
@@ -84,67 +84,67 @@
 
 
 async def connections_for_two_calls(head: bytes) -> tuple[int, float]:
-    """Return how many connections two calls took, and how long the last one is kept."""
+    """Return the number of connections of two calls, and the keep-alive timeout."""
     sessions = TargetSessions()
     client = TargetClient(sessions)
-    async with keeping_target(head + b"\r\nok") as (target, keeping):
+    async with keep_alive_target(head + b"\r\nok") as (target, fake_target):
         for _ in range(2):
             deadline_seconds = asyncio.get_running_loop().time() + 2.0
             await client.forward(target, CALL, deadline_seconds, False)
         await sessions.close()
-    return keeping.connections, sessions.kept_seconds
+    return fake_target.connections, sessions.kept_seconds
 
 
 @pytest.mark.parametrize(
     ("head", "connections"),
     [
         (HEAD + b"Content-Length: 2\r\n", 1),
-        # A target that is full says so and goes on; its connection is as good as before.
+        # After a refusal of the target itself, the connection is reused.
         (REFUSAL, 1),
-        # These may be anybody's bytes.
+        # The connection may carry bytes of another answer.
         (REFUSAL.replace(b"r1", b"r2"), 2),
         (HEAD.replace(b"r1", b"r2") + b"Content-Length: 2\r\n", 2),
         (HEAD + b"Connection: close\r\nContent-Length: 2\r\n", 2),
     ],
 )
-def test_a_connection_is_kept_where_its_answer_was_the_targets_own(head, connections):
+def test_reuses_a_connection_only_after_the_answer_to_its_request(head, connections):
     counted, _ = asyncio.run(connections_for_two_calls(head))
     assert counted == connections
 
 
 @pytest.mark.parametrize(
-    ("told", "kept_seconds"),
+    ("keep_alive_header", "kept_seconds"),
     [
-        (b"", UNTOLD_KEPT_SECONDS),
+        (b"", DEFAULT_KEEP_ALIVE_SECONDS),
         (b"Keep-Alive: timeout=10\r\n", 9.0),
         (b"Keep-Alive: timeout=10, max=5\r\n", 9.0),
         (b"Keep-Alive: timeout=0\r\n", 0.0),
-        (b"Keep-Alive: soon\r\n", UNTOLD_KEPT_SECONDS),
+        (b"Keep-Alive: soon\r\n", DEFAULT_KEEP_ALIVE_SECONDS),
     ],
 )
-def test_a_connection_is_kept_a_little_shorter_than_its_target_keeps_it(told, kept_seconds):
-    head = HEAD + told + b"Content-Length: 2\r\n"
+def test_keeps_a_connection_for_less_than_its_targets_timeout(keep_alive_header, kept_seconds):
+    head = HEAD + keep_alive_header + b"Content-Length: 2\r\n"
     assert asyncio.run(connections_for_two_calls(head))[1] == kept_seconds
 
 
-def test_the_least_patient_service_decides():
+def test_uses_the_shortest_keep_alive_timeout_of_all_services():
     async def scenario():
         sessions = TargetSessions()
         client = TargetClient(sessions)
         for service, seconds in (("s", 10), ("t", 3), ("s", 20)):
             head = HEAD + b"Keep-Alive: timeout=%d\r\nContent-Length: 2\r\n" % seconds
-            async with keeping_target(head + b"\r\nok") as (target, _):
-                named = replace(target, service=service)
+            async with keep_alive_target(head + b"\r\nok") as (target, _):
+                service_target = replace(target, service=service)
                 deadline_seconds = asyncio.get_running_loop().time() + 2.0
-                await client.forward(named, CALL, deadline_seconds, False)
+                await client.forward(service_target, CALL, deadline_seconds, False)
         await sessions.close()
         return sessions.kept_seconds
 
     assert asyncio.run(scenario()) == 2.0
 
 
-WORD = b"X-Rackswitch-Server-Load: 6,9,6,120\r\n"
-WHOLE = HEAD + b"Content-Length: 2\r\n\r\nxx"
+LOAD_HEADER = b"X-Rackswitch-Server-Load: 6,9,6,120\r\n"
+COMPLETE_ANSWER = HEAD + b"Content-Length: 2\r\n\r\nxx"
 REFUSAL = (
     b"HTTP/1.1 503 X\r\nX-Rackswitch-Request-Id: r1\r\nX-Rackswitch-Not-Run: 1\r\n"
     b"Content-Length: 0\r\n\r\n"
@@ -153,20 +153,23 @@
 
 @pytest.mark.parametrize("as_stream", [False, True])
 @pytest.mark.parametrize(
-    ("answer", "is_heard"),
+    ("answer", "is_recorded"),
     [
-        (WHOLE.replace(b"Content", WORD + b"Content"), True),
-        (REFUSAL.replace(b"Content", WORD + b"Content"), True),
-        (WHOLE, False),
-        # Another target has the address, or the answer is an older request's.
-        (REFUSAL.replace(b"503", b"421").replace(b"Content", WORD + b"Content"), False),
-        (WHOLE.replace(b"r1", b"r0").replace(b"Content", WORD + b"Content"), False),
+        (COMPLETE_ANSWER.replace(b"Content", LOAD_HEADER + b"Content"), True),
+        (REFUSAL.replace(b"Content", LOAD_HEADER + b"Content"), True),
+        (COMPLETE_ANSWER, False),
+        # Another target has the address, or the answer belongs to an earlier request.
+        (REFUSAL.replace(b"503", b"421").replace(b"Content", LOAD_HEADER + b"Content"), False),
+        (
+            COMPLETE_ANSWER.replace(b"r1", b"r0").replace(b"Content", LOAD_HEADER + b"Content"),
+            False,
+        ),
     ],
 )
-def test_a_targets_word_is_heard_from_each_answer_of_its_own(answer, is_heard, as_stream):
+def test_records_the_load_in_each_answer_of_the_target_itself(answer, is_recorded, as_stream):
     async def scenario():
-        heard = []
-        sessions = TargetSessions(lambda target, word: heard.append((target, word)))
+        received = []
+        sessions = TargetSessions(lambda target, report: received.append((target, report)))
         client = TargetClient(sessions)
         deadline_seconds = asyncio.get_running_loop().time() + 2.0
         async with raw_target(answer) as (target, _):
@@ -175,8 +178,11 @@
             if isinstance(result, TargetStream):
                 result.close()
         await sessions.close()
-        return target, heard
-
-    target, heard = asyncio.run(scenario())
-    told = [(at.start, word.running, word.waiting, word.slots, word.pace) for at, word in heard]
-    assert told == ([(target.start, 6, 9, 6, 1.2)] if is_heard else [])
+        return target, received
+
+    target, received = asyncio.run(scenario())
+    reports = [
+        (at.start, report.running, report.waiting, report.slots, report.pace)
+        for at, report in received
+    ]
+    assert reports == ([(target.start, 6, 9, 6, 1.2)] if is_recorded else [])
