--- a/rackswitch/platform/caller_headers.py
+++ b/rackswitch/platform/caller_headers.py
@@ -12,8 +12,8 @@
 def headers_for_target(headers: tuple[tuple[str, str], ...], caller: Caller) -> CIMultiDict[str]:
     """Return the headers to forward, without those that this system sets for each call.
 
-    API keys are not forwarded, and the tenant header is set by this system only. All headers of
-    the caller with these names are removed, in any letter case and number.
+    All tenant headers of the caller are removed, as only this system sets them. If API keys are in
+    force, all of its Authorization headers are removed too.
 
     Parameters
     ----------
--- a/rackswitch/platform/duty_calls.py
+++ b/rackswitch/platform/duty_calls.py
@@ -14,7 +14,7 @@
 __all__ = ["DutyAnswer", "DutyClient", "DutyOutcome", "Holder"]
 
 CALL_TIMEOUT_SECONDS = 1.0
-"""A lost call is repeated, and only after this time."""
+"""A call without an answer by then has an unknown outcome."""
 
 
 class DutyOutcome(Enum):
--- a/rackswitch/platform/job_calls.py
+++ b/rackswitch/platform/job_calls.py
@@ -182,13 +182,13 @@
     for number, raw in enumerate(outline.raw_items[start : start + count], start=start):
         try:
             # msgspec decodes the base64 text of bodies into bytes.
-            items.append(_item(msgspec.json.decode(raw, type=_WireItem)))
+            items.append(_job_item(msgspec.json.decode(raw, type=_WireItem)))
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
             return MalformedRequest(f"`$.items[{number}]`: {error}")
     return items
 
 
-def _item(wire: _WireItem) -> JobItem:
+def _job_item(wire: _WireItem) -> JobItem:
     _check_headers(wire.headers)
     reward = None
     if wire.scorer is not None:
--- a/rackswitch/platform/store.py
+++ b/rackswitch/platform/store.py
@@ -51,7 +51,7 @@
 WATCH_SLACK_SECONDS = 0.15
 """Minimum extra time for the answer to a long poll."""
 
-SLOW_FACTOR = 2.0
+SLOW_ANSWER_FACTOR = 2.0
 """Extra time for the answer to a long poll, as a multiple of the slowest recent answer."""
 
 SLOWEST_ANSWER_DECAY = 0.8
@@ -242,7 +242,9 @@
         """
         if not wait_seconds:
             return CALL_TIMEOUT_SECONDS
-        return wait_seconds + max(WATCH_SLACK_SECONDS, SLOW_FACTOR * self._slowest_answer_seconds)
+        return wait_seconds + max(
+            WATCH_SLACK_SECONDS, SLOW_ANSWER_FACTOR * self._slowest_answer_seconds
+        )
 
     def _record_duration(self, call: StoreCall, elapsed_seconds: float) -> None:
         if not call.held:
@@ -283,4 +285,4 @@
     query_fields = query or {}
     prefix = query_fields.get("path_prefix", "").partition("/")[0]
     name_parts = [verb, prefix, "stale" if STALE_READ_QUERY.items() <= query_fields.items() else ""]
-    return " ".join(word for word in name_parts if word)
+    return " ".join(part for part in name_parts if part)
--- a/rackswitch/platform/store_calls.py
+++ b/rackswitch/platform/store_calls.py
@@ -35,7 +35,7 @@
 MAX_CONTENT_BYTES = 4_000_000
 """Enough for two values of 1 MiB in base64; a transaction may contain several."""
 
-MAX_LIMIT_SECONDS = 5.0
+MAX_TIMEOUT_SECONDS = 5.0
 """Above the timeout of any call of this system."""
 
 
@@ -98,8 +98,8 @@
         return MalformedCall(f"`target` must have at most {MAX_TARGET_CHARACTERS} characters")
     if len(call.content) > MAX_CONTENT_BYTES:
         return MalformedCall(f"`content` must have at most {MAX_CONTENT_BYTES} bytes")
-    if not 0 < call.limit_seconds <= MAX_LIMIT_SECONDS:
-        return MalformedCall(f"`limit_seconds` must be in (0, {MAX_LIMIT_SECONDS}]")
+    if not 0 < call.limit_seconds <= MAX_TIMEOUT_SECONDS:
+        return MalformedCall(f"`limit_seconds` must be in (0, {MAX_TIMEOUT_SECONDS}]")
     return call
 
 
--- a/rackswitch/platform/tests/test_caller_headers.py
+++ b/rackswitch/platform/tests/test_caller_headers.py
@@ -6,10 +6,12 @@
 from rackswitch.platform.caller_headers import headers_for_target
 from rackswitch.tenants import Caller
 
-cases = st.sampled_from([str.lower, str.upper, str.title, str.swapcase])
+letter_cases = st.sampled_from([str.lower, str.upper, str.title, str.swapcase])
 names = st.sampled_from(["Authorization", "X-Rackswitch-Tenant", "X-Own", "Transfer-Encoding"])
 headers = st.lists(
-    st.builds(lambda name, case, value: (case(name), value), names, cases, st.text(max_size=5))
+    st.builds(
+        lambda name, case, value: (case(name), value), names, letter_cases, st.text(max_size=5)
+    )
 )
 
 
@@ -18,14 +20,14 @@
     passed = headers_for_target(tuple(sent), Caller(tenant, keys_in_force=True))
     assert "authorization" not in passed
     assert passed.getall("X-Rackswitch-Tenant", []) == ([tenant] if tenant else [])
-    own = [value for name, value in sent if name.lower() == "x-own"]
-    assert passed.getall("X-Own", []) == own
+    sent_values = [value for name, value in sent if name.lower() == "x-own"]
+    assert passed.getall("X-Own", []) == sent_values
     assert "Transfer-Encoding" not in passed
 
 
 @given(headers)
 def test_forwards_the_authorization_header_if_there_are_no_tenants(sent):
     passed = headers_for_target(tuple(sent), Caller())
-    own = [value for name, value in sent if name.lower() == "authorization"]
-    assert passed.getall("Authorization", []) == own
+    sent_values = [value for name, value in sent if name.lower() == "authorization"]
+    assert passed.getall("Authorization", []) == sent_values
     assert "X-Rackswitch-Tenant" not in passed
--- a/rackswitch/platform/tests/test_item_runs.py
+++ b/rackswitch/platform/tests/test_item_runs.py
@@ -20,7 +20,7 @@
 HEAD_WITHOUT_VERSION = HEAD.replace(b"X-Rackswitch-Weight-Versions: 4\r\n", b"")
 
 
-async def run_with(
+async def run_item(
     answer: bytes, reset: bool = False, after_piece: int = 0
 ) -> tuple[list[TextPiece], ItemRunEnded, bytes]:
     """Run an item at a target that answers with the given bytes."""
@@ -70,7 +70,7 @@
     ],
 )
 def test_a_stream_is_complete_only_if_it_ends_between_events(answer, reset, end, count):
-    pieces, ended, _ = asyncio.run(run_with(answer, reset))
+    pieces, ended, _ = asyncio.run(run_item(answer, reset))
     assert ended.end is end, ended
     assert [piece.number for piece in pieces] == list(range(1, count + 1))
 
@@ -97,7 +97,7 @@
     ],
 )
 def test_resuming_after_the_last_event_completes_the_text(answer, after_piece, end):
-    pieces, ended, _ = asyncio.run(run_with(answer, after_piece=after_piece))
+    pieces, ended, _ = asyncio.run(run_item(answer, after_piece=after_piece))
     assert ended.end is end, ended
     assert pieces == []
 
@@ -115,5 +115,5 @@
 )
 def test_yields_the_load_in_an_engines_answer(header, load):
     answer = HEAD + header + b"\r\n" + EVENT
-    pieces, _, _ = asyncio.run(run_with(answer))
+    pieces, _, _ = asyncio.run(run_item(answer))
     assert [piece for piece in pieces if isinstance(piece, EngineLoad)] == ([load] if load else [])
--- a/rackswitch/platform/tests/test_orders.py
+++ b/rackswitch/platform/tests/test_orders.py
@@ -9,7 +9,7 @@
 from rackswitch.platform.tests.support import raw_target
 
 
-async def report_of(body: bytes) -> EngineReport | NoReport:
+async def read_report(body: bytes) -> EngineReport | NoReport:
     """Return the decoded report of an engine that sends a body."""
     sessions = TargetSessions()
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
@@ -21,7 +21,7 @@
 
 def test_decodes_load_and_memory():
     report = asyncio.run(
-        report_of(b'{"busy":false,"waiting":1,"running":12,"kv_used":41000,"kv_total":90000}')
+        read_report(b'{"busy":false,"waiting":1,"running":12,"kv_used":41000,"kv_total":90000}')
     )
     assert isinstance(report, EngineReport)
     assert (report.waiting, report.running) == (1, 12)
@@ -29,11 +29,11 @@
 
 
 def test_a_report_without_memory_has_a_total_of_zero():
-    report = asyncio.run(report_of(b'{"waiting":1,"running":12}'))
+    report = asyncio.run(read_report(b'{"waiting":1,"running":12}'))
     assert isinstance(report, EngineReport)
     assert report.memory_total_tokens == 0
 
 
 @pytest.mark.parametrize("body", [b'{"kv_used":"many"}', b'{"kv_total":-1}', b"[]", b""])
 def test_rejects_a_malformed_report(body):
-    assert isinstance(asyncio.run(report_of(body)), NoReport)
+    assert isinstance(asyncio.run(read_report(body)), NoReport)
--- a/rackswitch/platform/tests/test_servers.py
+++ b/rackswitch/platform/tests/test_servers.py
@@ -40,7 +40,7 @@
         [{"name": "m", "version": "1"}], [{"name": "m", "version": 10**400}],
     )),
     {"spot": "yes"},
-    *({"leaves_ms": left} for left in ("2500", -1, [], True)),
+    *({"leaves_ms": leaves_ms} for leaves_ms in ("2500", -1, [], True)),
 ]  # fmt: skip
 
 
--- a/rackswitch/platform/tests/test_settings.py
+++ b/rackswitch/platform/tests/test_settings.py
@@ -109,9 +109,9 @@
     assert "report_window_s" in str(fault)
 
 
-@pytest.mark.parametrize("parts", ["", 'contracts: ["base", "drain"]'])
-def test_queues_calls_only_with_the_pressure_contract(tmp_path, parts):
-    settings = read(tmp_path, VALID_SETTINGS + parts)
+@pytest.mark.parametrize("contracts", ["", 'contracts: ["base", "drain"]'])
+def test_queues_calls_only_with_the_pressure_contract(tmp_path, contracts):
+    settings = read(tmp_path, VALID_SETTINGS + contracts)
     assert isinstance(settings, NodeSettings) and not settings.queues_calls
     settings = read(tmp_path, VALID_SETTINGS + 'contracts: ["base", "pressure"]')
     assert isinstance(settings, NodeSettings) and settings.queues_calls
--- a/rackswitch/platform/tests/test_target_calls.py
+++ b/rackswitch/platform/tests/test_target_calls.py
@@ -14,7 +14,7 @@
 CALL = Call("r1", "h.example", "POST", "/a%2Fb?c=%20", (("x-own", "1"), ("x-own", "2")), b"body")
 
 
-async def answer_with(answer: bytes, reset: bool = False) -> tuple[object, bytes]:
+async def forward_call(answer: bytes, reset: bool = False) -> tuple[object, bytes]:
     """Return the client's result for an answer of the given bytes, and the request sent."""
     sessions = TargetSessions()
     deadline_seconds = asyncio.get_running_loop().time() + 2.0
@@ -25,13 +25,13 @@
 
 
 def test_an_answer_without_length_is_complete_when_its_connection_closes():
-    result, _ = asyncio.run(answer_with(HEAD + b"\r\nthe whole"))
+    result, _ = asyncio.run(forward_call(HEAD + b"\r\nthe whole"))
     assert isinstance(result, TargetAnswer)
     assert result.body == b"the whole"
 
 
 def test_an_answer_without_length_is_incomplete_if_its_connection_is_reset():
-    result, _ = asyncio.run(answer_with(HEAD + b"\r\nthe first pa", reset=True))
+    result, _ = asyncio.run(forward_call(HEAD + b"\r\nthe first pa", reset=True))
     assert isinstance(result, TargetFailed)
     assert result.may_have_run
 
@@ -50,22 +50,22 @@
     ],
 )
 def test_a_call_without_a_complete_answer_of_its_target_may_have_run(answer):
-    result, _ = asyncio.run(answer_with(answer))
+    result, _ = asyncio.run(forward_call(answer))
     assert isinstance(result, TargetFailed)
     assert result.may_have_run
 
 
 def test_only_the_not_run_header_shows_that_a_call_did_not_run():
     refusal = b"HTTP/1.1 503 X\r\nX-Rackswitch-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-    result, _ = asyncio.run(answer_with(refusal))
+    result, _ = asyncio.run(forward_call(refusal))
     assert isinstance(result, TargetFailed) and not result.may_have_run
-    result, _ = asyncio.run(answer_with(HEAD.replace(b"200 OK", b"503 X") + b"\r\n"))
+    result, _ = asyncio.run(forward_call(HEAD.replace(b"200 OK", b"503 X") + b"\r\n"))
     assert isinstance(result, TargetAnswer)
     assert result.status == 503
 
 
 def test_forwards_a_call_unchanged_with_the_platforms_headers():
-    _, request = asyncio.run(answer_with(HEAD + b"Content-Length: 0\r\n\r\n"))
+    _, request = asyncio.run(forward_call(HEAD + b"Content-Length: 0\r\n\r\n"))
     head, _, body = request.partition(b"\r\n\r\n")
     lines = head.split(b"\r\n")
     assert lines[0] == b"POST /a%2Fb?c=%20 HTTP/1.1"
@@ -182,7 +182,7 @@
 
     target, received = asyncio.run(scenario())
     reports = [
-        (at.start, report.running, report.waiting, report.slots, report.pace)
-        for at, report in received
+        (source.start, report.running, report.waiting, report.slots, report.pace)
+        for source, report in received
     ]
     assert reports == ([(target.start, 6, 9, 6, 1.2)] if is_recorded else [])
