--- a/rackswitch/explain/lines.py
+++ b/rackswitch/explain/lines.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from rackswitch.telemetry import LineHead
+from rackswitch.telemetry import LineHeader
 from rackswitch.telemetry.events import EVENTS, Event
 
 __all__ = ["LoggedEvent", "ReadLog", "read_events"]
@@ -17,13 +17,13 @@
 
     Attributes
     ----------
-    head : LineHead
+    head : LineHeader
         Who wrote it, and what that daemon's clocks said.
     life : int
         Which process of the daemon wrote it, counting from 0.
     """
 
-    head: LineHead
+    head: LineHeader
     life: int
     event: Event
 
@@ -47,7 +47,7 @@
     unknown: int = 0
 
 
-class _Named(LineHead, frozen=True):
+class _Named(LineHeader, frozen=True):
     event: str = ""
 
 
@@ -75,7 +75,7 @@
     return log
 
 
-def _read_line(text: str) -> tuple[LineHead, Event] | None:
+def _read_line(text: str) -> tuple[LineHeader, Event] | None:
     try:
         named = msgspec.json.decode(text, type=_Named)
         if named.event not in EVENTS:
@@ -83,5 +83,5 @@
         event = msgspec.json.decode(text, type=EVENTS.get(named.event))
     except msgspec.DecodeError:
         return None
-    head = LineHead(named.time, named.up, named.daemon, named.lines_dropped_before)
+    head = LineHeader(named.time, named.up, named.daemon, named.lines_dropped_before)
     return head, event
--- a/rackswitch/explain/tests/support.py
+++ b/rackswitch/explain/tests/support.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from rackswitch.telemetry import LineHead
+from rackswitch.telemetry import LineHeader
 from rackswitch.telemetry.events import Event
 
 EPOCH_SECONDS = 1_700_000_000.0
@@ -19,10 +19,10 @@
 
     def log(self, at_seconds: float, event: Event) -> None:
         """Write a line at a true time."""
-        head = LineHead(
+        header = LineHeader(
             EPOCH_SECONDS + at_seconds + self.ahead_seconds,
             at_seconds - self._started_seconds,
             self.name,
         )
-        line = msgspec.json.encode(head)[:-1] + b"," + msgspec.json.encode(event)[1:]
+        line = msgspec.json.encode(header)[:-1] + b"," + msgspec.json.encode(event)[1:]
         self.lines.append(line.decode())
--- a/rackswitch/telemetry/core.py
+++ b/rackswitch/telemetry/core.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines, and metrics with histograms for each tenant and class."""
+"""JSON log lines on standard error, and Prometheus metrics."""
 
 import json
 import logging
@@ -16,9 +16,9 @@
 
 __all__ = ["Telemetry", "set_up_logs"]
 
-PROGRAM_FOLDER = "rackswitch/"
+PACKAGE_FOLDER = "rackswitch/"
 
-LATENCY_BOUNDS_SECONDS = (
+LATENCY_BUCKET_BOUNDS_SECONDS = (
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0,
 )  # fmt: skip
 
@@ -27,12 +27,12 @@
     """Write log records to standard error, one JSON object a line."""
     logger.remove()
     logger.add(_write_json_line, level=level, backtrace=False, diagnose=False)
-    # Libraries (grpclib, asyncio) log by the standard library; their lines go the same way.
+    # Libraries such as grpclib and asyncio use the standard library's logging.
     logging.basicConfig(handlers=[_ForwardToLoguru()], level=logging.WARNING, force=True)
 
 
 class _ForwardToLoguru(logging.Handler):
-    """Hands a record of the standard library's logging on."""
+    """Forwards records of the standard library's logging to loguru."""
 
     def emit(self, record: logging.LogRecord) -> None:
         error = record.exc_info[1] if record.exc_info else None
@@ -55,14 +55,14 @@
 
 
 def _raised_at(error: BaseException | None) -> str:
-    """Return the last line of this program that an error passed; empty if it passed none.
-
-    A traceback would be many lines; without a place, 98 failed tasks of one daemon could not be
-    told from any others.
-    """
+    """Return the innermost line of this package in an error's traceback, or an empty text."""
     frames = traceback.extract_tb(error.__traceback__) if error is not None else []
-    own = [frame for frame in frames if PROGRAM_FOLDER in frame.filename]
-    return f"{Path(own[-1].filename).name}:{own[-1].lineno}" if own else ""
+    package_frames = [frame for frame in frames if PACKAGE_FOLDER in frame.filename]
+    return (
+        f"{Path(package_frames[-1].filename).name}:{package_frames[-1].lineno}"
+        if package_frames
+        else ""
+    )
 
 
 class Telemetry:
@@ -76,7 +76,7 @@
     Attributes
     ----------
     events : EventMeters
-        Metrics that follow from logged events.
+        Metrics derived from logged events.
     """
 
     __slots__ = ("_daemon", "_latency", "_provider", "_registry", "_requests", "_tokens", "events")
@@ -87,14 +87,14 @@
         reader = PrometheusMetricReader(
             disable_target_info=True, scope_info_enabled=False, registry=self._registry
         )
-        # The provider is not made the global one: several daemons may share a process.
+        # Not set as the global provider: several daemons may share a process.
         self._provider = MeterProvider(metric_readers=[reader])
         meter = self._provider.get_meter("rackswitch")
         self._latency = meter.create_histogram(
             "rackswitch_request_seconds",
             unit="s",
             description="Time from a request's arrival to the end of its answer.",
-            explicit_bucket_boundaries_advisory=LATENCY_BOUNDS_SECONDS,
+            explicit_bucket_boundaries_advisory=LATENCY_BUCKET_BOUNDS_SECONDS,
         )
         self._requests = meter.create_counter(
             "rackswitch_requests", description="Requests by outcome."
@@ -107,13 +107,13 @@
     def request_ended(
         self, tenant: str, caller_class: int, outcome: str, elapsed_seconds: float
     ) -> None:
-        """Record one request's end."""
+        """Record the latency and outcome of a request."""
         labels = {"tenant": tenant, "caller_class": str(caller_class), "daemon": self._daemon}
         self._latency.record(elapsed_seconds, labels)
         self._requests.add(1, {**labels, "outcome": outcome})
 
     def tokens_passed(self, tenant: str, tokens: int) -> None:
-        """Count tokens."""
+        """Count tokens sent to a tenant's callers or put into its samples."""
         self._tokens.add(tokens, {"tenant": tenant, "daemon": self._daemon})
 
     def exposition(self) -> bytes:
--- a/rackswitch/telemetry/events/admission.py
+++ b/rackswitch/telemetry/events/admission.py
@@ -1,37 +1,35 @@
-"""What is logged of calls for which there is too little room."""
+"""Events of admission control."""
 
-from rackswitch.telemetry.events.base import Event, registered
+from rackswitch.telemetry.events.base import Event, register_event
 
 __all__ = ["CallDecided", "RoomSeen"]
 
 
-@registered
+@register_event
 class CallDecided(Event, tag="call decided", frozen=True):
-    """A call was sent, let wait or refused; a call that waited has a second line.
+    """A call was sent, queued or refused; a call that was queued has a second event.
 
     Attributes
     ----------
-    route : str
-        The route of the call.
     caller_class : int
-        Its rank; reward calls have one behind all callers.
+        Priority class of the call; reward calls come after all callers' classes.
     outcome : str
-        ``sent``, ``waits``, or ``refused: `` and why.
+        ``sent``, ``waits``, or ``refused: `` and the reason.
     expected_wait_seconds, waited_seconds : float
-        How long it would probably wait, and how long it has.
+        Estimated time in the wait queue, and time spent there.
     left_seconds : float
-        How long the caller goes on waiting.
+        How much longer the caller waits.
     waiting, in_flight, limit : int, int, float
-        Calls of this daemon that wait for the service and that are there, and how many may be.
+        This daemon's calls in the service's wait queue, those in flight, and the concurrency limit.
     free_slots, word_age_seconds : float
-        Slots believed to be free, and the age of the newest word of a target; -1 if none was
-        heard.
+        Estimated free slots, and the age of the newest load report of a target; -1 if none
+        was received.
     refusals_since_answer : int
-        Calls that targets of the service refused since the last answer of one of them.
+        Calls that targets of the service refused since one of them last answered a call.
     crowding : float
-        Share of answers that told lately of a full target, between 0 and 1.
+        Share of recent answers that reported a full target, between 0 and 1.
     come_back_seconds : float
-        When a refused caller was told to come back, counted from then; 0 for others.
+        Delay before a retry that a refused caller was told; 0 for other outcomes.
     """
 
     request: str
@@ -54,24 +52,24 @@
 
     @property
     def is_routine(self) -> bool:
-        """Whether the call went at once."""
+        """Whether the call was sent without waiting."""
         return self.outcome == "sent" and self.waited_seconds == 0.0
 
 
-@registered
+@register_event
 class RoomSeen(Event, tag="room seen", frozen=True):
-    """What one daemon's calls wanted of a service, told while there is something to tell.
+    """Load of one service by this daemon's calls, logged repeatedly while it is in demand.
 
     Attributes
     ----------
     waiting, in_flight : int
-        Calls that wait, and calls that are there.
+        Calls in the wait queue, and calls in flight.
     limit : float
-        How many may be there.
+        Concurrency limit.
     oldest_wait_seconds : float
-        How long the longest waiting one has waited.
+        How long the oldest call in the wait queue has waited.
     tenant_shares : dict of str to float
-        Part of the work done lately, by tenant.
+        Share of the recently served work, by tenant.
     """
 
     service: str
@@ -83,5 +81,5 @@
 
     @property
     def is_routine(self) -> bool:
-        """It is told again a second later."""
+        """Always true: the event is repeated soon."""
         return True
--- a/rackswitch/telemetry/events/base.py
+++ b/rackswitch/telemetry/events/base.py
@@ -1,4 +1,4 @@
-"""What every logged event is, and the names that log lines carry."""
+"""The base class of events, and the registry of event classes."""
 
 from typing import TypeVar
 
@@ -10,7 +10,7 @@
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True, tag_field="event"):
-    """One line of the log."""
+    """Base class of events; each is one line of the decision log."""
 
     @property
     def is_routine(self) -> bool:
@@ -19,12 +19,12 @@
 
 
 EVENTS: Registry[type[Event]] = Registry("event")
-"""All kinds of events, by the name that their lines carry."""
+"""Event classes by tag."""
 
 EventT = TypeVar("EventT", bound=type[Event])
 
 
-def registered(kind: EventT) -> EventT:
-    """File an event class under the name that its lines carry."""
-    EVENTS.register(str(kind.__struct_config__.tag))(kind)
-    return kind
+def register_event(event_class: EventT) -> EventT:
+    """Register an event class under its tag."""
+    EVENTS.register(str(event_class.__struct_config__.tag))(event_class)
+    return event_class
--- a/rackswitch/telemetry/events/dependencies.py
+++ b/rackswitch/telemetry/events/dependencies.py
@@ -1,6 +1,6 @@
-"""What is logged of the services and daemons that a daemon needs."""
+"""Events of the services and daemons that a daemon depends on."""
 
-from rackswitch.telemetry.events.base import Event, registered
+from rackswitch.telemetry.events.base import Event, register_event
 
 __all__ = [
     "CallNotPassedOn",
@@ -21,121 +21,125 @@
 ]
 
 
-@registered
+@register_event
 class DependencyLost(Event, tag="dependency lost", frozen=True):
-    """A call to the service went unanswered or was refused."""
+    """A call to a dependency was refused or not answered."""
 
     dependency: str
     detail: str
 
 
-@registered
+@register_event
 class DependencyRegained(Event, tag="dependency regained", frozen=True):
-    """The service answers again."""
+    """A dependency answers again."""
 
     dependency: str
     away_seconds: float
 
 
-@registered
+@register_event
 class SessionBegun(Event, tag="session begun", frozen=True):
-    """The daemon has a lease in the key-value service."""
+    """The daemon acquired a lease in the key-value service."""
 
     lease: int
 
 
-@registered
+@register_event
 class SessionLost(Event, tag="session lost", frozen=True):
-    """The service says that the lease is over, and with it what hung on it."""
+    """The key-value service reported that the lease, and with it the keys attached, is gone."""
 
     lease: int
 
 
-@registered
+@register_event
 class SessionEnded(Event, tag="session ended", frozen=True):
-    """The daemon gave its lease back."""
+    """The daemon revoked its own lease."""
 
     lease: int | None
     outcome: str
 
 
-@registered
+@register_event
 class PredecessorEnded(Event, tag="predecessor's lease ended", frozen=True):
-    """The lease of this daemon's earlier process was ended."""
+    """The lease of this daemon's previous process was revoked."""
 
     lease: int
 
 
-@registered
+@register_event
 class Follows(Event, tag="follows", frozen=True):
-    """The daemon takes its copies of the service's entries from another daemon."""
+    """The daemon replicates the key-value service's entries from another daemon."""
 
     daemon_followed: str
 
 
-@registered
+@register_event
 class CannotFollow(Event, tag="cannot follow", frozen=True):
-    """Another daemon's copies cannot be taken."""
+    """The daemon cannot replicate entries from another daemon."""
 
     daemon_asked: str
     reason: str
 
 
-@registered
+@register_event
 class StoreCalls(Event, tag="key-value calls", frozen=True):
-    """Calls to the key-value service so far, by kind."""
+    """Number of calls to the key-value service so far, by kind."""
 
     calls: dict[str, int]
 
 
-@registered
+@register_event
 class EntryUnreadable(Event, tag="entry unreadable", frozen=True):
-    """An entry of the service cannot be decoded: in the list of targets it names none, and
-    elsewhere what was known before stays."""
+    """An entry of the key-value service cannot be decoded.
+
+    In the list of targets it is left out; elsewhere the previous value stays in use.
+    """
 
     key: str
     revision: int
     detail: str
 
 
-@registered
+@register_event
 class StorePathChanged(Event, tag="key-value path changed", frozen=True):
-    """The daemon's own path to the service broke, or is good again; calls go through peers between.
+    """The daemon's direct path to the key-value service failed or recovered.
+
+    In between, calls are relayed by peers.
 
     Attributes
     ----------
     detail : str
-        What the call brought that showed it broken.
+        Result of the call that showed the failure.
     """
 
     is_good: bool
     detail: str
 
 
-@registered
+@register_event
 class CallNotPassedOn(Event, tag="call not passed on", frozen=True):
-    """Another daemon asked for a call to the service that it may not ask for."""
+    """This daemon refused to relay a call to the key-value service for another daemon."""
 
     daemon_asking: str
     detail: str
 
 
-@registered
+@register_event
 class WatchesService(Event, tag="watches the service", frozen=True):
-    """The daemon begins, or ceases, to watch the key-value service by itself."""
+    """The daemon started or stopped its own watch of the key-value service."""
 
     watches: bool
 
 
-@registered
+@register_event
 class EntryContinued(Event, tag="entry continued", frozen=True):
-    """The daemon goes on with the lease of its predecessor's entry among the members."""
+    """The daemon continues the lease of the membership entry of its previous process."""
 
     lease: int
 
 
-@registered
+@register_event
 class LeavingTold(Event, tag="leaving told", frozen=True):
-    """A stopping daemon told the others, or could not."""
+    """A stopping daemon notified the other daemons, or failed to."""
 
     outcome: str
--- a/rackswitch/telemetry/events/jobs.py
+++ b/rackswitch/telemetry/events/jobs.py
@@ -1,7 +1,7 @@
-"""What is logged of batch jobs: who owns them, their items, their results."""
+"""Events of batch jobs: their owners, items and results."""
 
-from rackswitch.telemetry.events.base import Event, registered
-from rackswitch.telemetry.events.places import PlaceSeen
+from rackswitch.telemetry.events.base import Event, register_event
+from rackswitch.telemetry.events.estimates import PlaceSeen
 
 __all__ = [
     "EngineLeaves",
@@ -25,7 +25,7 @@
 ]
 
 
-@registered
+@register_event
 class JobSubmitted(Event, tag="job submitted", frozen=True):
     """The answer to a job's submission."""
 
@@ -38,9 +38,9 @@
     detail: str
 
 
-@registered
+@register_event
 class JobOwned(Event, tag="job owned", frozen=True):
-    """This daemon works on a job from now on; `owner_revision` fences its writes."""
+    """This daemon became the owner of a job; `owner_revision` fences its writes."""
 
     job: str
     step: int
@@ -54,9 +54,9 @@
     wanted_groups: int = 0
 
 
-@registered
+@register_event
 class JobPlaced(Event, tag="job placed", frozen=True):
-    """A job that came here was passed to the daemon that should own it."""
+    """A job that was submitted here was passed to the daemon that should own it."""
 
     job: str
     owner: str
@@ -64,9 +64,9 @@
     outcome: str
 
 
-@registered
+@register_event
 class JobResumed(Event, tag="job resumed", frozen=True):
-    """Unfinished texts of a former owner were gone on with; none if its runs may still go on."""
+    """Unfinished texts of a former owner were resumed; none if its runs may still be active."""
 
     job: str
     former_owner: str
@@ -75,9 +75,9 @@
     items_resumed: int
 
 
-@registered
+@register_event
 class JobHandedOver(Event, tag="job handed over", frozen=True):
-    """A stopping owner offered a job to another daemon; `outcome` says what came of it."""
+    """A stopping owner offered a job to another daemon; `outcome` is the answer."""
 
     job: str
     successor: str
@@ -87,12 +87,12 @@
     items_kept: int
 
 
-@registered
+@register_event
 class JobReceived(Event, tag="job received", frozen=True):
-    """A job came from a stopping owner.
+    """A job was received from a stopping owner.
 
-    `outcome` is "owned", "not owned yet" while the key-value service is away, or why it is not
-    worked on here.
+    `outcome` is "owned", "not owned yet" while the key-value service is unreachable, or the reason
+    why this daemon does not work on it.
     """
 
     job: str
@@ -102,9 +102,9 @@
     elapsed_seconds: float
 
 
-@registered
+@register_event
 class JobDropped(Event, tag="job dropped", frozen=True):
-    """This daemon works on a job no more."""
+    """This daemon stopped working on a job."""
 
     job: str
     reason: str
@@ -113,33 +113,33 @@
     owner_revision: int
 
 
-@registered
+@register_event
 class JobNotOwned(Event, tag="job not owned", frozen=True):
-    """A job that was claimed here is not worked on."""
+    """This daemon claimed a job but does not work on it."""
 
     job: str
     reason: str
 
 
-@registered
+@register_event
 class JobEnded(Event, tag="job ended", frozen=True):
-    """The answer to a submitter that ends its job."""
+    """The answer to a submitter's request to end a job."""
 
     job: str
     outcome: str
 
 
-@registered
+@register_event
 class JobForgotten(Event, tag="job forgotten", frozen=True):
-    """A job past its time was deleted, or could not be."""
+    """An expired job was deleted, or the deletion failed."""
 
     job: str
     outcome: str
 
 
-@registered
+@register_event
 class JobCallRefused(Event, tag="job call refused", frozen=True):
-    """A call about a job was not served."""
+    """A call about a job was refused."""
 
     job: str
     call: str
@@ -147,9 +147,9 @@
     detail: str
 
 
-@registered
+@register_event
 class ItemRunEnded(Event, tag="item run ended", frozen=True):
-    """The end of one run of an item at an engine."""
+    """A run of an item at an engine ended."""
 
     job: str
     item: str
@@ -167,48 +167,48 @@
     """From the run's start to its first piece; -1 if none came."""
 
     fingerprint: str = ""
-    """What the item has in common with other sends of the same request, if the run broke."""
+    """Identifies repeated sends of the same request, if the run was interrupted."""
 
     place: PlaceSeen | None = None
-    """What was believed of the engine as the run began, if its service tells its pace."""
+    """Estimate of the engine's load when the run began, if its service reports a pace."""
 
     @property
     def is_routine(self) -> bool:
-        """Whether the run brought the whole text at once."""
+        """Whether the first run completed the text."""
         return self.run == 1 and self.outcome == "whole"
 
 
-@registered
+@register_event
 class EngineLeaves(Event, tag="engine leaves", frozen=True):
-    """An engine with runs of this daemon leaves, and how long it can be counted on at least."""
+    """An engine with runs of this daemon is leaving; it serves for `left_seconds` at least."""
 
     target: str
     left_seconds: float
     is_told: bool
-    """Whether the engine itself says how long; else it is what any engine must serve then."""
+    """Whether the engine itself reported that time; if not, it is the minimum drain time."""
 
     runs: int
 
 
-@registered
+@register_event
 class RunLeavesEngine(Event, tag="run leaves engine", frozen=True):
-    """A run is ended to go on elsewhere before its engine is gone."""
+    """A run was ended so that it resumes at another engine before its engine is gone."""
 
     job: str
     item: str
     target: str
     room_at: str
-    """Where there was room for it; it goes to whichever engine is best when it starts."""
+    """An engine with a free slot; the run resumes at the best engine when it starts."""
 
     remaining_seconds: float
     left_seconds: float
     slack_seconds: float
-    """Until when it must have begun elsewhere for its step to be in time."""
+    """Time until it has to have resumed for its step to be in time."""
 
 
-@registered
+@register_event
 class RewardCallEnded(Event, tag="reward call ended", frozen=True):
-    """The end of a call that scores an item's text."""
+    """A call that scores an item's text ended."""
 
     job: str
     item: str
@@ -221,13 +221,13 @@
 
     @property
     def is_routine(self) -> bool:
-        """Whether the call was served at the first try."""
+        """Whether the call was served at the first attempt."""
         return self.attempts <= 1 and self.outcome.startswith("2")
 
 
-@registered
+@register_event
 class ItemGivenUp(Event, tag="item given up", frozen=True):
-    """An item is listed without a text."""
+    """An item was listed without a text."""
 
     job: str
     item: str
@@ -235,9 +235,9 @@
     table_revision: int
 
 
-@registered
+@register_event
 class ResultsAppended(Event, tag="results appended", frozen=True):
-    """Results were kept from a position on, or could not be."""
+    """Results were stored from a position on, or storing them failed."""
 
     job: str
     position: int
@@ -247,13 +247,13 @@
 
     @property
     def is_routine(self) -> bool:
-        """Whether the results are kept."""
+        """Whether the results were stored."""
         return self.outcome == "Appended"
 
 
-@registered
+@register_event
 class ResultsRead(Event, tag="results read", frozen=True):
-    """The answer to a reader of results, and where it was taken from."""
+    """A reader's request for results was answered; `source` is where they came from."""
 
     job: str
     position: int
@@ -264,5 +264,5 @@
 
     @property
     def is_routine(self) -> bool:
-        """Reads change nothing."""
+        """Always true: reads change no state."""
         return True
--- a/rackswitch/telemetry/events/duties.py
+++ b/rackswitch/telemetry/events/operators.py
@@ -1,19 +1,19 @@
-"""What is logged of calls to the operators' API."""
+"""Events of calls to the operators' API."""
 
-from rackswitch.telemetry.events.base import Event, registered
+from rackswitch.telemetry.events.base import Event, register_event
 
 __all__ = ["EnginesOrdered", "UsageFixed", "UsageHandedOver", "UsageSent"]
 
 
-@registered
+@register_event
 class UsageFixed(Event, tag="usage fixed", frozen=True):
-    """A window's usage was gathered; this content is written and sent, and no other.
+    """The usage of a window was gathered and is final.
 
     Attributes
     ----------
     daemons, daemons_silent, daemons_partial : int
-        How many told their counts, did not answer, and have counted for a part of the window
-        only.
+        Daemons that reported their counts, those that did not answer, and those that counted
+        during a part of the window only.
     after_end_seconds : float
         Time since the window's end.
     """
@@ -27,9 +27,9 @@
     after_end_seconds: float
 
 
-@registered
+@register_event
 class UsageSent(Event, tag="usage sent", frozen=True):
-    """A window's usage was sent, and how the operators' API answered."""
+    """The usage of a window was sent; `outcome` is the answer of the operators' API."""
 
     window: int
     requests: int
@@ -39,24 +39,24 @@
     outcome: str
 
 
-@registered
+@register_event
 class UsageHandedOver(Event, tag="usage handed over", frozen=True):
-    """A stopping daemon gave what it had counted to another one."""
+    """A stopping daemon handed its usage counts over to another daemon."""
 
     requests: int
     outcome: str
 
 
-@registered
+@register_event
 class EnginesOrdered(Event, tag="engines ordered", frozen=True):
-    """Engines were ordered in a place, and how the operators' API answered.
+    """Engines of one kind were ordered in a zone; `outcome` is the answer of the operators' API.
 
     Attributes
     ----------
     count, added : int
-        What the place is to have, and how many of these are new.
+        Engines ordered for this zone and kind in all, and how many of them are new.
     wanted, present : int
-        Engines that the service should have in all, and those that served.
+        Engines that the service needs in all, and those that are serving.
     """
 
     service: str
--- a/rackswitch/telemetry/events/process.py
+++ b/rackswitch/telemetry/events/process.py
@@ -1,6 +1,6 @@
-"""What is logged of a process: its start and stop, its settings, its own log."""
+"""Events of a process: start and stop, settings, and the log itself."""
 
-from rackswitch.telemetry.events.base import Event, registered
+from rackswitch.telemetry.events.base import Event, register_event
 
 __all__ = [
     "HandOverGivenUp",
@@ -14,59 +14,59 @@
 ]
 
 
-@registered
+@register_event
 class Started(Event, tag="started", frozen=True):
-    """The process serves from now on."""
+    """The process started to serve."""
 
     zone: str
     machine_class: str = ""
 
 
-@registered
+@register_event
 class MachineSuspended(Event, tag="machine suspended", frozen=True):
-    """The machine has slept; deadlines that passed meanwhile have passed."""
+    """The VM was suspended; deadlines that passed meanwhile have expired."""
 
     for_seconds: float
 
 
-@registered
+@register_event
 class Stopping(Event, tag="stopping", frozen=True):
-    """A planned stop has begun."""
+    """A planned stop began."""
 
     requests_in_flight: int
 
 
-@registered
+@register_event
 class HandOverGivenUp(Event, tag="hand-over given up", frozen=True):
-    """A planned stop could not hand these jobs over in time; they are taken over later."""
+    """A planned stop could not hand these jobs over in time; other daemons take them over later."""
 
     jobs: list[str]
 
 
-@registered
+@register_event
 class Stopped(Event, tag="stopped", frozen=True):
-    """A planned stop is over; `whole` if no request was left."""
+    """A planned stop ended; `whole` if no request was left."""
 
     whole: bool
 
 
-@registered
+@register_event
 class Reloaded(Event, tag="reloaded", frozen=True):
-    """The settings file has changed."""
+    """A changed settings file was loaded."""
 
     applied: tuple[str, ...]
     needs_restart: tuple[str, ...]
 
 
-@registered
+@register_event
 class ReloadRefused(Event, tag="reload refused", frozen=True):
-    """The settings file cannot be used; the settings in force stay."""
+    """The settings file is invalid; the current settings stay in effect."""
 
     detail: str
 
 
-@registered
+@register_event
 class LinesFolded(Event, tag="lines folded", frozen=True):
-    """How many routine lines were not written one by one, by event."""
+    """Number of routine lines that were counted instead of written, by event tag."""
 
     counts: dict[str, int]
--- a/rackswitch/telemetry/events/quarantine.py
+++ b/rackswitch/telemetry/events/quarantine.py
@@ -1,22 +1,22 @@
-"""What is logged of targets that ended under requests, and of requests that are held back."""
+"""Events of targets that ended during requests, and of requests that are held back."""
 
-from rackswitch.telemetry.events.base import Event, registered
+from rackswitch.telemetry.events.base import Event, register_event
 
 __all__ = ["EndsTold", "RequestAcquitted", "RequestHeldBack", "TargetEnded", "TrialClaimed"]
 
 
-@registered
+@register_event
 class TargetEnded(Event, tag="target ended", frozen=True):
-    """The process of a target has ended under runs of this daemon.
+    """The process of a target ended during runs of this daemon.
 
     Attributes
     ----------
     target : str
-        The start that ended.
+        The target's start (one process of it) that ended.
     evidence : str
-        How this is known.
+        How the end was detected.
     runs : list of str
-        Fingerprints of the requests whose runs broke there.
+        Fingerprints of the requests whose runs were interrupted.
     """
 
     target: str
@@ -25,18 +25,18 @@
     list_age_seconds: float
 
 
-@registered
+@register_event
 class EndsTold(Event, tag="ends told", frozen=True):
-    """This daemon's record of ends, as it was told to the others.
+    """This daemon sent its record of ended targets to the others.
 
     Attributes
     ----------
     number : int
-        Counts the records.
+        Sequence number of the record.
     kept : bool
-        Whether the key-value service has it.
+        Whether the key-value service stored the record.
     told : int
-        Daemons that were told directly, as the service did not take it at once.
+        Daemons notified directly, as the service did not store the record at once.
     """
 
     number: int
@@ -45,16 +45,16 @@
     told: int
 
 
-@registered
+@register_event
 class RequestHeldBack(Event, tag="request held back", frozen=True):
-    """A send of a request did not take place.
+    """A request was not sent, as targets ended during earlier sends of it.
 
     Attributes
     ----------
     ends, trials : int
-        Targets that ended under it, and sends of it since it is held back.
+        Targets that ended during it, and sends of it since it is held back.
     for_seconds : float
-        How long it is not worth another try.
+        Minimum delay before a retry.
     """
 
     fingerprint: str
@@ -64,22 +64,22 @@
 
     @property
     def is_routine(self) -> bool:
-        """Whatever is asked for again and again is refused again and again."""
+        """Always true: a repeated request is refused each time."""
         return True
 
 
-@registered
+@register_event
 class TrialClaimed(Event, tag="trial claimed", frozen=True):
-    """A request that is held back is sent once, if the claim was this daemon's."""
+    """A trial send of a held-back request was due; `claimed` if this daemon may send it."""
 
     fingerprint: str
     trial: int
     claimed: bool
 
 
-@registered
+@register_event
 class RequestAcquitted(Event, tag="request acquitted", frozen=True):
-    """A target has answered a request that was present when others ended."""
+    """A request was cleared of suspicion: a target answered it after others had ended during it."""
 
     fingerprint: str
     ends: int
--- a/rackswitch/telemetry/events/requests.py
+++ b/rackswitch/telemetry/events/requests.py
@@ -1,7 +1,7 @@
-"""What is logged of callers' requests and their attempts."""
+"""Events of callers' requests and their attempts."""
 
-from rackswitch.telemetry.events.base import Event, registered
-from rackswitch.telemetry.events.places import PlaceSeen
+from rackswitch.telemetry.events.base import Event, register_event
+from rackswitch.telemetry.events.estimates import PlaceSeen
 
 __all__ = [
     "AttemptFailed",
@@ -10,9 +10,9 @@
 ]
 
 
-@registered
+@register_event
 class RequestRefused(Event, tag="request refused", frozen=True):
-    """A request was refused by this daemon itself, before any target was chosen."""
+    """This daemon refused a request before choosing a target."""
 
     request: str
     path: str
@@ -21,18 +21,18 @@
     table_revision: int
 
 
-@registered
+@register_event
 class AttemptFailed(Event, tag="attempt failed", frozen=True):
-    """A target did not serve a request.
+    """An attempt to have a target serve a request failed.
 
     Attributes
     ----------
     may_have_run : bool
-        False only if the target cannot have begun, or said that it did not.
+        False only if the target cannot have started the request, or reported that it did not.
     list_age_seconds : float
-        How old the list of targets was that the target was chosen from.
+        Age of the list of targets that the target was chosen from.
     fingerprint : str
-        What it has in common with other sends of the same request, if the run broke.
+        Identifies repeated sends of the same request, if the run was interrupted.
     """
 
     request: str
@@ -46,18 +46,18 @@
     fingerprint: str = ""
 
 
-@registered
+@register_event
 class RequestEnded(Event, tag="request ended", frozen=True):
-    """A request's final answer.
+    """A request ended.
 
     Attributes
     ----------
     target : str
-        The target whose answer was passed on; empty if there is none.
+        The target whose answer was forwarded to the caller; empty if there is none.
     targets_known : int
-        Targets of the service that could be used when the request ended.
+        Usable targets of the service when the request ended.
     place : PlaceSeen or None
-        What was believed of the target as it was chosen, if its service tells its pace.
+        Estimate of the target's load when it was chosen, if its service reports a pace.
     """
 
     request: str
@@ -75,5 +75,5 @@
 
     @property
     def is_routine(self) -> bool:
-        """Whether the request was served at the first try."""
+        """Whether the request was served at the first attempt."""
         return self.attempts <= 1 and self.outcome.startswith("2")
--- a/rackswitch/telemetry/events/samples.py
+++ b/rackswitch/telemetry/events/samples.py
@@ -1,6 +1,6 @@
-"""What is logged of trainers' samples in the stand-alone deployment."""
+"""Events of trainers' samples in the stand-alone deployment."""
 
-from rackswitch.telemetry.events.base import Event, registered
+from rackswitch.telemetry.events.base import Event, register_event
 
 __all__ = [
     "LedgerLoaded",
@@ -8,17 +8,17 @@
 ]
 
 
-@registered
+@register_event
 class LedgerLoaded(Event, tag="ledger loaded", frozen=True):
-    """This daemon keeps a trainer's ledger from now on."""
+    """This daemon loaded a trainer's ledger and manages it from now on."""
 
     trainer: str
     fencing: int
 
 
-@registered
+@register_event
 class SampleEnded(Event, tag="sample ended", frozen=True):
-    """The end of an order for one sample."""
+    """An order for one sample ended."""
 
     trainer: str
     step: int
--- a/rackswitch/telemetry/events/beliefs.py
+++ b/rackswitch/telemetry/events/state.py
@@ -1,6 +1,6 @@
-"""What is logged when a daemon's beliefs change: table, targets, versions, roles."""
+"""Events of changes in a daemon's state: table, targets, versions, roles."""
 
-from rackswitch.telemetry.events.base import Event, registered
+from rackswitch.telemetry.events.base import Event, register_event
 
 __all__ = [
     "EditAccepted",
@@ -14,25 +14,25 @@
 ]
 
 
-@registered
+@register_event
 class TableInForce(Event, tag="table in force", frozen=True):
-    """Another revision of the table holds here."""
+    """Another revision of the table took effect at this daemon."""
 
     revision: int
     revision_before: int
 
 
-@registered
+@register_event
 class EditAccepted(Event, tag="edit accepted", frozen=True):
-    """An operator's edit is in the table."""
+    """An operator's edit was written to the table."""
 
     edit: str
     operator: str
 
 
-@registered
+@register_event
 class TargetListed(Event, tag="target listed", frozen=True):
-    """A target is new in the list, or its state there has changed."""
+    """A target was added to the list of targets, or its entry there changed."""
 
     target: str
     service: str
@@ -40,43 +40,50 @@
     revision: int
 
 
-@registered
+@register_event
 class TargetGone(Event, tag="target gone", frozen=True):
-    """A target's entry is gone; `still_used` if it may only have lapsed with the service."""
+    """A target's entry was removed.
+
+    Attributes
+    ----------
+    still_used : bool
+        Whether the target stays in use, as its entry may only have lapsed while the key-value
+        service was unreachable.
+    """
 
     target: str
     still_used: bool
 
 
-@registered
+@register_event
 class VersionNamed(Event, tag="version named", frozen=True):
-    """A trainer has named a version of a model."""
+    """A trainer named another version of a model."""
 
     model: str
     version: int
     version_before: int
 
 
-@registered
+@register_event
 class RoleAcquired(Event, tag="role acquired", frozen=True):
-    """This daemon holds a role."""
+    """This daemon acquired a role."""
 
     role: str
     fencing: int
 
 
-@registered
+@register_event
 class RoleLost(Event, tag="role lost", frozen=True):
-    """This daemon does not hold a role any more."""
+    """This daemon lost a role."""
 
     role: str
     fencing: int
     reason: str
 
 
-@registered
+@register_event
 class RetireAnswered(Event, tag="retire", frozen=True):
-    """An order to empty a VM was answered."""
+    """An order to drain a VM was answered."""
 
     vm: str
     outcome: str
--- a/rackswitch/telemetry/events/weights.py
+++ b/rackswitch/telemetry/events/weights.py
@@ -1,6 +1,6 @@
-"""What is logged of orders to engines to load versions of weights."""
+"""Events of orders to engines to load versions of weights."""
 
-from rackswitch.telemetry.events.base import Event, registered
+from rackswitch.telemetry.events.base import Event, register_event
 
 __all__ = [
     "LoadOrdered",
@@ -8,18 +8,21 @@
 ]
 
 
-@registered
+@register_event
 class OrdersTakenOver(Event, tag="orders taken over", frozen=True):
-    """This daemon orders a service's engines, from `wait_seconds` on."""
+    """This daemon takes over a service's load orders and sends its first after `wait_seconds`."""
 
     service: str
     fencing: int
     wait_seconds: float
 
 
-@registered
+@register_event
 class LoadOrdered(Event, tag="load ordered", frozen=True):
-    """An order to an engine, with the state that it was decided on, and the engine's answer."""
+    """An engine was ordered to load a version; `outcome` is its answer.
+
+    The other fields are the state that the order was based on.
+    """
 
     target: str
     model: str
--- a/rackswitch/telemetry/meters.py
+++ b/rackswitch/telemetry/meters.py
@@ -1,4 +1,4 @@
-"""Metrics that follow from logged events, so that both tell the same."""
+"""Metrics derived from logged events, so that metrics and log agree."""
 
 from collections.abc import Callable
 from typing import Any
@@ -36,25 +36,22 @@
 __all__ = ["EventMeters", "short_outcome"]
 
 MAX_LABEL_VALUES = 200
-"""Values of one label that are told apart; later ones count as `other`. More than the routes,
-services and models of the largest expected table on one daemon."""
+"""Limits the cardinality of a label; further values are recorded as `other`."""
 
-OTHER = "other"
+OTHER_LABEL_VALUE = "other"
 
-RUN_BOUNDS_SECONDS = (0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 4.0, 6.0, 8.0, 12.0, 20.0, 40.0, 60.0)
-"""From a short text to one that takes several targets."""
+RUN_BUCKET_BOUNDS_SECONDS = (0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 4.0, 6.0, 8.0, 12.0, 20.0, 40.0, 60.0)
+Recorder = Callable[["EventMeters", Any], None]
+RECORDERS: Registry[Recorder] = Registry("recorder of an event")
 
-Count = Callable[["EventMeters", Any], None]
-COUNTS: Registry[Count] = Registry("count of an event")
 
-
-def _counts(kind: type[Event]) -> Callable[[Count], Count]:
-    """Return a decorator that files what an event of a class counts."""
-    return COUNTS.register(str(kind.__struct_config__.tag))
+def _recorder_of(event_class: type[Event]) -> Callable[[Recorder], Recorder]:
+    """Return a decorator that registers the recorder of an event class."""
+    return RECORDERS.register(str(event_class.__struct_config__.tag))
 
 
 def short_outcome(outcome: str) -> str:
-    """Return an outcome without its detail, so that metrics have few labels."""
+    """Return an outcome without its detail, for use as a label value."""
     return outcome.partition(":")[0].partition(",")[0]
 
 
@@ -64,11 +61,11 @@
     Parameters
     ----------
     meter : Meter
-        Makes the instruments.
+        Creates the instruments.
     daemon : str
-        A label on all of them.
-    request_ended : callable
-        Records a caller's request: route, class, outcome, seconds.
+        The daemon's name, a label on all metrics.
+    record_request : callable
+        Records a caller's request: route, class, outcome, elapsed seconds.
     """
 
     __slots__ = (
@@ -78,7 +75,7 @@
         "calls_refused",
         "calls_waiting",
         "concurrency_limit",
-        "believed_wait",
+        "estimated_wait",
         "dependency_up",
         "events",
         "item_run_seconds",
@@ -92,21 +89,21 @@
         "oldest_wait",
         "positions",
         "refusals",
-        "request_ended",
+        "record_request",
         "requests_held_back",
         "reward_calls",
         "table_revision",
         "targets_ended",
         "tenant_share",
-        "word_age",
+        "report_age",
     )
 
     def __init__(
-        self, meter: Meter, daemon: str, request_ended: Callable[[str, int, str, float], None]
+        self, meter: Meter, daemon: str, record_request: Callable[[str, int, str, float], None]
     ):
         self._daemon = daemon
         self._known_values: dict[str, set[str]] = {}
-        self.request_ended = request_ended
+        self.record_request = record_request
         self.events = meter.create_counter("rackswitch_events", description="Events by name.")
         self.attempts_failed = meter.create_counter(
             "rackswitch_attempts_failed", description="Calls that a target did not serve."
@@ -114,12 +111,12 @@
         self.refusals = meter.create_counter(
             "rackswitch_refusals", description="Requests refused before a target was chosen."
         )
-        self.believed_wait = meter.create_gauge(
+        self.estimated_wait = meter.create_gauge(
             "rackswitch_believed_wait_seconds",
             unit="s",
             description="Wait for a slot at a target, as believed at its last choice.",
         )
-        self.word_age = meter.create_gauge(
+        self.report_age = meter.create_gauge(
             "rackswitch_word_age_seconds",
             unit="s",
             description="Age of a target's word at its last choice; -1 if there was none.",
@@ -162,7 +159,7 @@
             "rackswitch_item_run_seconds",
             unit="s",
             description="Time of one run of an item.",
-            explicit_bucket_boundaries_advisory=RUN_BOUNDS_SECONDS,
+            explicit_bucket_boundaries_advisory=RUN_BUCKET_BOUNDS_SECONDS,
         )
         self.items_given_up = meter.create_counter(
             "rackswitch_items_given_up", description="Items listed without a text."
@@ -190,153 +187,153 @@
         )
 
     def count(self, event: Event) -> None:
-        """Count one event."""
+        """Count an event and record the metrics of its class."""
         name = str(event.__struct_config__.tag)
         self.events.add(1, self.labels(event=name))
-        if name in COUNTS:
-            COUNTS.get(name)(self, event)
+        if name in RECORDERS:
+            RECORDERS.get(name)(self, event)
 
     def labels(self, **values: object) -> dict[str, str]:
-        """Return labels with the daemon's own; values beyond the bound become `other`."""
-        bounded = {name: self._bounded(name, str(value)) for name, value in values.items()}
+        """Return labels including the daemon's; values beyond the limit become `other`."""
+        bounded = {name: self._bounded_value(name, str(value)) for name, value in values.items()}
         return {"daemon": self._daemon, **bounded}
 
-    def placed(self, target: str, place: PlaceSeen | None) -> None:
-        """Show what was believed of a target as it was chosen."""
-        if place is None:
+    def record_estimate(self, target: str, estimate: PlaceSeen | None) -> None:
+        """Record the estimate of a target's load at the time when it was chosen."""
+        if estimate is None:
             return
         labels = self.labels(target=target)
-        self.believed_wait.set(place.wait_seconds, labels)
-        self.word_age.set(place.word_age_seconds, labels)
+        self.estimated_wait.set(estimate.wait_seconds, labels)
+        self.report_age.set(estimate.word_age_seconds, labels)
 
-    def _bounded(self, name: str, value: str) -> str:
+    def _bounded_value(self, name: str, value: str) -> str:
         known = self._known_values.setdefault(name, set())
         if value not in known:
             if len(known) >= MAX_LABEL_VALUES:
-                return OTHER
+                return OTHER_LABEL_VALUE
             known.add(value)
         return value
 
 
-@_counts(RequestEnded)
+@_recorder_of(RequestEnded)
 def _request_ended(meters: EventMeters, event: RequestEnded) -> None:
     route = meters.labels(route=event.route)["route"]
-    meters.request_ended(
+    meters.record_request(
         route, event.caller_class, short_outcome(event.outcome), event.elapsed_seconds
     )
-    meters.placed(event.target, event.place)
+    meters.record_estimate(event.target, event.place)
 
 
-@_counts(RequestRefused)
+@_recorder_of(RequestRefused)
 def _request_refused(meters: EventMeters, event: RequestRefused) -> None:
     meters.refusals.add(1, meters.labels(status=event.status))
 
 
-@_counts(AttemptFailed)
+@_recorder_of(AttemptFailed)
 def _attempt_failed(meters: EventMeters, event: AttemptFailed) -> None:
     labels = meters.labels(service=event.service, reason=short_outcome(event.detail))
     meters.attempts_failed.add(1, labels)
 
 
-@_counts(TargetEnded)
+@_recorder_of(TargetEnded)
 def _target_ended(meters: EventMeters, event: TargetEnded) -> None:
     meters.targets_ended.add(1, meters.labels(reason=event.evidence))
 
 
-@_counts(RequestHeldBack)
+@_recorder_of(RequestHeldBack)
 def _request_held_back(meters: EventMeters, event: RequestHeldBack) -> None:
     meters.requests_held_back.add(1)
 
 
-@_counts(DependencyLost)
+@_recorder_of(DependencyLost)
 def _dependency_lost(meters: EventMeters, event: DependencyLost) -> None:
     meters.dependency_up.set(0, meters.labels(dependency=event.dependency))
 
 
-@_counts(DependencyRegained)
+@_recorder_of(DependencyRegained)
 def _dependency_regained(meters: EventMeters, event: DependencyRegained) -> None:
     meters.dependency_up.set(1, meters.labels(dependency=event.dependency))
 
 
-@_counts(SessionBegun)
+@_recorder_of(SessionBegun)
 def _session_begun(meters: EventMeters, event: SessionBegun) -> None:
     meters.dependency_up.set(1, meters.labels(dependency="session"))
 
 
-@_counts(SessionLost)
+@_recorder_of(SessionLost)
 def _session_lost(meters: EventMeters, event: SessionLost) -> None:
     meters.dependency_up.set(0, meters.labels(dependency="session"))
 
 
-@_counts(TableInForce)
+@_recorder_of(TableInForce)
 def _table_in_force(meters: EventMeters, event: TableInForce) -> None:
     meters.table_revision.set(event.revision, meters.labels())
 
 
-@_counts(VersionNamed)
+@_recorder_of(VersionNamed)
 def _version_named(meters: EventMeters, event: VersionNamed) -> None:
     meters.named_version.set(event.version, meters.labels(model=event.model))
 
 
-@_counts(LoadOrdered)
+@_recorder_of(LoadOrdered)
 def _load_ordered(meters: EventMeters, event: LoadOrdered) -> None:
     labels = meters.labels(model=event.model, outcome=short_outcome(event.outcome))
     meters.load_orders.add(1, labels)
 
 
-@_counts(JobSubmitted)
+@_recorder_of(JobSubmitted)
 def _job_submitted(meters: EventMeters, event: JobSubmitted) -> None:
     meters.jobs_submitted.add(1, meters.labels(route=event.route, status=event.outcome))
 
 
-@_counts(JobOwned)
+@_recorder_of(JobOwned)
 def _job_owned(meters: EventMeters, event: JobOwned) -> None:
     meters.jobs_owned.add(1, meters.labels())
 
 
-@_counts(JobDropped)
+@_recorder_of(JobDropped)
 def _job_dropped(meters: EventMeters, event: JobDropped) -> None:
     meters.jobs_owned.add(-1, meters.labels())
 
 
-@_counts(JobCallRefused)
+@_recorder_of(JobCallRefused)
 def _job_call_refused(meters: EventMeters, event: JobCallRefused) -> None:
     meters.job_calls_refused.add(1, meters.labels(call=event.call, outcome=event.outcome))
 
 
-@_counts(ResultsAppended)
+@_recorder_of(ResultsAppended)
 def _results_appended(meters: EventMeters, event: ResultsAppended) -> None:
     if event.outcome == "Appended":
         meters.positions.add(len(event.items), meters.labels())
 
 
-@_counts(ItemRunEnded)
+@_recorder_of(ItemRunEnded)
 def _item_run_ended(meters: EventMeters, event: ItemRunEnded) -> None:
     labels = meters.labels(outcome=event.outcome)
     meters.item_runs.add(1, labels)
     meters.item_run_seconds.record(event.run_seconds, labels)
-    meters.placed(event.target, event.place)
+    meters.record_estimate(event.target, event.place)
 
 
-@_counts(ItemGivenUp)
+@_recorder_of(ItemGivenUp)
 def _item_given_up(meters: EventMeters, event: ItemGivenUp) -> None:
     meters.items_given_up.add(1, meters.labels(reason=event.reason))
 
 
-@_counts(RewardCallEnded)
+@_recorder_of(RewardCallEnded)
 def _reward_call_ended(meters: EventMeters, event: RewardCallEnded) -> None:
     meters.reward_calls.add(1, meters.labels(outcome=short_outcome(event.outcome)))
-    meters.placed(event.target, event.place)
+    meters.record_estimate(event.target, event.place)
 
 
-@_counts(CallDecided)
+@_recorder_of(CallDecided)
 def _call_decided(meters: EventMeters, event: CallDecided) -> None:
     decision, _, reason = event.outcome.partition(": ")
     if decision == "refused":
         meters.calls_refused.add(1, meters.labels(service=event.service, reason=reason))
 
 
-@_counts(RoomSeen)
+@_recorder_of(RoomSeen)
 def _room_seen(meters: EventMeters, event: RoomSeen) -> None:
     labels = meters.labels(service=event.service)
     meters.calls_waiting.set(event.waiting, labels)
--- a/rackswitch/telemetry/tests/test_core.py
+++ b/rackswitch/telemetry/tests/test_core.py
@@ -6,8 +6,8 @@
 from rackswitch.telemetry import set_up_logs
 
 
-def test_lines_of_libraries_are_json_lines_too(capsys):
-    # Found in campaigns: bare lines of grpclib and asyncio on standard error.
+def test_records_of_the_standard_librarys_logging_become_json_lines(capsys):
+    # Guards against plain-text lines of grpclib and asyncio on standard error.
     set_up_logs("WARNING")
     try:
         try:
--- a/rackswitch/telemetry/tests/test_journal.py
+++ b/rackswitch/telemetry/tests/test_journal.py
@@ -15,16 +15,16 @@
     TargetGone,
 )
 from rackswitch.telemetry.journal import (
-    FOLD_SECONDS,
-    MAX_WAITING_LINES,
+    FOLDED_REPORT_INTERVAL_SECONDS,
+    MAX_QUEUED_LINES,
     ROUTINE_BURST_LINES,
     ROUTINE_LINES_PER_SECOND,
 )
 
-LOST = DependencyLost(dependency="key-value", detail="TimeoutError")
+DEPENDENCY_LOST = DependencyLost(dependency="key-value", detail="TimeoutError")
 
 
-class SteadyClock:
+class ManualClock:
     def __init__(self) -> None:
         self.now_seconds = 100.0
 
@@ -32,7 +32,7 @@
         return self.now_seconds
 
 
-def served(number: int, outcome: str = "200") -> RequestEnded:
+def make_request_ended(number: int, outcome: str = "200") -> RequestEnded:
     return RequestEnded(
         request=f"r{number}",
         route="lookup",
@@ -57,25 +57,25 @@
             return content
 
 
-def parse(content: bytes) -> list[dict]:
+def parse_lines(content: bytes) -> list[dict]:
     return [json.loads(line) for line in content.splitlines()]
 
 
-def read_all(log: DecisionLog, reader: int) -> list[dict]:
-    """Pump until nothing is left; return the lines."""
+def flush_and_read(log: DecisionLog, reader: int) -> list[dict]:
+    """Flush the log until its queue is empty; return the lines."""
     content = b""
     while log.pump():
         content += read_bytes(reader)
-    return parse(content + read_bytes(reader))
+    return parse_lines(content + read_bytes(reader))
 
 
-def test_a_line_tells_who_when_and_what():
+def test_line_has_daemon_clocks_and_event_fields():
     reader, writer = os.pipe()
-    clock = SteadyClock()
-    log = DecisionLog("d", writer, steady_seconds=clock)
+    clock = ManualClock()
+    log = DecisionLog("d", writer, monotonic_seconds=clock)
     clock.now_seconds += 2.5
-    log.write(served(1))
-    [line] = read_all(log, reader)
+    log.write(make_request_ended(1))
+    [line] = flush_and_read(log, reader)
     assert line["daemon"] == "d"
     assert line["event"] == "request ended"
     assert line["request"] == "r1"
@@ -84,75 +84,75 @@
 
 
 @pytest.mark.parametrize("name", EVENTS.names())
-def test_each_event_says_what_it_is_about_in_plain_fields(name):
-    kind = EVENTS.get(name)
-    assert issubclass(kind, Event)
-    assert kind.__doc__
-    assert not {"time", "up", "daemon", "lines_dropped_before"} & set(kind.__struct_fields__)
+def test_event_fields_do_not_collide_with_header_fields(name):
+    event_class = EVENTS.get(name)
+    assert issubclass(event_class, Event)
+    assert event_class.__doc__
+    assert not {"time", "up", "daemon", "lines_dropped_before"} & set(event_class.__struct_fields__)
 
 
-def test_a_reader_that_stalls_holds_nothing_up_and_what_was_dropped_is_counted():
+def test_stalled_reader_does_not_block_and_dropped_lines_are_counted():
     reader, writer = os.pipe()
     counted: list[Event] = []
     log = DecisionLog("d", writer, counted.append)
-    for number in range(3 * MAX_WAITING_LINES):
+    for number in range(3 * MAX_QUEUED_LINES):
         log.write(TargetGone(target=f"i{number}", still_used=False))
         if number % 1000 == 0:
             log.pump()
     assert log.dropped_total > 0
-    # Metrics see every event, written or not.
-    assert len(counted) == 3 * MAX_WAITING_LINES
-    lines = read_all(log, reader)
-    log.write(LOST)
-    lines += read_all(log, reader)
+    # Dropped events are passed to `on_event` too.
+    assert len(counted) == 3 * MAX_QUEUED_LINES
+    lines = flush_and_read(log, reader)
+    log.write(DEPENDENCY_LOST)
+    lines += flush_and_read(log, reader)
     assert [line["target"] for line in lines[:100]] == [f"i{number}" for number in range(100)]
     dropped = sum(line.get("lines_dropped_before", 0) for line in lines)
     assert dropped == log.dropped_total
-    assert len(lines) + dropped == 3 * MAX_WAITING_LINES + 1
+    assert len(lines) + dropped == 3 * MAX_QUEUED_LINES + 1
 
 
-def test_routine_lines_beyond_a_rate_are_folded_and_failures_are_not():
+def test_routine_lines_beyond_the_rate_are_folded_and_failures_are_not():
     reader, writer = os.pipe()
-    clock = SteadyClock()
-    log = DecisionLog("d", writer, steady_seconds=clock)
+    clock = ManualClock()
+    log = DecisionLog("d", writer, monotonic_seconds=clock)
     count = 5 * int(ROUTINE_BURST_LINES)
     for number in range(count):
-        log.write(served(number))
+        log.write(make_request_ended(number))
         if number % 100 == 0:
-            log.write(served(number, "503"))
-    clock.now_seconds += FOLD_SECONDS
-    lines = read_all(log, reader)
+            log.write(make_request_ended(number, "503"))
+    clock.now_seconds += FOLDED_REPORT_INTERVAL_SECONDS
+    lines = flush_and_read(log, reader)
     folded = sum(sum(line["counts"].values()) for line in lines if line["event"] == "lines folded")
-    told = [line for line in lines if line["event"] == "request ended"]
-    assert [line["outcome"] for line in told].count("503") == count // 100
-    assert len(told) + folded == count + count // 100
+    request_lines = [line for line in lines if line["event"] == "request ended"]
+    assert [line["outcome"] for line in request_lines].count("503") == count // 100
+    assert len(request_lines) + folded == count + count // 100
     assert folded == log.folded_total > 0
 
 
-def test_routine_lines_are_told_one_by_one_again_once_the_rate_has_fallen():
+def test_routine_lines_are_written_individually_again_once_the_rate_falls():
     reader, writer = os.pipe()
-    clock = SteadyClock()
-    log = DecisionLog("d", writer, steady_seconds=clock)
+    clock = ManualClock()
+    log = DecisionLog("d", writer, monotonic_seconds=clock)
     for number in range(2 * int(ROUTINE_BURST_LINES)):
-        log.write(served(number))
+        log.write(make_request_ended(number))
     clock.now_seconds += 10 / ROUTINE_LINES_PER_SECOND
-    read_all(log, reader)
-    log.write(served(9))
-    assert [line["request"] for line in read_all(log, reader)] == ["r9"]
+    flush_and_read(log, reader)
+    log.write(make_request_ended(9))
+    assert [line["request"] for line in flush_and_read(log, reader)] == ["r9"]
 
 
-def test_a_reader_that_has_gone_is_no_fault_and_its_lines_count_as_dropped():
+def test_lines_count_as_dropped_once_the_reader_has_closed_the_pipe():
     reader, writer = os.pipe()
     os.close(reader)
     log = DecisionLog("d", writer)
-    log.write(LOST)
+    log.write(DEPENDENCY_LOST)
     assert not log.pump()
-    log.write(LOST)
+    log.write(DEPENDENCY_LOST)
     assert not log.pump()
     assert log.dropped_total == 2
 
 
-def test_without_a_descriptor_events_are_counted_only():
+def test_without_a_descriptor_events_are_only_passed_to_on_event():
     counted: list[Event] = []
     log = DecisionLog("d", None, counted.append)
     log.write(Stopped(whole=True))
@@ -160,5 +160,5 @@
     assert counted == [Stopped(whole=True)]
 
 
-def test_a_count_of_folded_lines_is_a_line_of_its_own():
+def test_folded_counts_event_is_not_folded_itself():
     assert not LinesFolded(counts={"results read": 3}).is_routine
--- a/rackswitch/telemetry/tests/test_meters.py
+++ b/rackswitch/telemetry/tests/test_meters.py
@@ -10,11 +10,11 @@
     RoomSeen,
     TableInForce,
 )
-from rackswitch.telemetry.meters import MAX_LABEL_VALUES, OTHER, short_outcome
-from rackswitch.telemetry.tests.test_journal import served
+from rackswitch.telemetry.meters import MAX_LABEL_VALUES, OTHER_LABEL_VALUE, short_outcome
+from rackswitch.telemetry.tests.test_journal import make_request_ended
 
 
-def exposed(*events) -> str:
+def metrics_after(*events) -> str:
     telemetry = Telemetry("d")
     for event in events:
         telemetry.events.count(event)
@@ -24,8 +24,8 @@
         telemetry.close()
 
 
-def test_a_request_counts_by_route_class_and_outcome_with_its_time():
-    text = exposed(served(1), served(2, "not run: no target"))
+def test_requests_are_recorded_by_route_class_and_outcome():
+    text = metrics_after(make_request_ended(1), make_request_ended(2, "not run: no target"))
     assert 'rackswitch_requests_total{caller_class="2",daemon="d",outcome="200"' in text
     assert 'outcome="not run"' in text
     assert (
@@ -33,31 +33,31 @@
     )
 
 
-def test_a_dependency_is_up_again_once_it_answers():
+def test_dependency_gauge_follows_loss_and_recovery():
     lost = DependencyLost(dependency="key-value", detail="x")
-    back = DependencyRegained(dependency="key-value", away_seconds=1.0)
+    regained = DependencyRegained(dependency="key-value", away_seconds=1.0)
     name = 'rackswitch_dependency_up{daemon="d",dependency="key-value"}'
-    assert f"{name} 0" in exposed(lost)
-    assert f"{name} 1" in exposed(lost, back)
+    assert f"{name} 0" in metrics_after(lost)
+    assert f"{name} 1" in metrics_after(lost, regained)
 
 
-def test_only_results_that_are_kept_have_a_position():
-    def appended(outcome: str) -> ResultsAppended:
+def test_only_stored_results_are_counted():
+    def make_results_appended(outcome: str) -> ResultsAppended:
         return ResultsAppended(
             job="j", position=0, items=["a", "b"], owner_revision=1, outcome=outcome
         )
 
-    text = exposed(appended("Appended"), appended("AppendConflict"))
+    text = metrics_after(make_results_appended("Appended"), make_results_appended("AppendConflict"))
     assert 'rackswitch_positions_total{daemon="d"} 2.0' in text
 
 
-def test_the_table_in_force_is_told():
-    text = exposed(TableInForce(revision=9, revision_before=8))
+def test_table_revision_gauge_shows_the_current_revision():
+    text = metrics_after(TableInForce(revision=9, revision_before=8))
     assert 'rackswitch_table_revision{daemon="d"} 9.0' in text
 
 
-def test_what_is_believed_of_a_chosen_target_is_told():
-    def scored(target: str, place: PlaceSeen | None) -> RewardCallEnded:
+def test_estimate_of_a_chosen_target_is_exposed():
+    def make_reward_call_ended(target: str, place: PlaceSeen | None) -> RewardCallEnded:
         return RewardCallEnded(
             job="j",
             item="i",
@@ -72,29 +72,34 @@
     place = PlaceSeen(
         slots=6, running=6.0, waiting=2.0, pace=1.5, wait_seconds=0.25, word_age_seconds=0.5
     )
-    text = exposed(scored("told", place), scored("tells none", None))
+    text = metrics_after(
+        make_reward_call_ended("told", place), make_reward_call_ended("tells none", None)
+    )
     assert 'rackswitch_believed_wait_seconds{daemon="d",target="told"} 0.25' in text
     assert 'rackswitch_word_age_seconds{daemon="d",target="told"} 0.5' in text
     assert "tells none" not in text
 
 
-def test_labels_are_bounded():
+def test_label_values_beyond_the_limit_are_recorded_as_other():
     refusals = [
         RequestRefused(request="r", path="/", status=number, detail="", table_revision=1)
         for number in range(2 * MAX_LABEL_VALUES)
     ]
-    text = exposed(*refusals)
+    text = metrics_after(*refusals)
     lines = [line for line in text.splitlines() if line.startswith("rackswitch_refusals_total{")]
     assert len(lines) == MAX_LABEL_VALUES + 1
-    assert f'rackswitch_refusals_total{{daemon="d",status="{OTHER}"}} {MAX_LABEL_VALUES}' in text
+    assert (
+        f'rackswitch_refusals_total{{daemon="d",status="{OTHER_LABEL_VALUE}"}} {MAX_LABEL_VALUES}'
+        in text
+    )
 
 
-def test_an_outcome_is_cut_to_its_kind():
+def test_short_outcome_drops_the_detail():
     assert short_outcome("not run: no target of 's'") == "not run"
     assert short_outcome("200, resumed 2 times") == "200"
 
 
-def decided(outcome: str) -> CallDecided:
+def make_call_decided(outcome: str) -> CallDecided:
     return CallDecided(
         request="r",
         service="desk",
@@ -113,16 +118,20 @@
     )
 
 
-def test_calls_without_room_count_by_reason():
-    text = exposed(decided("sent"), decided("waits"), decided("refused: wait too long"))
+def test_refused_calls_are_counted_by_reason():
+    text = metrics_after(
+        make_call_decided("sent"),
+        make_call_decided("waits"),
+        make_call_decided("refused: wait too long"),
+    )
     lines = [line for line in text.splitlines() if line.startswith("rackswitch_calls_refused_")]
     assert lines == [
         'rackswitch_calls_refused_total{daemon="d",reason="wait too long",service="desk"} 1.0'
     ]
 
 
-def test_a_room_is_told_with_its_tenants():
-    seen = RoomSeen(
+def test_wait_queue_gauges_include_tenant_shares():
+    service_load = RoomSeen(
         service="desk",
         waiting=3,
         in_flight=2,
@@ -130,7 +139,7 @@
         oldest_wait_seconds=0.2,
         tenant_shares={"a": 0.75},
     )
-    text = exposed(seen)
+    text = metrics_after(service_load)
     assert 'rackswitch_calls_waiting{daemon="d",service="desk"} 3.0' in text
     assert 'rackswitch_oldest_wait_seconds{daemon="d",service="desk"} 0.2' in text
     assert 'rackswitch_concurrency_limit{daemon="d",service="desk"} 2.5' in text
