--- a/rackswitch/explain/__init__.py
+++ b/rackswitch/explain/__init__.py
@@ -1,4 +1,4 @@
-"""From the logs of several processes to the story of one request or job, and its cause."""
+"""Explains requests, jobs and lost time from the decision logs of several daemons."""
 
 from rackswitch.explain.clocks import *  # noqa: F403
 from rackswitch.explain.clocks import __all__ as _clocks_all
--- a/rackswitch/explain/clocks.py
+++ b/rackswitch/explain/clocks.py
@@ -1,9 +1,8 @@
-"""One clock for lines of several VMs, whose times of day differ and may jump.
+"""A common clock for log lines of several VMs, whose wall clocks differ and may jump.
 
-Within one process lines are placed by its steady clock. Processes are placed against
-each other by what all of them learn at nearly the same moment: a table or version that
-comes into force, a target that is listed. The median over those moments forgives single
-ones that a daemon learnt late.
+Within a process, lines are ordered by its monotonic clock. Processes are aligned by events
+that all of them log at nearly the same time: a new table revision, model version or target
+entry. The median over these events tolerates some that a daemon logged late.
 """
 
 from collections import Counter, defaultdict
@@ -18,8 +17,8 @@
 Process = tuple[str, int]
 
 
-def _shared_moment(event: Event) -> Hashable:
-    """Return what identifies a moment that all daemons log, or None."""
+def _shared_event_key(event: Event) -> Hashable:
+    """Return the key of an event that all daemons log at nearly the same time, or None."""
     if isinstance(event, TableInForce):
         return ("table", event.revision)
     if isinstance(event, VersionNamed):
@@ -30,77 +29,83 @@
 
 
 class Clocks:
-    """Times of lines on one common clock.
+    """Maps log lines to times on a common clock.
 
     Parameters
     ----------
     events : iterable of LoggedEvent
-        All lines there are.
+        The lines of all processes.
     """
 
-    __slots__ = ("_starts_seconds",)
+    __slots__ = ("_start_times_seconds",)
 
     def __init__(self, events: Iterable[LoggedEvent]):
         lines = list(events)
-        self._starts_seconds = _own_starts(lines)
-        moments = _moments(lines)
-        if not moments:
+        self._start_times_seconds = _local_start_times(lines)
+        shared_times = _shared_event_times(lines)
+        if not shared_times:
             return
-        counts = {process: len(times) for process, times in moments.items()}
+        counts = {process: len(times) for process, times in shared_times.items()}
         reference = max(counts, key=lambda process: (counts[process], process))
         corrections = {
-            process: self._correction(times, moments[reference], process, reference)
-            for process, times in moments.items()
+            process: self._clock_correction_seconds(
+                times, shared_times[reference], process, reference
+            )
+            for process, times in shared_times.items()
         }
         for process, correction_seconds in corrections.items():
-            self._starts_seconds[process] += correction_seconds
+            self._start_times_seconds[process] += correction_seconds
 
     def at_seconds(self, line: LoggedEvent) -> float:
-        """Return when a line was written, on the common clock."""
-        return self._starts_seconds[line.daemon, line.life] + line.head.up
+        """Return the time of a line on the common clock, in seconds."""
+        return self._start_times_seconds[line.daemon, line.process_index] + line.header.up
 
-    def _correction(
+    def _clock_correction_seconds(
         self,
         times: dict[Hashable, float],
         reference_times: dict[Hashable, float],
         process: Process,
         reference: Process,
     ) -> float:
-        """Return how much later a process really began than its time of day says."""
-        own_start_seconds = self._starts_seconds[process]
-        reference_start_seconds = self._starts_seconds[reference]
-        differences = [
-            (reference_start_seconds + reference_times[moment]) - (own_start_seconds + up)
-            for moment, up in times.items()
-            if moment in reference_times
+        """Return how much later a process started than its own wall clock says."""
+        start_seconds = self._start_times_seconds[process]
+        reference_start_seconds = self._start_times_seconds[reference]
+        differences_seconds = [
+            (reference_start_seconds + reference_times[key]) - (start_seconds + uptime_seconds)
+            for key, uptime_seconds in times.items()
+            if key in reference_times
         ]
-        return median(differences) if differences else 0.0
+        return median(differences_seconds) if differences_seconds else 0.0
 
 
-def _own_starts(lines: list[LoggedEvent]) -> dict[Process, float]:
-    """Return when each process began, by its own time of day (median over its lines)."""
-    starts: dict[Process, list[float]] = defaultdict(list)
+def _local_start_times(lines: list[LoggedEvent]) -> dict[Process, float]:
+    """Return the start time of each process by its own wall clock (median over its lines)."""
+    start_times: dict[Process, list[float]] = defaultdict(list)
     for line in lines:
-        starts[line.daemon, line.life].append(line.head.time - line.head.up)
-    return {process: median(seconds) for process, seconds in starts.items()}
+        start_times[line.daemon, line.process_index].append(line.header.time - line.header.up)
+    return {process: median(seconds) for process, seconds in start_times.items()}
 
 
-def _moments(lines: list[LoggedEvent]) -> dict[Process, dict[Hashable, float]]:
-    """Return, by process, the steady times of the moments that several processes share.
+def _shared_event_times(lines: list[LoggedEvent]) -> dict[Process, dict[Hashable, float]]:
+    """Return, by process, the uptimes at which it logged events that other processes logged too.
 
-    What a process learns while it starts is left out: it reads then what is old already.
+    Events during the startup are left out: a starting process reads state that is already old.
     """
     times: dict[Process, dict[Hashable, float]] = defaultdict(dict)
     for line in lines:
-        moment = _shared_moment(line.event)
-        if moment is not None and line.head.up > STARTING_SECONDS:
-            times[line.daemon, line.life].setdefault(moment, line.head.up)
-    shared = Counter(moment for seen in times.values() for moment in seen)
+        key = _shared_event_key(line.event)
+        if key is not None and line.header.up > STARTUP_SECONDS:
+            times[line.daemon, line.process_index].setdefault(key, line.header.up)
+    process_counts = Counter(key for uptimes in times.values() for key in uptimes)
     return {
-        process: {moment: up for moment, up in seen.items() if shared[moment] > 1}
-        for process, seen in times.items()
+        process: {
+            key: uptime_seconds
+            for key, uptime_seconds in uptimes.items()
+            if process_counts[key] > 1
+        }
+        for process, uptimes in times.items()
     }
 
 
-STARTING_SECONDS = 1.0
-"""A start to the first table and list takes some 0.3 s."""
+STARTUP_SECONDS = 1.0
+"""Time in which a process reads its first table and list of targets."""
--- a/rackswitch/explain/lines.py
+++ b/rackswitch/explain/lines.py
@@ -1,4 +1,4 @@
-"""Reading the lines that daemons log."""
+"""Reads the lines of decision logs."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -17,71 +17,77 @@
 
     Attributes
     ----------
-    head : LineHeader
-        Who wrote it, and what that daemon's clocks said.
-    life : int
-        Which process of the daemon wrote it, counting from 0.
+    header : LineHeader
+        The daemon that wrote the line, and its clocks.
+    process_index : int
+        Index of the daemon's process that wrote the line: 0 for the first one in the log.
     """
 
-    head: LineHeader
-    life: int
+    header: LineHeader
+    process_index: int
     event: Event
 
     @property
     def daemon(self) -> str:
         """The daemon that wrote the line."""
-        return self.head.daemon
+        return self.header.daemon
 
 
 @dataclass(slots=True)
 class ReadLog:
-    """What was read, and how many lines were not understood.
+    """The events read from logs, and the number of unknown lines.
 
     Attributes
     ----------
     unknown : int
-        Lines that are JSON objects and no event known here.
+        Lines with a JSON object that is no known event.
     """
 
     events: list[LoggedEvent]
     unknown: int = 0
 
 
-class _Named(LineHeader, frozen=True):
+class _TaggedHeader(LineHeader, frozen=True):
     event: str = ""
 
 
 def read_events(lines: Iterable[str]) -> ReadLog:
-    """Read log lines of any number of daemons, each daemon's in the order it wrote them.
+    """Read log lines of any number of daemons; those of one daemon have to be in order.
 
-    Text before the JSON object, which collectors add, is skipped, as are lines without one.
+    Prefixes before the JSON object, as log collectors add them, are skipped, and so are lines
+    without a JSON object.
     """
     log = ReadLog([])
-    lives: dict[str, tuple[int, float]] = {}
+    last_processes: dict[str, tuple[int, float]] = {}
     for line in lines:
         start = line.find("{")
         if start < 0:
             continue
-        read = _read_line(line[start:])
-        if read is None:
+        parsed = _parse_line(line[start:])
+        if parsed is None:
             log.unknown += 1
             continue
-        head, event = read
-        life, up = lives.get(head.daemon, (0, head.up))
-        # The steady clock of a process only goes back when another process begins.
-        life += head.up < up
-        lives[head.daemon] = (life, head.up)
-        log.events.append(LoggedEvent(head, life, event))
+        header, event = parsed
+        process_index, last_uptime_seconds = last_processes.get(header.daemon, (0, header.up))
+        # The uptime only decreases when another process starts.
+        process_index += header.up < last_uptime_seconds
+        last_processes[header.daemon] = (process_index, header.up)
+        log.events.append(LoggedEvent(header, process_index, event))
     return log
 
 
-def _read_line(text: str) -> tuple[LineHeader, Event] | None:
+def _parse_line(text: str) -> tuple[LineHeader, Event] | None:
     try:
-        named = msgspec.json.decode(text, type=_Named)
-        if named.event not in EVENTS:
+        tagged_header = msgspec.json.decode(text, type=_TaggedHeader)
+        if tagged_header.event not in EVENTS:
             return None
-        event = msgspec.json.decode(text, type=EVENTS.get(named.event))
+        event = msgspec.json.decode(text, type=EVENTS.get(tagged_header.event))
     except msgspec.DecodeError:
         return None
-    head = LineHeader(named.time, named.up, named.daemon, named.lines_dropped_before)
-    return head, event
+    header = LineHeader(
+        tagged_header.time,
+        tagged_header.up,
+        tagged_header.daemon,
+        tagged_header.lines_dropped_before,
+    )
+    return header, event
--- a/rackswitch/explain/loss_page.py
+++ b/rackswitch/explain/loss_page.py
@@ -1,4 +1,4 @@
-"""The ledger of steps as text for a person."""
+"""Formats the time losses of steps as text."""
 
 from collections import defaultdict
 
@@ -7,36 +7,36 @@
 __all__ = ["format_losses"]
 
 MAX_STEPS = 40
-"""Steps printed one by one, the slowest first."""
+"""Number of steps printed individually, the slowest first."""
 
-SHOWN_SECONDS = 0.05
-"""Parts that are shorter are left out of a step's line."""
+MIN_SHOWN_SECONDS = 0.05
+"""Shorter parts are left out of a step's line."""
 
 
 def format_losses(rows: list[JobLoss]) -> str:
-    """Return the slowest steps with their parts, then each model's sums by reason."""
+    """Return the slowest steps with their parts, then each model's means by reason."""
     if not rows:
         return "no job in these logs was both run and listed"
     first_seconds = rows[0].submitted_at_seconds
-    text = ["submitted    took  behind  step  whole  model            where the time went"]
+    output_lines = ["submitted    took  behind  step  whole  model            where the time went"]
     slowest = sorted(rows, key=lambda row: -row.took_seconds)[:MAX_STEPS]
-    text.extend(_step_line(row, first_seconds) for row in slowest)
+    output_lines.extend(_step_line(row, first_seconds) for row in slowest)
     if len(rows) > MAX_STEPS:
-        text.append(f"({len(rows) - MAX_STEPS} faster steps left out)")
-    text.append("")
-    text.append("mean seconds a step, by model and reason")
-    text.extend(_model_lines(rows))
-    return "\n".join(text)
+        output_lines.append(f"({len(rows) - MAX_STEPS} faster steps left out)")
+    output_lines.append("")
+    output_lines.append("mean seconds a step, by model and reason")
+    output_lines.extend(_model_lines(rows))
+    return "\n".join(output_lines)
 
 
 def _step_line(row: JobLoss, first_seconds: float) -> str:
     parts = sorted(row.parts_seconds.items(), key=lambda part: -part[1])
     shown = ", ".join(
-        f"{seconds:.2f} {reason.value}" for reason, seconds in parts if seconds >= SHOWN_SECONDS
+        f"{seconds:.2f} {reason.value}" for reason, seconds in parts if seconds >= MIN_SHOWN_SECONDS
     )
     return (
         f"{row.submitted_at_seconds - first_seconds:8.2f}  {row.took_seconds:6.2f}  "
-        f"{row.behind_seconds:6.2f}  {row.step:4d}  {'yes' if row.whole else 'no':5}  "
+        f"{row.behind_seconds:6.2f}  {row.step:4d}  {'yes' if row.is_complete else 'no':5}  "
         f"{row.model:<15}  {shown}"
     )
 
--- a/rackswitch/explain/losses.py
+++ b/rackswitch/explain/losses.py
@@ -1,7 +1,7 @@
-"""Where the time of each step went: a ledger over all jobs in the logs of a fleet.
+"""Attributes the time of each training step to reasons, for all jobs in a fleet's logs.
 
-A step is whole with its last item. The time from the job's submission until that item was
-listed is taken apart into what the item waited for; the parts sum to the whole.
+A step is complete once its last item is listed. The time from the job's submission to that
+listing is split into parts by what the item waited for; the parts sum to the total.
 """
 
 from collections import defaultdict
@@ -16,40 +16,40 @@
 __all__ = ["JobLoss", "Reason", "ledger_of"]
 
 MIN_PACE_PIECES = 20
-"""Runs that are shorter tell too little about an engine's pace."""
+"""Shorter runs are left out of the estimate of the best pace."""
 
-BEST_PACE_TENTH = 0
-"""Of the deciles of paces: what an undisturbed fast engine does."""
+BEST_PACE_DECILE = 0
+"""Index of the decile of paces that is taken as the pace of a fast engine at low load."""
 
-PROMPT_BEGIN_SECONDS = 0.3
-"""A job whose first item of all began later than this had no engine that could run it."""
+PROMPT_START_SECONDS = 0.3
+"""A job whose first run started later than this had no engine that could run it."""
 
 
 class Reason(Enum):
-    """What a part of a step's time went into."""
+    """What a part of a step's time was spent on."""
 
-    DIED = "lost with an owner that died"
-    OWNER = "no daemon worked on the job"
-    VERSION = "no engine had its weights"
-    ENGINE = "its last item waited for room"
+    OWNER_DIED = "lost with an owner that died"
+    NO_OWNER = "no daemon worked on the job"
+    NO_WEIGHTS = "no engine had its weights"
+    NO_CAPACITY = "its last item waited for room"
     QUEUE = "in an engine's queue"
-    REDONE = "text that was lost and made again"
+    REGENERATED = "text that was lost and made again"
     SLOW = "slower than the best pace"
-    BETWEEN = "between two runs"
-    TEXT = "the last text at the best pace"
+    BETWEEN_RUNS = "between two runs"
+    BEST_PACE = "the last text at the best pace"
     LISTING = "from the text's end to the list"
 
 
 @dataclass(slots=True)
 class JobLoss:
-    """One step, and where its time went.
+    """The time that one step took, split by reason.
 
     Attributes
     ----------
     submitted_at_seconds : float
         On the common clock of the logs.
     behind_seconds : float
-        How much later it was submitted than the usual interval after the step before.
+        Delay of its submission beyond the typical interval after the previous step.
     whole : bool
         Whether every item was listed.
     parts_seconds : dict of Reason to float
@@ -60,7 +60,7 @@
     model: str
     step: int
     submitted_at_seconds: float
-    whole: bool
+    is_complete: bool
     parts_seconds: dict[Reason, float] = field(default_factory=lambda: defaultdict(float))
     behind_seconds: float = 0.0
 
@@ -72,148 +72,161 @@
 
 @dataclass(frozen=True, slots=True)
 class _Run:
-    began_seconds: float
+    started_seconds: float
     ended_seconds: float
     event: ev.ItemRunEnded
 
 
 @dataclass(slots=True)
 class _JobLines:
-    """The lines about one job, on the common clock."""
+    """The logged history of one job, on the common clock."""
 
     submitted_at_seconds: float
     owned: ev.JobOwned
-    owned_from_seconds: list[float] = field(default_factory=list)
+    owned_at_seconds: list[float] = field(default_factory=list)
     dropped_at_seconds: list[float] = field(default_factory=list)
     runs: dict[str, list[_Run]] = field(default_factory=lambda: defaultdict(list))
     listed_at_seconds: dict[str, float] = field(default_factory=dict)
 
 
 def ledger_of(log: ReadLog) -> list[JobLoss]:
-    """Return the ledger of all jobs that the logs tell of, in the order of submission.
+    """Return the time losses of all jobs in the logs, in the order of submission.
 
     Parameters
     ----------
     log : ReadLog
-        Lines of all daemons; jobs whose lines were folded or lost have no row.
+        Lines of all daemons; jobs whose lines were folded or dropped are left out.
     """
     clocks = Clocks(log.events)
     jobs: dict[str, _JobLines] = {}
     for line in sorted(log.events, key=clocks.at_seconds):
-        _take(jobs, line, clocks.at_seconds(line))
-    best_seconds = _best_pace_seconds(jobs)
+        _record_line(jobs, line, clocks.at_seconds(line))
+    best_pace_seconds = _best_pace_seconds(jobs)
     rows = [
-        row for job, lines in jobs.items() if (row := _row(job, lines, best_seconds)) is not None
+        row
+        for job, lines in jobs.items()
+        if (row := _job_row(job, lines, best_pace_seconds)) is not None
     ]
     rows.sort(key=lambda row: row.submitted_at_seconds)
-    _note_slips(rows)
+    _record_submission_delays(rows)
     return rows
 
 
-def _take(jobs: dict[str, _JobLines], line: LoggedEvent, at_seconds: float) -> None:
+def _record_line(jobs: dict[str, _JobLines], line: LoggedEvent, at_seconds: float) -> None:
     event = line.event
     if isinstance(event, ev.JobOwned):
         submitted_at_seconds = at_seconds - event.age_seconds
         lines = jobs.setdefault(event.job, _JobLines(submitted_at_seconds, event))
-        lines.owned_from_seconds.append(at_seconds)
+        lines.owned_at_seconds.append(at_seconds)
         return
-    known = jobs.get(getattr(event, "job", ""))
-    if known is None:
+    job_lines = jobs.get(getattr(event, "job", ""))
+    if job_lines is None:
         return
     if isinstance(event, ev.JobDropped):
-        known.dropped_at_seconds.append(at_seconds)
+        job_lines.dropped_at_seconds.append(at_seconds)
     elif isinstance(event, ev.ItemRunEnded):
         run = _Run(at_seconds - event.run_seconds, at_seconds, event)
-        known.runs[event.item].append(run)
+        job_lines.runs[event.item].append(run)
     elif isinstance(event, ev.ResultsAppended) and event.outcome == "Appended":
         for item in event.items:
-            known.listed_at_seconds.setdefault(item, at_seconds)
+            job_lines.listed_at_seconds.setdefault(item, at_seconds)
 
 
 def _best_pace_seconds(jobs: dict[str, _JobLines]) -> float:
-    """Return the pace of an undisturbed fast engine, in seconds a piece."""
+    """Return the pace of a fast engine at low load, in seconds per piece."""
     paces = [
-        (run.event.run_seconds - run.event.first_piece_seconds) / made
+        (run.event.run_seconds - run.event.first_piece_seconds) / piece_count
         for lines in jobs.values()
         for runs in lines.runs.values()
         for run in runs
-        if (made := _made(run)) >= MIN_PACE_PIECES and run.event.first_piece_seconds >= 0
+        if (piece_count := _pieces_made(run)) >= MIN_PACE_PIECES
+        and run.event.first_piece_seconds >= 0
     ]
     if len(paces) < 2:
         return paces[0] if paces else 0.0
-    return quantiles(paces, n=10)[BEST_PACE_TENTH]
+    return quantiles(paces, n=10)[BEST_PACE_DECILE]
 
 
-def _made(run: _Run) -> int:
+def _pieces_made(run: _Run) -> int:
     return max(0, run.event.pieces - run.event.first_piece + 1)
 
 
-def _row(job: str, lines: _JobLines, best_seconds: float) -> JobLoss | None:
-    """Return a job's row; None if no item of it was both run and listed."""
+def _job_row(job: str, lines: _JobLines, best_pace_seconds: float) -> JobLoss | None:
+    """Return a job's time losses; None if none of its items was both run and listed."""
     listed = [item for item in lines.listed_at_seconds if item in lines.runs]
     if not listed:
         return None
     last = max(listed, key=lambda item: lines.listed_at_seconds[item])
-    whole = len(lines.listed_at_seconds) >= lines.owned.items
-    row = JobLoss(job, lines.owned.model, lines.owned.step, lines.submitted_at_seconds, whole)
-    _take_apart(row, lines, last, best_seconds)
+    is_complete = len(lines.listed_at_seconds) >= lines.owned.items
+    row = JobLoss(job, lines.owned.model, lines.owned.step, lines.submitted_at_seconds, is_complete)
+    _split_time(row, lines, last, best_pace_seconds)
     return row
 
 
-def _take_apart(row: JobLoss, lines: _JobLines, item: str, best_seconds: float) -> None:
+def _split_time(row: JobLoss, lines: _JobLines, item: str, best_pace_seconds: float) -> None:
     parts = row.parts_seconds
     listed_at_seconds = lines.listed_at_seconds[item]
     runs = [run for run in lines.runs[item] if run.ended_seconds <= listed_at_seconds + 1e-9]
-    first_begin_seconds = min(run.began_seconds for all_ in lines.runs.values() for run in all_)
-    is_late = first_begin_seconds > lines.submitted_at_seconds + PROMPT_BEGIN_SECONDS
+    first_start_seconds = min(
+        run.started_seconds for item_runs in lines.runs.values() for run in item_runs
+    )
+    is_late = first_start_seconds > lines.submitted_at_seconds + PROMPT_START_SECONDS
     cursor_seconds = lines.submitted_at_seconds
-    reason = Reason.VERSION if is_late else Reason.ENGINE
-    for number, run in enumerate(runs):
-        began_seconds = max(cursor_seconds, run.began_seconds)
-        _take_gap(parts, lines, cursor_seconds, began_seconds, reason)
-        following = runs[number + 1].event.first_piece if number + 1 < len(runs) else None
-        kept = following is None or following > run.event.first_piece
-        _take_run(parts, run, max(0.0, run.ended_seconds - began_seconds), kept, best_seconds)
+    reason = Reason.NO_WEIGHTS if is_late else Reason.NO_CAPACITY
+    for index, run in enumerate(runs):
+        started_seconds = max(cursor_seconds, run.started_seconds)
+        _add_wait(parts, lines, cursor_seconds, started_seconds, reason)
+        next_first_piece = runs[index + 1].event.first_piece if index + 1 < len(runs) else None
+        is_kept = next_first_piece is None or next_first_piece > run.event.first_piece
+        _add_run(
+            parts, run, max(0.0, run.ended_seconds - started_seconds), is_kept, best_pace_seconds
+        )
         cursor_seconds = max(cursor_seconds, run.ended_seconds)
-        reason = Reason.BETWEEN
+        reason = Reason.BETWEEN_RUNS
     parts[Reason.LISTING] += listed_at_seconds - cursor_seconds
 
 
-def _take_gap(
+def _add_wait(
     parts: dict[Reason, float],
     lines: _JobLines,
     from_seconds: float,
     until_seconds: float,
     reason: Reason,
 ) -> None:
-    """Split a pause into the time that ownership cost and the rest."""
-    died_until_seconds = min(until_seconds, max(from_seconds, _last_death_seconds(lines)))
-    parts[Reason.DIED] += died_until_seconds - from_seconds
-    from_seconds = died_until_seconds
+    """Split a wait into time without a working owner and the rest, which counts as `reason`."""
+    owner_dead_until_seconds = min(
+        until_seconds, max(from_seconds, _last_takeover_from_dead_seconds(lines))
+    )
+    parts[Reason.OWNER_DIED] += owner_dead_until_seconds - from_seconds
+    from_seconds = owner_dead_until_seconds
     ownerless_seconds = 0.0
     for dropped_seconds in lines.dropped_at_seconds:
-        later = [at for at in lines.owned_from_seconds if at >= dropped_seconds]
-        owned_seconds = min(later, default=until_seconds)
+        later_owned_seconds = [at for at in lines.owned_at_seconds if at >= dropped_seconds]
+        owned_seconds = min(later_owned_seconds, default=until_seconds)
         overlap_seconds = min(until_seconds, owned_seconds) - max(from_seconds, dropped_seconds)
         ownerless_seconds += max(0.0, overlap_seconds)
     ownerless_seconds = min(ownerless_seconds, until_seconds - from_seconds)
-    parts[Reason.OWNER] += ownerless_seconds
+    parts[Reason.NO_OWNER] += ownerless_seconds
     parts[reason] += until_seconds - from_seconds - ownerless_seconds
 
 
-def _last_death_seconds(lines: _JobLines) -> float:
-    """Return when a daemon last took the job over from one that never said that it let go."""
-    owned_seconds = lines.owned_from_seconds
-    deaths = [
-        taken_seconds
-        for former_seconds, taken_seconds in zip(owned_seconds, owned_seconds[1:], strict=False)
-        if not any(former_seconds <= at <= taken_seconds for at in lines.dropped_at_seconds)
+def _last_takeover_from_dead_seconds(lines: _JobLines) -> float:
+    """Return when a daemon last took the job over from one that did not log its release."""
+    owned_seconds = lines.owned_at_seconds
+    takeover_times_seconds = [
+        takeover_seconds
+        for former_seconds, takeover_seconds in zip(owned_seconds, owned_seconds[1:], strict=False)
+        if not any(former_seconds <= at <= takeover_seconds for at in lines.dropped_at_seconds)
     ]
-    return max(deaths, default=float("-inf"))
+    return max(takeover_times_seconds, default=float("-inf"))
 
 
-def _take_run(
-    parts: dict[Reason, float], run: _Run, took_seconds: float, kept: bool, best_seconds: float
+def _add_run(
+    parts: dict[Reason, float],
+    run: _Run,
+    took_seconds: float,
+    is_kept: bool,
+    best_pace_seconds: float,
 ) -> None:
     queued_seconds = run.event.first_piece_seconds
     if queued_seconds < 0:
@@ -221,17 +234,17 @@
         return
     queued_seconds = min(queued_seconds, took_seconds)
     parts[Reason.QUEUE] += queued_seconds
-    making_seconds = took_seconds - queued_seconds
-    if not kept:
-        parts[Reason.REDONE] += making_seconds
+    generating_seconds = took_seconds - queued_seconds
+    if not is_kept:
+        parts[Reason.REGENERATED] += generating_seconds
         return
-    text_seconds = min(making_seconds, _made(run) * best_seconds)
-    parts[Reason.TEXT] += text_seconds
-    parts[Reason.SLOW] += making_seconds - text_seconds
+    best_pace_part_seconds = min(generating_seconds, _pieces_made(run) * best_pace_seconds)
+    parts[Reason.BEST_PACE] += best_pace_part_seconds
+    parts[Reason.SLOW] += generating_seconds - best_pace_part_seconds
 
 
-def _note_slips(rows: list[JobLoss]) -> None:
-    """Note how late each step was submitted, against the usual interval of its model."""
+def _record_submission_delays(rows: list[JobLoss]) -> None:
+    """Set each step's submission delay beyond the typical interval of its model."""
     by_model: dict[str, list[JobLoss]] = defaultdict(list)
     for row in rows:
         by_model[row.model].append(row)
@@ -242,6 +255,6 @@
             later.submitted_at_seconds - earlier.submitted_at_seconds
             for earlier, later in zip(steps, steps[1:], strict=False)
         ]
-        usual_seconds = median(intervals)
+        typical_interval_seconds = median(intervals)
         for row, interval_seconds in zip(steps[1:], intervals, strict=True):
-            row.behind_seconds = max(0.0, interval_seconds - usual_seconds)
+            row.behind_seconds = max(0.0, interval_seconds - typical_interval_seconds)
--- a/rackswitch/explain/main.py
+++ b/rackswitch/explain/main.py
@@ -1,4 +1,4 @@
-"""The program ``rackswitch``: why a request ended as it did, and what daemons believe."""
+"""The command ``rackswitch``: explains requests and jobs from logs, and shows daemons' status."""
 
 import sys
 from collections.abc import Iterator
@@ -23,8 +23,8 @@
 STANDARD_INPUT = "-"
 
 
-def _lines(files: tuple[str, ...]) -> Iterator[str]:
-    """Yield the lines of files one after the other; bytes that are no text are replaced."""
+def _read_lines(files: tuple[str, ...]) -> Iterator[str]:
+    """Yield the lines of files in turn; bytes that are not valid UTF-8 are replaced."""
     with ExitStack() as stack:
         for path in files or (STANDARD_INPUT,):
             if path == STANDARD_INPUT:
@@ -39,21 +39,21 @@
 
 
 class Commands:
-    """Explains from logs, and asks daemons what they believe."""
+    """Explain requests, items and jobs from logs, and show the status of daemons."""
 
-    # Identities of digits, or that look like numbers, are texts all the same.
+    # Keeps fire from parsing identities such as 0042 or 1e5 as numbers.
     @fire.decorators.SetParseFn(str)
     def explain(self, identity: str, *files: str) -> None:
-        """Tell the story of a request, item or job, and its cause.
+        """Show the log lines about a request, item, job or usage window, and the cause.
 
         Parameters
         ----------
         identity : str
-            The caller's identity of it.
+            Its identity, as chosen by the caller.
         files : str
-            Logs of any daemons, mixed or not; standard input if there are none.
+            Log files, each of one or more daemons; standard input if none is given.
         """
-        log = read_events(_lines(files))
+        log = read_events(_read_lines(files))
         story = tell_story(log, identity)
         if story is None:
             print(
@@ -65,22 +65,22 @@
         print(format_story(story, judge_story(story)))
 
     def losses(self, *files: str) -> None:
-        """Tell where the time of each training step went, over all jobs in the logs.
+        """Show what the time of each training step was spent on, for all jobs in the logs.
 
         Parameters
         ----------
         files : str
-            Logs of any daemons, mixed or not; standard input if there are none.
+            Log files, each of one or more daemons; standard input if none is given.
         """
-        print(format_losses(ledger_of(read_events(_lines(files)))))
+        print(format_losses(ledger_of(read_events(_read_lines(files)))))
 
     def status(self, *urls: str) -> None:
-        """Show what each daemon believes, and how old that is.
+        """Show the status of each daemon.
 
         Parameters
         ----------
         urls : str
-            Addresses where daemons serve their metrics, such as http://10.0.0.1:9464.
+            URLs of the daemons' metrics listeners, such as http://10.0.0.1:9464.
         """
         if not urls:
             print("status: give the address of at least one daemon", file=sys.stderr)
@@ -100,5 +100,5 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the command line."""
     fire.Fire(Commands)
--- a/rackswitch/explain/story.py
+++ b/rackswitch/explain/story.py
@@ -1,4 +1,4 @@
-"""The lines that concern one request, item or job, in order over all daemons."""
+"""Selects the log lines that concern one request, item, job or usage window, in order."""
 
 from dataclasses import dataclass, field
 
@@ -10,8 +10,8 @@
 __all__ = ["Story", "StoryLine", "Subject", "tell_story"]
 
 CONTEXT_SECONDS = 5.0
-"""How long before the first line about the subject its surroundings are looked at: a lease's
-life, a take-over and the wait for a turn of orders fit in."""
+"""Time before the subject's first line from which context is included; it is long enough for a
+lease to expire and a job to be taken over."""
 
 OWNERSHIP_EVENTS = (
     ev.JobSubmitted,
@@ -22,7 +22,7 @@
     ev.JobDropped,
     ev.JobNotOwned,
 )
-"""Lines about who works on a job."""
+"""Events about the ownership of a job."""
 
 DAEMON_EVENTS = (
     ev.Started,
@@ -38,15 +38,15 @@
     ev.TableInForce,
     ev.Reloaded,
 )
-"""What happened to a daemon that a request or job was on."""
+"""Context events of daemons that handled the subject."""
 
 TARGET_EVENTS = (ev.TargetListed, ev.TargetGone, ev.LoadOrdered)
-"""What happened to a target that was asked."""
+"""Context events of targets that were called for the subject."""
 
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """What a story is about.
+    """The request, item, job or usage window that a story is about.
 
     Attributes
     ----------
@@ -60,65 +60,67 @@
 
 @dataclass(frozen=True, slots=True)
 class StoryLine:
-    """A line at its place in the story; `own` if it is about the subject itself."""
+    """A line with its time on the common clock; `is_own` if it is about the subject itself."""
 
     at_seconds: float
     daemon: str
     event: ev.Event
-    own: bool
+    is_own: bool
 
 
 @dataclass(slots=True)
 class Story:
-    """The lines about a subject and its surroundings, in order."""
+    """The lines about a subject and their context, in order of time."""
 
     subject: Subject
     lines: list[StoryLine] = field(default_factory=list)
 
     @property
-    def own(self) -> list[StoryLine]:
+    def own_lines(self) -> list[StoryLine]:
         """The lines about the subject itself."""
-        return [line for line in self.lines if line.own]
+        return [line for line in self.lines if line.is_own]
 
 
 def tell_story(log: ReadLog, identity: str) -> Story | None:
-    """Return the story of a request, item or job; None if no line names it.
+    """Return the lines about a request, item, job or usage window; None if no line names it.
 
     Parameters
     ----------
     log : ReadLog
         Lines of all daemons.
     identity : str
-        The caller's identity of it.
+        Its identity, as chosen by the caller, or a window's number.
     """
-    subject = _subject(log, identity)
+    subject = _find_subject(log, identity)
     if subject is None:
         return None
     clocks = Clocks(log.events)
-    own = [line for line in log.events if _is_about(line.event, subject)]
+    own_lines = [line for line in log.events if _is_about(line.event, subject)]
     if subject.kind == "item":
-        own += _ownership(log, clocks, own)
-    chosen = [_placed(line, clocks, True) for line in own]
-    chosen += _surroundings(log, clocks, chosen)
-    chosen.sort(key=lambda line: line.at_seconds)
-    return Story(subject, chosen)
+        own_lines += _ownership_lines(log, clocks, own_lines)
+    story_lines = [_to_story_line(line, clocks, True) for line in own_lines]
+    story_lines += _context_lines(log, clocks, story_lines)
+    story_lines.sort(key=lambda line: line.at_seconds)
+    return Story(subject, story_lines)
 
 
-def _subject(log: ReadLog, identity: str) -> Subject | None:
-    """Find out what an identity names."""
+def _find_subject(log: ReadLog, identity: str) -> Subject | None:
+    """Return the subject with an identity; None if no line names it."""
     for line in log.events:
         event = line.event
         if isinstance(event, ev.RewardCallEnded) and event.request == identity:
-            # A reward call is part of its item's story.
+            # A reward call belongs to the story of its item.
             return Subject("item", event.item)
         if isinstance(event, ev.UsageFixed | ev.UsageSent) and str(event.window) == identity:
             return Subject("window", identity)
         for kind in ("job", "item", "request"):
-            named = getattr(event, kind, None)
-            if named == identity or (
-                kind == "job" and named and chosen_identity(named) == identity
+            identity_in_event = getattr(event, kind, None)
+            if identity_in_event == identity or (
+                kind == "job"
+                and identity_in_event
+                and chosen_identity(identity_in_event) == identity
             ):
-                return Subject(kind, named)
+                return Subject(kind, identity_in_event)
         if isinstance(event, ev.ResultsAppended) and identity in event.items:
             return Subject("item", identity)
     return None
@@ -129,22 +131,24 @@
         return _is_about_job(event, subject.identity)
     if subject.kind == "item" and isinstance(event, ev.ResultsAppended):
         return subject.identity in event.items
-    named = getattr(event, subject.kind, None)
-    # A window's number is looked for as text.
-    return named is not None and str(named) == subject.identity
+    identity_in_event = getattr(event, subject.kind, None)
+    # Window numbers are integers in events.
+    return identity_in_event is not None and str(identity_in_event) == subject.identity
 
 
 def _is_about_job(event: ev.Event, job: str) -> bool:
-    """Return whether a line belongs into a job's story: not each of its items' good runs."""
+    """Return whether an event belongs to a job's story: not the routine ones of its items."""
     if getattr(event, "job", None) != job:
         return False
     return not event.is_routine or isinstance(event, ev.ResultsAppended)
 
 
-def _ownership(log: ReadLog, clocks: Clocks, own: list[LoggedEvent]) -> list[LoggedEvent]:
-    """Return who worked on an item's job until the item's own last line."""
-    jobs = {job for line in own if (job := getattr(line.event, "job", ""))}
-    last_seconds = max(clocks.at_seconds(line) for line in own)
+def _ownership_lines(
+    log: ReadLog, clocks: Clocks, own_lines: list[LoggedEvent]
+) -> list[LoggedEvent]:
+    """Return the lines on the ownership of an item's job until the item's own last line."""
+    jobs = {job for line in own_lines if (job := getattr(line.event, "job", ""))}
+    last_seconds = max(clocks.at_seconds(line) for line in own_lines)
     return [
         line
         for line in log.events
@@ -154,31 +158,31 @@
     ]
 
 
-def _placed(line: LoggedEvent, clocks: Clocks, own: bool) -> StoryLine:
-    return StoryLine(clocks.at_seconds(line), line.daemon, line.event, own)
+def _to_story_line(line: LoggedEvent, clocks: Clocks, is_own: bool) -> StoryLine:
+    return StoryLine(clocks.at_seconds(line), line.daemon, line.event, is_own)
 
 
-def _surroundings(log: ReadLog, clocks: Clocks, own: list[StoryLine]) -> list[StoryLine]:
-    """Return what happened meanwhile to the daemons and targets that the subject was on."""
-    first_seconds = min(line.at_seconds for line in own) - CONTEXT_SECONDS
-    last_seconds = max(line.at_seconds for line in own)
-    daemons = {line.daemon for line in own}
-    targets = {target for line in own if (target := getattr(line.event, "target", ""))}
-    chosen: list[StoryLine] = []
-    told_targets: set[ev.Event] = set()
+def _context_lines(log: ReadLog, clocks: Clocks, own_lines: list[StoryLine]) -> list[StoryLine]:
+    """Return events of the involved daemons and targets around the time of the own lines."""
+    first_seconds = min(line.at_seconds for line in own_lines) - CONTEXT_SECONDS
+    last_seconds = max(line.at_seconds for line in own_lines)
+    daemons = {line.daemon for line in own_lines}
+    targets = {target for line in own_lines if (target := getattr(line.event, "target", ""))}
+    story_lines: list[StoryLine] = []
+    included_target_events: set[ev.Event] = set()
     for line in log.events:
         event = line.event
         about_daemon = isinstance(event, DAEMON_EVENTS) and line.daemon in daemons
         about_target = isinstance(event, TARGET_EVENTS) and event.target in targets
         if not about_daemon and not about_target:
             continue
-        placed = _placed(line, clocks, False)
-        if not first_seconds <= placed.at_seconds <= last_seconds:
+        story_line = _to_story_line(line, clocks, False)
+        if not first_seconds <= story_line.at_seconds <= last_seconds:
             continue
-        if about_target and event in told_targets:
-            # Every daemon logs the list's changes; one line says enough.
+        if about_target and event in included_target_events:
+            # Every daemon logs changes of the list of targets; include each only once.
             continue
         if about_target:
-            told_targets.add(event)
-        chosen.append(placed)
-    return chosen
+            included_target_events.add(event)
+        story_lines.append(story_line)
+    return story_lines
--- a/rackswitch/explain/tests/support.py
+++ b/rackswitch/explain/tests/support.py
@@ -1,4 +1,4 @@
-"""Log lines of daemons whose clocks differ."""
+"""Writes log lines of daemons whose wall clocks differ."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 class LoggingDaemon:
-    """Writes lines as a daemon does; `ahead_seconds` is what its time of day is off by."""
+    """Collects log lines of a daemon whose wall clock is ahead by `ahead_seconds`."""
 
     def __init__(self, name: str, started_seconds: float = 0.0, ahead_seconds: float = 0.0):
         self.name = name
@@ -18,7 +18,7 @@
         self._started_seconds = started_seconds
 
     def log(self, at_seconds: float, event: Event) -> None:
-        """Write a line at a true time."""
+        """Add a line with an event that happens at a true time."""
         header = LineHeader(
             EPOCH_SECONDS + at_seconds + self.ahead_seconds,
             at_seconds - self._started_seconds,
--- a/rackswitch/explain/tests/test_losses.py
+++ b/rackswitch/explain/tests/test_losses.py
@@ -10,7 +10,9 @@
 PACE_SECONDS = 0.04
 
 
-def owned(job: str, age_seconds: float = 0.0, items: int = 1, step: int = 0) -> ev.JobOwned:
+def make_job_owned(
+    job: str, age_seconds: float = 0.0, items: int = 1, step: int = 0
+) -> ev.JobOwned:
     return ev.JobOwned(
         job=job,
         step=step,
@@ -23,7 +25,7 @@
     )
 
 
-def run(
+def make_run_ended(
     job: str, item: str, seconds: float, pieces: int, first: int = 1, queued: float = 0.0
 ) -> ev.ItemRunEnded:
     return ev.ItemRunEnded(
@@ -43,13 +45,13 @@
     )
 
 
-def appended(job: str, *items: str) -> ev.ResultsAppended:
+def make_results_appended(job: str, *items: str) -> ev.ResultsAppended:
     return ev.ResultsAppended(
         job=job, position=0, items=list(items), owner_revision=1, outcome="Appended"
     )
 
 
-def dropped(job: str) -> ev.JobDropped:
+def make_job_dropped(job: str) -> ev.JobDropped:
     return ev.JobDropped(job=job, reason="handed over", listed=0, items=1, owner_revision=1)
 
 
@@ -62,79 +64,79 @@
     return {reason: seconds for reason, seconds in row.parts_seconds.items() if seconds > 1e-6}
 
 
-def paced(a: LoggingDaemon) -> None:
-    """Log runs of another job that show the best pace, so that it is known."""
+def log_best_pace_runs(a: LoggingDaemon) -> None:
+    """Log runs of another job from which the best pace is estimated."""
     for number in range(10):
-        a.log(0.0, run("pace", f"p{number}", 100 * PACE_SECONDS, 100))
+        a.log(0.0, make_run_ended("pace", f"p{number}", 100 * PACE_SECONDS, 100))
 
 
-def test_a_steps_time_is_taken_apart_into_what_its_last_item_waited_for():
+def test_step_time_is_split_by_what_its_last_item_waited_for():
     a = LoggingDaemon("a")
-    a.log(0.0, owned("pace"))
-    paced(a)
-    a.log(1.0, owned("j", age_seconds=0.5, items=2))
-    a.log(1.2, run("j", "short", 0.2, 5))
-    a.log(2.0, appended("j", "short"))
-    # Began 0.7 s after the submission, waited 0.3 s, and made 50 pieces in 3 s.
-    a.log(4.5, run("j", "long", 3.3, 50, queued=0.3))
-    a.log(4.7, appended("j", "long"))
+    a.log(0.0, make_job_owned("pace"))
+    log_best_pace_runs(a)
+    a.log(1.0, make_job_owned("j", age_seconds=0.5, items=2))
+    a.log(1.2, make_run_ended("j", "short", 0.2, 5))
+    a.log(2.0, make_results_appended("j", "short"))
+    # Started 0.7 s after the submission, queued for 0.3 s, then 50 pieces in 3 s.
+    a.log(4.5, make_run_ended("j", "long", 3.3, 50, queued=0.3))
+    a.log(4.7, make_results_appended("j", "long"))
     (row,) = rows_of(a)
-    assert row.whole
+    assert row.is_complete
     assert row.took_seconds == pytest.approx(4.2)
-    assert row.parts_seconds[Reason.VERSION] == pytest.approx(0.7)
+    assert row.parts_seconds[Reason.NO_WEIGHTS] == pytest.approx(0.7)
     assert row.parts_seconds[Reason.QUEUE] == pytest.approx(0.3)
-    assert row.parts_seconds[Reason.TEXT] == pytest.approx(50 * PACE_SECONDS)
+    assert row.parts_seconds[Reason.BEST_PACE] == pytest.approx(50 * PACE_SECONDS)
     assert row.parts_seconds[Reason.SLOW] == pytest.approx(1.0)
     assert row.parts_seconds[Reason.LISTING] == pytest.approx(0.2)
 
 
-def test_a_hand_over_and_a_death_are_told_apart():
+def test_hand_over_and_death_of_an_owner_are_separate_reasons():
     a, b = LoggingDaemon("a"), LoggingDaemon("b")
-    a.log(0.0, owned("j"))
-    a.log(1.0, dropped("j"))
-    b.log(1.6, owned("j", age_seconds=1.6))
-    b.log(2.6, run("j", "i", 1.0, 25))
-    b.log(2.6, appended("j", "i"))
+    a.log(0.0, make_job_owned("j"))
+    a.log(1.0, make_job_dropped("j"))
+    b.log(1.6, make_job_owned("j", age_seconds=1.6))
+    b.log(2.6, make_run_ended("j", "i", 1.0, 25))
+    b.log(2.6, make_results_appended("j", "i"))
     parts = parts_of(a, b)
-    assert parts[Reason.OWNER] == pytest.approx(0.6)
-    assert Reason.DIED not in parts
+    assert parts[Reason.NO_OWNER] == pytest.approx(0.6)
+    assert Reason.OWNER_DIED not in parts
     a, b = LoggingDaemon("a"), LoggingDaemon("b")
-    a.log(0.0, owned("j"))
-    b.log(1.6, owned("j", age_seconds=1.6))
-    b.log(2.6, run("j", "i", 1.0, 25))
-    b.log(2.6, appended("j", "i"))
-    assert parts_of(a, b)[Reason.DIED] == pytest.approx(1.6)
+    a.log(0.0, make_job_owned("j"))
+    b.log(1.6, make_job_owned("j", age_seconds=1.6))
+    b.log(2.6, make_run_ended("j", "i", 1.0, 25))
+    b.log(2.6, make_results_appended("j", "i"))
+    assert parts_of(a, b)[Reason.OWNER_DIED] == pytest.approx(1.6)
 
 
-def test_a_text_that_was_lost_counts_as_made_again():
+def test_time_of_a_discarded_run_counts_as_regenerated():
     a = LoggingDaemon("a")
-    a.log(0.0, owned("j"))
-    a.log(1.0, run("j", "i", 1.0, 25))
-    a.log(1.3, run("j", "i", 0.2, 30, first=26))
-    a.log(2.4, run("j", "i", 1.0, 25))
-    a.log(2.4, appended("j", "i"))
+    a.log(0.0, make_job_owned("j"))
+    a.log(1.0, make_run_ended("j", "i", 1.0, 25))
+    a.log(1.3, make_run_ended("j", "i", 0.2, 30, first=26))
+    a.log(2.4, make_run_ended("j", "i", 1.0, 25))
+    a.log(2.4, make_results_appended("j", "i"))
     parts = parts_of(a)
-    assert parts[Reason.REDONE] == pytest.approx(0.2)
-    assert parts[Reason.BETWEEN] == pytest.approx(0.2)
+    assert parts[Reason.REGENERATED] == pytest.approx(0.2)
+    assert parts[Reason.BETWEEN_RUNS] == pytest.approx(0.2)
 
 
-def test_a_step_that_comes_late_is_behind_the_usual_interval():
+def test_late_submission_is_behind_the_typical_interval():
     a = LoggingDaemon("a")
     for number, at_seconds in enumerate((0.0, 4.0, 8.0, 14.0, 18.0)):
         job = f"j{number}"
-        a.log(at_seconds, owned(job, step=number))
-        a.log(at_seconds + 1.0, run(job, f"{job}-i", 1.0, 25))
-        a.log(at_seconds + 1.0, appended(job, f"{job}-i"))
+        a.log(at_seconds, make_job_owned(job, step=number))
+        a.log(at_seconds + 1.0, make_run_ended(job, f"{job}-i", 1.0, 25))
+        a.log(at_seconds + 1.0, make_results_appended(job, f"{job}-i"))
     behind = [round(row.behind_seconds, 3) for row in rows_of(a)]
     assert behind == [0.0, 0.0, 0.0, 2.0, 0.0]
-    page = format_losses(rows_of(a))
-    assert "m: 5 steps" in page
-    assert "submitted 0.40 s behind" in page
+    text = format_losses(rows_of(a))
+    assert "m: 5 steps" in text
+    assert "submitted 0.40 s behind" in text
 
 
-def test_logs_without_a_listed_job_say_so():
+def test_logs_without_a_listed_job_have_no_losses():
     a = LoggingDaemon("a")
-    a.log(0.0, owned("j"))
+    a.log(0.0, make_job_owned("j"))
     assert rows_of(a) == []
     assert "no job" in format_losses([])
 
@@ -142,16 +144,19 @@
 @given(
     st.lists(st.tuples(st.floats(0.01, 2.0), st.integers(1, 60), st.floats(0.0, 0.5)), min_size=1)
 )
-def test_the_parts_sum_to_the_whole(runs):
+def test_parts_sum_to_the_total(runs):
     a = LoggingDaemon("a")
-    a.log(0.0, owned("j"))
-    now_seconds, made = 0.0, 0
-    for pause_seconds, pieces, queued in runs:
+    a.log(0.0, make_job_owned("j"))
+    now_seconds, pieces_done = 0.0, 0
+    for idle_seconds, pieces, queued in runs:
         seconds = queued + pieces * PACE_SECONDS
-        now_seconds += pause_seconds + seconds
-        a.log(now_seconds, run("j", "i", seconds, made + pieces, made + 1, queued))
-        made += pieces
-    a.log(now_seconds + 0.1, appended("j", "i"))
+        now_seconds += idle_seconds + seconds
+        a.log(
+            now_seconds,
+            make_run_ended("j", "i", seconds, pieces_done + pieces, pieces_done + 1, queued),
+        )
+        pieces_done += pieces
+    a.log(now_seconds + 0.1, make_results_appended("j", "i"))
     (row,) = rows_of(a)
     assert row.took_seconds == pytest.approx(now_seconds + 0.1, abs=1e-3)
     assert all(seconds >= -1e-6 for seconds in row.parts_seconds.values())
--- a/rackswitch/explain/tests/test_story.py
+++ b/rackswitch/explain/tests/test_story.py
@@ -6,7 +6,9 @@
 from rackswitch.telemetry import events as ev
 
 
-def ended(request: str, outcome: str, attempts: int = 1, known: int = 4) -> ev.RequestEnded:
+def make_request_ended(
+    request: str, outcome: str, attempts: int = 1, known: int = 4
+) -> ev.RequestEnded:
     return ev.RequestEnded(
         request=request,
         route="lookup",
@@ -21,7 +23,9 @@
     )
 
 
-def failed(request: str, target: str = "i-1", detail: str = "no answer") -> ev.AttemptFailed:
+def make_attempt_failed(
+    request: str, target: str = "i-1", detail: str = "no answer"
+) -> ev.AttemptFailed:
     return ev.AttemptFailed(
         request=request,
         service="desk",
@@ -34,7 +38,9 @@
     )
 
 
-def run_ended(item: str, run: int, outcome: str, seconds: float, target="e1") -> ev.ItemRunEnded:
+def make_run_ended(
+    item: str, run: int, outcome: str, seconds: float, target="e1"
+) -> ev.ItemRunEnded:
     return ev.ItemRunEnded(
         job="j1",
         item=item,
@@ -51,7 +57,7 @@
     )
 
 
-def owned(job: str, listed: int = 0) -> ev.JobOwned:
+def make_job_owned(job: str, listed: int = 0) -> ev.JobOwned:
     return ev.JobOwned(
         job=job,
         step=1,
@@ -68,46 +74,46 @@
     return tell_story(log, identity)
 
 
-def test_an_identity_that_no_line_names_has_no_story():
+def test_identity_in_no_line_has_no_story():
     daemon = LoggingDaemon("a")
-    daemon.log(1.0, ended("r1", "200"))
+    daemon.log(1.0, make_request_ended("r1", "200"))
     assert story_of("r2", daemon) is None
 
 
-def test_a_served_request_has_no_cause():
+def test_served_request_has_no_cause():
     daemon = LoggingDaemon("a")
-    daemon.log(1.0, ended("r1", "200"))
+    daemon.log(1.0, make_request_ended("r1", "200"))
     story = story_of("r1", daemon)
     assert judge_story(story) is None
     assert "nothing went wrong" in format_story(story, None)
 
 
-def test_the_attempt_that_a_target_did_not_answer_decides():
+def test_unanswered_attempt_is_the_cause():
     daemon = LoggingDaemon("a")
-    daemon.log(1.0, failed("r1", "i-7"))
-    daemon.log(1.1, ended("r1", "may have run: no answer"))
-    daemon.log(1.2, failed("r9", "i-8"))
+    daemon.log(1.0, make_attempt_failed("r1", "i-7"))
+    daemon.log(1.1, make_request_ended("r1", "may have run: no answer"))
+    daemon.log(1.2, make_attempt_failed("r9", "i-8"))
     verdict = judge_story(story_of("r1", daemon))
     assert isinstance(verdict.line.event, ev.AttemptFailed)
     assert "i-7" in verdict.cause
     assert "i-8" not in verdict.cause
 
 
-def test_without_a_target_the_list_and_the_lost_service_are_named():
+def test_cause_without_a_target_includes_the_list_and_the_lost_dependency():
     daemon = LoggingDaemon("a")
     daemon.log(1.0, ev.DependencyLost(dependency="key-value", detail="TimeoutError"))
-    daemon.log(3.5, ended("r1", "not run: no target", attempts=0, known=0))
+    daemon.log(3.5, make_request_ended("r1", "not run: no target", attempts=0, known=0))
     verdict = judge_story(story_of("r1", daemon))
     assert "0 of the route's targets" in verdict.cause
     assert "2.5 s" in verdict.cause
     daemon = LoggingDaemon("a")
     daemon.log(1.0, ev.DependencyLost(dependency="key-value", detail="TimeoutError"))
     daemon.log(2.0, ev.DependencyRegained(dependency="key-value", away_seconds=1.0))
-    daemon.log(3.5, ended("r1", "not run: no target", attempts=0, known=0))
+    daemon.log(3.5, make_request_ended("r1", "not run: no target", attempts=0, known=0))
     assert "without the" not in judge_story(story_of("r1", daemon)).cause
 
 
-def test_a_refusal_names_status_reason_and_table():
+def test_cause_of_a_refusal_includes_status_and_table_revision():
     daemon = LoggingDaemon("a")
     refusal = ev.RequestRefused(
         request="r1", path="/x", status=404, detail="no route for h/x", table_revision=6
@@ -117,13 +123,13 @@
     assert "404" in verdict.cause and "revision 6" in verdict.cause
 
 
-def test_the_run_that_cost_an_item_most_is_named_with_its_jobs_owner():
+def test_longest_failed_run_of_an_item_is_the_cause():
     daemon = LoggingDaemon("a")
-    daemon.log(0.5, owned("j1"))
-    daemon.log(1.0, run_ended("i1", 1, "broken", 0.2, "e1"))
-    daemon.log(4.0, run_ended("i1", 2, "silent", 2.1, "e2"))
-    daemon.log(5.0, run_ended("i1", 3, "whole", 0.9, "e3"))
-    daemon.log(5.0, run_ended("i2", 1, "broken", 9.0, "e4"))
+    daemon.log(0.5, make_job_owned("j1"))
+    daemon.log(1.0, make_run_ended("i1", 1, "broken", 0.2, "e1"))
+    daemon.log(4.0, make_run_ended("i1", 2, "silent", 2.1, "e2"))
+    daemon.log(5.0, make_run_ended("i1", 3, "whole", 0.9, "e3"))
+    daemon.log(5.0, make_run_ended("i2", 1, "broken", 9.0, "e4"))
     story = story_of("i1", daemon)
     assert any(isinstance(line.event, ev.JobOwned) for line in story.lines)
     verdict = judge_story(story)
@@ -131,9 +137,9 @@
     assert "> " in format_story(story, verdict)
 
 
-def test_a_reward_call_leads_to_its_item():
+def test_identity_of_a_reward_call_selects_its_item():
     daemon = LoggingDaemon("a")
-    daemon.log(1.0, run_ended("i1", 1, "whole", 0.9))
+    daemon.log(1.0, make_run_ended("i1", 1, "whole", 0.9))
     reward = ev.RewardCallEnded(
         job="j1", item="i1", request="s1", target="", attempts=4, failures=4, outcome="500"
     )
@@ -143,32 +149,32 @@
     assert "4 failures" in judge_story(story).cause
 
 
-def test_a_job_that_nobody_worked_on_names_the_gap_and_both_owners():
+def test_cause_of_a_job_without_an_owner_includes_its_duration_and_new_owner():
     first, second = LoggingDaemon("a"), LoggingDaemon("b")
-    first.log(1.0, owned("j1"))
+    first.log(1.0, make_job_owned("j1"))
     first.log(
         2.0, ev.JobDropped(job="j1", reason="taken over", listed=1, items=4, owner_revision=1)
     )
-    second.log(5.5, owned("j1", 1))
+    second.log(5.5, make_job_owned("j1", 1))
     verdict = judge_story(story_of("j1", first, second))
     assert "3.5 s" in verdict.cause
     assert "until b" in verdict.cause
 
 
-def test_an_owner_that_died_without_a_word_is_found_by_its_last_line():
+def test_crashed_owner_is_found_by_its_last_line():
     first, second = LoggingDaemon("a"), LoggingDaemon("b")
-    first.log(1.0, owned("j1"))
-    first.log(2.0, run_ended("i1", 1, "broken", 0.2))
-    second.log(6.0, owned("j1"))
+    first.log(1.0, make_job_owned("j1"))
+    first.log(2.0, make_run_ended("i1", 1, "broken", 0.2))
+    second.log(6.0, make_job_owned("j1"))
     verdict = judge_story(story_of("j1", first, second))
     assert "4.0 s" in verdict.cause and "owner a" in verdict.cause
 
 
-def test_a_jobs_story_leaves_good_runs_out_and_lists_its_targets_loads_once():
+def test_job_story_leaves_routine_runs_out_and_includes_target_events_once():
     first, second = LoggingDaemon("a"), LoggingDaemon("b")
-    first.log(1.0, owned("j1"))
-    first.log(2.0, run_ended("i1", 1, "whole", 0.9))
-    first.log(3.0, run_ended("i2", 2, "broken", 0.2, "e1"))
+    first.log(1.0, make_job_owned("j1"))
+    first.log(2.0, make_run_ended("i1", 1, "whole", 0.9))
+    first.log(3.0, make_run_ended("i2", 2, "broken", 0.2, "e1"))
     gone = ev.TargetGone(target="e1", still_used=False)
     first.log(2.5, gone)
     second.log(2.6, gone)
@@ -180,10 +186,10 @@
     ]
 
 
-def test_a_jobs_story_tells_of_its_hand_over_on_both_sides():
-    giver, taker = LoggingDaemon("a"), LoggingDaemon("b")
-    giver.log(1.0, owned("j1"))
-    taker.log(
+def test_job_story_includes_both_sides_of_a_hand_over():
+    stopping_owner, successor = LoggingDaemon("a"), LoggingDaemon("b")
+    stopping_owner.log(1.0, make_job_owned("j1"))
+    successor.log(
         2.0,
         ev.JobReceived(
             job="j1",
@@ -193,7 +199,7 @@
             elapsed_seconds=0.01,
         ),
     )
-    giver.log(
+    stopping_owner.log(
         2.1,
         ev.JobHandedOver(
             job="j1",
@@ -204,45 +210,45 @@
             items_kept=3,
         ),
     )
-    kinds = [type(line.event) for line in story_of("j1", giver, taker).lines]
+    kinds = [type(line.event) for line in story_of("j1", stopping_owner, successor).lines]
     assert kinds == [ev.JobOwned, ev.JobReceived, ev.JobHandedOver]
 
 
 @pytest.mark.parametrize("line", ["", "no json", "{", '{"a":1}', '{"event":"x","daemon":"d"}'])
-def test_lines_that_are_no_events_are_passed_over(line):
+def test_lines_without_a_known_event_are_skipped(line):
     daemon = LoggingDaemon("a")
-    daemon.log(1.0, ended("r1", "200"))
+    daemon.log(1.0, make_request_ended("r1", "200"))
     log = read_events([line, "  12.5 front-a " + daemon.lines[0]])
     assert len(log.events) == 1
 
 
-def test_a_restart_begins_another_life_of_the_same_daemon():
-    before, after = LoggingDaemon("a"), LoggingDaemon("a", started_seconds=10.0)
-    before.log(5.0, ev.Stopped(whole=True))
-    after.log(10.5, ev.Started(zone="z"))
-    log = read_events([*before.lines, *after.lines])
-    assert [line.life for line in log.events] == [0, 1]
+def test_restart_increments_the_process_index():
+    first_process, second_process = LoggingDaemon("a"), LoggingDaemon("a", started_seconds=10.0)
+    first_process.log(5.0, ev.Stopped(whole=True))
+    second_process.log(10.5, ev.Started(zone="z"))
+    log = read_events([*first_process.lines, *second_process.lines])
+    assert [line.process_index for line in log.events] == [0, 1]
 
 
-def usage_fixed(silent: int = 0) -> ev.UsageFixed:
+def make_usage_fixed(daemons_silent: int = 0) -> ev.UsageFixed:
     return ev.UsageFixed(
         window=355610033,
         requests=35,
         tenants=20,
         daemons=64,
-        daemons_silent=silent,
+        daemons_silent=daemons_silent,
         daemons_partial=0,
         after_end_seconds=1.9,
     )
 
 
-def usage_sent(after: float, outcome: str) -> ev.UsageSent:
+def make_usage_sent(after_end_seconds: float, outcome: str) -> ev.UsageSent:
     return ev.UsageSent(
         window=355610033,
         requests=35,
         fencing=12,
-        after_end_seconds=after,
-        in_time=after <= 10,
+        after_end_seconds=after_end_seconds,
+        in_time=after_end_seconds <= 10,
         outcome=outcome,
     )
 
@@ -250,13 +256,16 @@
 @pytest.mark.parametrize(
     ("events", "cause"),
     [
-        ([usage_fixed(), usage_sent(2.0, "taken: status 200")], None),
-        ([usage_fixed()], "never sent it"),
-        ([usage_fixed(), usage_sent(11.5, "taken: status 200")], "11.5 s after its end"),
-        ([usage_fixed(3), usage_sent(2.0, "taken: status 200")], "of 67 daemons 3 did not tell"),
+        ([make_usage_fixed(), make_usage_sent(2.0, "taken: status 200")], None),
+        ([make_usage_fixed()], "never sent it"),
+        ([make_usage_fixed(), make_usage_sent(11.5, "taken: status 200")], "11.5 s after its end"),
+        (
+            [make_usage_fixed(3), make_usage_sent(2.0, "taken: status 200")],
+            "of 67 daemons 3 did not tell",
+        ),
     ],
 )
-def test_what_became_of_a_window_of_usage(events, cause):
+def test_cause_of_a_late_or_incomplete_usage_window(events, cause):
     daemon = LoggingDaemon("d1")
     for number, event in enumerate(events):
         daemon.log(1.0 + number, event)
@@ -265,16 +274,16 @@
 
 
 @pytest.mark.parametrize("identity", ["", "None"])
-def test_what_no_line_names_has_no_story(identity):
+def test_empty_identity_and_none_have_no_story(identity):
     daemon = LoggingDaemon("d1")
-    daemon.log(1.0, ended("r1", "200"))
-    daemon.log(2.0, owned("acme\nj1"))
+    daemon.log(1.0, make_request_ended("r1", "200"))
+    daemon.log(2.0, make_job_owned("acme\nj1"))
     log = read_events(daemon.lines)
     assert tell_story(log, identity) is None
     assert tell_story(log, "j1").subject.identity == "acme\nj1"
 
 
-def test_a_call_refused_for_want_of_room_names_what_decided():
+def test_cause_of_a_call_refused_by_admission_includes_its_inputs():
     daemon = LoggingDaemon("a")
     decided = ev.CallDecided(
         request="r1",
@@ -294,7 +303,7 @@
         come_back_seconds=0.2,
     )
     daemon.log(1.0, decided)
-    daemon.log(1.001, ended("r1", "not run: wait too long", attempts=0))
+    daemon.log(1.001, make_request_ended("r1", "not run: wait too long", attempts=0))
     verdict = judge_story(story_of("r1", daemon))
     assert "a refused: wait too long" in verdict.cause
     assert "0.310 s" in verdict.cause
--- a/rackswitch/explain/verdicts.py
+++ b/rackswitch/explain/verdicts.py
@@ -1,4 +1,4 @@
-"""Which line of a story decided how it ended, and what that means."""
+"""Judges: functions that find the decisive line of a story and state the cause."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,22 +10,21 @@
 
 __all__ = ["JUDGES", "Verdict", "judge_story"]
 
-TAKE_OVER_SECONDS = 1.0
-"""A job without an owner for longer than this has lost time that its step feels."""
+MIN_OWNERLESS_SECONDS = 1.0
+"""Time without an owner from which it is reported as the cause of a job's delay."""
 
-LONG_RUN_SECONDS = 3.0
-"""A run that took longer is named as the reason of a late item: some three times a usual
-one, of 0.9 s."""
+SLOW_RUN_SECONDS = 3.0
+"""Duration from which a run is reported as the cause of an item's delay."""
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The line that decided, and the cause in words.
+    """The decisive line of a story, and the cause as text.
 
     Attributes
     ----------
     weight : int
-        How directly the line decides; the heaviest verdict is told.
+        Priority; of several verdicts the one with the highest weight is reported.
     """
 
     line: StoryLine
@@ -39,63 +38,65 @@
 
 
 def judge_story(story: Story) -> Verdict | None:
-    """Return the cause of how a story ended; None if nothing in it went wrong."""
+    """Return the cause of a story's outcome; None if nothing went wrong."""
     verdicts = [JUDGES.get(name)(story) for name in JUDGES.names()]
-    found = [verdict for verdict in verdicts if verdict is not None]
-    return max(found, key=lambda verdict: verdict.weight, default=None)
+    found_verdicts = [verdict for verdict in verdicts if verdict is not None]
+    return max(found_verdicts, key=lambda verdict: verdict.weight, default=None)
 
 
 @dataclass(frozen=True, slots=True)
-class _Told(Generic[EventT]):
-    """A line of a story, with its event by its own type."""
+class _TypedLine(Generic[EventT]):
+    """A line of a story and its event, with the event's class as its static type."""
 
     line: StoryLine
     event: EventT
 
 
-def _last(story: Story, kind: type[EventT]) -> _Told[EventT] | None:
-    """Return the last line of a kind among the story's own."""
-    for line in reversed(story.own):
-        if isinstance(line.event, kind):
-            return _Told(line, line.event)
+def _last_event(story: Story, event_class: type[EventT]) -> _TypedLine[EventT] | None:
+    """Return the last own line of a story whose event is of a class."""
+    for line in reversed(story.own_lines):
+        if isinstance(line.event, event_class):
+            return _TypedLine(line, line.event)
     return None
 
 
-def _away_before(story: Story, line: StoryLine) -> str:
-    """Return a clause about the service if a daemon was without it at a line's moment."""
-    lost: StoryLine | None = None
-    for other in story.lines:
-        if other.at_seconds > line.at_seconds:
+def _outage_clause(story: Story, line: StoryLine) -> str:
+    """Return a clause on the dependency that was unreachable at a line's time, if any."""
+    lost_line: StoryLine | None = None
+    for earlier_line in story.lines:
+        if earlier_line.at_seconds > line.at_seconds:
             break
-        if other.daemon == line.daemon and isinstance(other.event, ev.DependencyLost):
-            lost = other
-        if other.daemon == line.daemon and isinstance(other.event, ev.DependencyRegained):
-            lost = None
-    if lost is None or not isinstance(lost.event, ev.DependencyLost):
+        if earlier_line.daemon == line.daemon and isinstance(earlier_line.event, ev.DependencyLost):
+            lost_line = earlier_line
+        if earlier_line.daemon == line.daemon and isinstance(
+            earlier_line.event, ev.DependencyRegained
+        ):
+            lost_line = None
+    if lost_line is None or not isinstance(lost_line.event, ev.DependencyLost):
         return ""
-    away_seconds = line.at_seconds - lost.at_seconds
+    outage_seconds = line.at_seconds - lost_line.at_seconds
     return (
-        f"; {line.daemon} had been without the {lost.event.dependency} service for "
-        f"{away_seconds:.1f} s ({lost.event.detail})"
+        f"; {line.daemon} had been without the {lost_line.event.dependency} service for "
+        f"{outage_seconds:.1f} s ({lost_line.event.detail})"
     )
 
 
 @JUDGES.register("request refused by the daemon")
 def _request_refused(story: Story) -> Verdict | None:
-    told = _last(story, ev.RequestRefused)
-    if told is None:
+    match = _last_event(story, ev.RequestRefused)
+    if match is None:
         return None
-    event = told.event
+    event = match.event
     cause = (
-        f"{told.line.daemon} refused it with {event.status} before any target was chosen: "
+        f"{match.line.daemon} refused it with {event.status} before any target was chosen: "
         f"{event.detail} (table revision {event.table_revision})"
     )
-    return Verdict(told.line, cause, 80)
+    return Verdict(match.line, cause, 80)
 
 
 @JUDGES.register("request not served")
 def _request_not_served(story: Story) -> Verdict | None:
-    ended = _last(story, ev.RequestEnded)
+    ended = _last_event(story, ev.RequestEnded)
     if ended is None:
         return None
     event = ended.event
@@ -104,13 +105,13 @@
     if event.outcome == "caller left":
         cause = f"the caller left after {event.elapsed_seconds:.3f} s"
         return Verdict(ended.line, cause, 70)
-    failed = _last(story, ev.AttemptFailed)
+    failed = _last_event(story, ev.AttemptFailed)
     if failed is None:
         cause = (
             f"no target was tried: {event.targets_known} of the route's targets could be used, "
             f"by a list {event.list_age_seconds:.1f} s old ({event.outcome})"
         )
-        return Verdict(ended.line, cause + _away_before(story, ended.line), 75)
+        return Verdict(ended.line, cause + _outage_clause(story, ended.line), 75)
     attempt = failed.event
     cause = (
         f"target {attempt.target} did not serve attempt {attempt.attempt} "
@@ -120,29 +121,29 @@
     return Verdict(failed.line, cause, 75)
 
 
-@JUDGES.register("call refused for want of room")
+@JUDGES.register("call refused by admission control")
 def _call_refused(story: Story) -> Verdict | None:
-    told = _last(story, ev.CallDecided)
-    if told is None or not told.event.outcome.startswith("refused"):
+    match = _last_event(story, ev.CallDecided)
+    if match is None or not match.event.outcome.startswith("refused"):
         return None
-    event = told.event
-    word = (
+    event = match.event
+    load_report = (
         f"a word {event.word_age_seconds:.2f} s old" if event.word_age_seconds >= 0 else "no word"
     )
     cause = (
-        f"{told.line.daemon} {event.outcome}, after {event.waited_seconds:.3f} s: class "
+        f"{match.line.daemon} {event.outcome}, after {event.waited_seconds:.3f} s: class "
         f"{event.caller_class} would have waited {event.expected_wait_seconds:.3f} s of the "
         f"{event.left_seconds:.3f} s left at {event.service}, where {event.in_flight} of its calls "
         f"were at a limit of {event.limit:.2f}, {event.waiting} waited and {event.free_slots:.0f} "
-        f"slots were free by {word}; told to come back after {event.come_back_seconds:.3f} s"
+        f"slots were free by {load_report}; told to come back after {event.come_back_seconds:.3f} s"
     )
-    return Verdict(told.line, cause, 78)
+    return Verdict(match.line, cause, 78)
 
 
 @JUDGES.register("request slow")
 def _request_slow(story: Story) -> Verdict | None:
-    failed = _last(story, ev.AttemptFailed)
-    ended = _last(story, ev.RequestEnded)
+    failed = _last_event(story, ev.AttemptFailed)
+    ended = _last_event(story, ev.RequestEnded)
     if failed is None or ended is None:
         return None
     cause = (
@@ -152,23 +153,23 @@
     return Verdict(failed.line, cause, 30)
 
 
-@JUDGES.register("job not taken")
-def _job_not_taken(story: Story) -> Verdict | None:
-    told = _last(story, ev.JobSubmitted)
-    if told is None or told.event.outcome == 202:
+@JUDGES.register("job not accepted")
+def _job_not_accepted(story: Story) -> Verdict | None:
+    match = _last_event(story, ev.JobSubmitted)
+    if match is None or match.event.outcome == 202:
         return None
-    cause = f"{told.line.daemon} answered {told.event.outcome}: {told.event.detail}"
-    return Verdict(told.line, cause + _away_before(story, told.line), 60)
+    cause = f"{match.line.daemon} answered {match.event.outcome}: {match.event.detail}"
+    return Verdict(match.line, cause + _outage_clause(story, match.line), 60)
 
 
 @JUDGES.register("item given up")
 def _item_given_up(story: Story) -> Verdict | None:
     if story.subject.kind != "item":
         return None
-    told = _last(story, ev.ItemGivenUp)
-    if told is not None:
-        return Verdict(told.line, f"the item was given up: {told.event.reason}", 90)
-    reward = _last(story, ev.RewardCallEnded)
+    match = _last_event(story, ev.ItemGivenUp)
+    if match is not None:
+        return Verdict(match.line, f"the item was given up: {match.event.reason}", 90)
+    reward = _last_event(story, ev.RewardCallEnded)
     if reward is None:
         return None
     if reward.event.outcome.startswith("2"):
@@ -182,27 +183,27 @@
 
 @JUDGES.register("item impossible")
 def _item_impossible(story: Story) -> Verdict | None:
-    told = _last(story, ev.ItemRunEnded)
-    if told is None:
+    match = _last_event(story, ev.ItemRunEnded)
+    if match is None:
         return None
-    if story.subject.kind != "item" or told.event.outcome != "impossible":
+    if story.subject.kind != "item" or match.event.outcome != "impossible":
         return None
-    return Verdict(told.line, f"engine {told.event.target} says that it can never be done", 90)
+    return Verdict(match.line, f"engine {match.event.target} says that it can never be done", 90)
 
 
-@JUDGES.register("item begun anew")
-def _item_begun_anew(story: Story) -> Verdict | None:
-    """Name the run that cost an item the most time without making it whole."""
+@JUDGES.register("item run failed")
+def _item_run_failed(story: Story) -> Verdict | None:
+    """Report the run that took an item the most time without completing it."""
     if story.subject.kind != "item":
         return None
-    lost = [
+    failed_runs = [
         (line.event.run_seconds, line)
-        for line in story.own
+        for line in story.own_lines
         if isinstance(line.event, ev.ItemRunEnded) and line.event.outcome != "whole"
     ]
-    if not lost:
+    if not failed_runs:
         return None
-    seconds, line = max(lost, key=lambda pair: pair[0])
+    seconds, line = max(failed_runs, key=lambda pair: pair[0])
     event = line.event
     assert isinstance(event, ev.ItemRunEnded)
     cause = (
@@ -212,76 +213,78 @@
     return Verdict(line, cause, 40)
 
 
-@JUDGES.register("item long")
-def _item_long(story: Story) -> Verdict | None:
-    told = _last(story, ev.ItemRunEnded)
-    if told is None:
+@JUDGES.register("item run slow")
+def _item_slow(story: Story) -> Verdict | None:
+    match = _last_event(story, ev.ItemRunEnded)
+    if match is None:
         return None
-    event = told.event
-    if story.subject.kind != "item" or event.run_seconds < LONG_RUN_SECONDS:
+    event = match.event
+    if story.subject.kind != "item" or event.run_seconds < SLOW_RUN_SECONDS:
         return None
     cause = f"its text of {event.pieces} pieces took {event.run_seconds:.1f} s at {event.target}"
-    return Verdict(told.line, cause, 35)
+    return Verdict(match.line, cause, 35)
 
 
-@JUDGES.register("job changed hands")
-def _job_changed_hands(story: Story) -> Verdict | None:
-    """Name a time in which nobody worked on a job."""
-    dropped: StoryLine | None = None
-    worst: tuple[float, StoryLine, StoryLine] | None = None
-    for line in story.own:
+@JUDGES.register("job without an owner")
+def _job_without_owner(story: Story) -> Verdict | None:
+    """Report the longest time in which no daemon owned a job."""
+    dropped_line: StoryLine | None = None
+    longest: tuple[float, StoryLine, StoryLine] | None = None
+    for line in story.own_lines:
         if isinstance(line.event, ev.JobDropped) and line.event.reason != "ended":
-            dropped = line
+            dropped_line = line
         if isinstance(line.event, ev.JobOwned):
-            before = dropped or _death_before(story, line)
-            dropped = None
-            if before is None:
+            last_owner_line = dropped_line or _last_line_of_former_owner(story, line)
+            dropped_line = None
+            if last_owner_line is None:
                 continue
-            gap_seconds = line.at_seconds - before.at_seconds
-            if worst is None or gap_seconds > worst[0]:
-                worst = (gap_seconds, before, line)
-    if worst is None or worst[0] < TAKE_OVER_SECONDS:
+            ownerless_seconds = line.at_seconds - last_owner_line.at_seconds
+            if longest is None or ownerless_seconds > longest[0]:
+                longest = (ownerless_seconds, last_owner_line, line)
+    if longest is None or longest[0] < MIN_OWNERLESS_SECONDS:
         return None
-    gap_seconds, before, owned = worst
+    ownerless_seconds, last_owner_line, owned_line = longest
     cause = (
-        f"nobody worked on the job for {gap_seconds:.1f} s, from the end of its owner "
-        f"{before.daemon} until {owned.daemon} took it over"
+        f"nobody worked on the job for {ownerless_seconds:.1f} s, from the end of its owner "
+        f"{last_owner_line.daemon} until {owned_line.daemon} took it over"
     )
-    return Verdict(owned, cause, 50)
+    return Verdict(owned_line, cause, 50)
 
 
-def _death_before(story: Story, owned: StoryLine) -> StoryLine | None:
-    """Return the former owner's last line, if it said nothing about leaving the job."""
-    former = [
+def _last_line_of_former_owner(story: Story, owned_line: StoryLine) -> StoryLine | None:
+    """Return the last line of a former owner; None if there is no former owner."""
+    other_daemons_lines = [
         line
-        for line in story.own
-        if line.at_seconds < owned.at_seconds and line.daemon != owned.daemon
+        for line in story.own_lines
+        if line.at_seconds < owned_line.at_seconds and line.daemon != owned_line.daemon
     ]
-    holders = {line.daemon for line in former if isinstance(line.event, ev.JobOwned)}
-    last = [line for line in former if line.daemon in holders]
-    return last[-1] if last else None
+    former_owners = {
+        line.daemon for line in other_daemons_lines if isinstance(line.event, ev.JobOwned)
+    }
+    former_owner_lines = [line for line in other_daemons_lines if line.daemon in former_owners]
+    return former_owner_lines[-1] if former_owner_lines else None
 
 
 @JUDGES.register("call about a job refused")
 def _job_call_refused(story: Story) -> Verdict | None:
-    told = _last(story, ev.JobCallRefused)
-    if told is None:
+    match = _last_event(story, ev.JobCallRefused)
+    if match is None:
         return None
     cause = (
-        f"{told.event.call} at {told.line.daemon}: {told.event.outcome} {told.event.detail}".strip()
-    )
-    return Verdict(told.line, cause + _away_before(story, told.line), 20)
+        f"{match.event.call} at {match.line.daemon}: {match.event.outcome} {match.event.detail}"
+    ).strip()
+    return Verdict(match.line, cause + _outage_clause(story, match.line), 20)
 
 
 @JUDGES.register("usage not reported in time")
 def _usage_late(story: Story) -> Verdict | None:
-    sent = _last(story, ev.UsageSent)
+    sent = _last_event(story, ev.UsageSent)
     if sent is None:
-        fixed = _last(story, ev.UsageFixed)
+        fixed = _last_event(story, ev.UsageFixed)
         if fixed is None:
             return None
         cause = f"{fixed.line.daemon} gathered it and never sent it"
-        return Verdict(fixed.line, cause + _away_before(story, fixed.line), 60)
+        return Verdict(fixed.line, cause + _outage_clause(story, fixed.line), 60)
     event = sent.event
     if event.in_time and event.outcome.startswith("taken"):
         return None
@@ -291,7 +294,7 @@
 
 @JUDGES.register("usage incomplete")
 def _usage_incomplete(story: Story) -> Verdict | None:
-    fixed = _last(story, ev.UsageFixed)
+    fixed = _last_event(story, ev.UsageFixed)
     if fixed is None:
         return None
     event = fixed.event
--- a/rackswitch/telemetry/events/jobs.py
+++ b/rackswitch/telemetry/events/jobs.py
@@ -77,7 +77,7 @@
 
 @register_event
 class JobHandedOver(Event, tag="job handed over", frozen=True):
-    """A stopping owner offered a job to another daemon; `outcome` is the answer."""
+    """A stopping owner offered a job to another daemon; `outcome` is the result."""
 
     job: str
     successor: str
@@ -203,7 +203,7 @@
     remaining_seconds: float
     left_seconds: float
     slack_seconds: float
-    """Time until it has to have resumed for its step to be in time."""
+    """Time left until the run has to resume elsewhere for its step to be in time."""
 
 
 @register_event
