--- a/rackswitch/explain/losses.py
+++ b/rackswitch/explain/losses.py
@@ -50,7 +50,7 @@
         On the common clock of the logs.
     behind_seconds : float
         Delay of its submission beyond the typical interval after the previous step.
-    whole : bool
+    is_complete : bool
         Whether every item was listed.
     parts_seconds : dict of Reason to float
         From the submission to the listing of its last item.
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True)
-class _JobLines:
+class _JobHistory:
     """The logged history of one job, on the common clock."""
 
     submitted_at_seconds: float
@@ -98,46 +98,46 @@
         Lines of all daemons; jobs whose lines were folded or dropped are left out.
     """
     clocks = Clocks(log.events)
-    jobs: dict[str, _JobLines] = {}
+    jobs: dict[str, _JobHistory] = {}
     for line in sorted(log.events, key=clocks.at_seconds):
         _record_line(jobs, line, clocks.at_seconds(line))
     best_pace_seconds = _best_pace_seconds(jobs)
     rows = [
         row
-        for job, lines in jobs.items()
-        if (row := _job_row(job, lines, best_pace_seconds)) is not None
+        for job, history in jobs.items()
+        if (row := _job_row(job, history, best_pace_seconds)) is not None
     ]
     rows.sort(key=lambda row: row.submitted_at_seconds)
     _record_submission_delays(rows)
     return rows
 
 
-def _record_line(jobs: dict[str, _JobLines], line: LoggedEvent, at_seconds: float) -> None:
+def _record_line(jobs: dict[str, _JobHistory], line: LoggedEvent, at_seconds: float) -> None:
     event = line.event
     if isinstance(event, ev.JobOwned):
         submitted_at_seconds = at_seconds - event.age_seconds
-        lines = jobs.setdefault(event.job, _JobLines(submitted_at_seconds, event))
-        lines.owned_at_seconds.append(at_seconds)
+        history = jobs.setdefault(event.job, _JobHistory(submitted_at_seconds, event))
+        history.owned_at_seconds.append(at_seconds)
         return
-    job_lines = jobs.get(getattr(event, "job", ""))
-    if job_lines is None:
+    known_history = jobs.get(getattr(event, "job", ""))
+    if known_history is None:
         return
     if isinstance(event, ev.JobDropped):
-        job_lines.dropped_at_seconds.append(at_seconds)
+        known_history.dropped_at_seconds.append(at_seconds)
     elif isinstance(event, ev.ItemRunEnded):
         run = _Run(at_seconds - event.run_seconds, at_seconds, event)
-        job_lines.runs[event.item].append(run)
+        known_history.runs[event.item].append(run)
     elif isinstance(event, ev.ResultsAppended) and event.outcome == "Appended":
         for item in event.items:
-            job_lines.listed_at_seconds.setdefault(item, at_seconds)
+            known_history.listed_at_seconds.setdefault(item, at_seconds)
 
 
-def _best_pace_seconds(jobs: dict[str, _JobLines]) -> float:
+def _best_pace_seconds(jobs: dict[str, _JobHistory]) -> float:
     """Return the pace of a fast engine at low load, in seconds per piece."""
     paces = [
         (run.event.run_seconds - run.event.first_piece_seconds) / piece_count
-        for lines in jobs.values()
-        for runs in lines.runs.values()
+        for history in jobs.values()
+        for runs in history.runs.values()
         for run in runs
         if (piece_count := _pieces_made(run)) >= MIN_PACE_PIECES
         and run.event.first_piece_seconds >= 0
@@ -151,31 +151,33 @@
     return max(0, run.event.pieces - run.event.first_piece + 1)
 
 
-def _job_row(job: str, lines: _JobLines, best_pace_seconds: float) -> JobLoss | None:
+def _job_row(job: str, history: _JobHistory, best_pace_seconds: float) -> JobLoss | None:
     """Return a job's time losses; None if none of its items was both run and listed."""
-    listed = [item for item in lines.listed_at_seconds if item in lines.runs]
+    listed = [item for item in history.listed_at_seconds if item in history.runs]
     if not listed:
         return None
-    last = max(listed, key=lambda item: lines.listed_at_seconds[item])
-    is_complete = len(lines.listed_at_seconds) >= lines.owned.items
-    row = JobLoss(job, lines.owned.model, lines.owned.step, lines.submitted_at_seconds, is_complete)
-    _split_time(row, lines, last, best_pace_seconds)
+    last = max(listed, key=lambda item: history.listed_at_seconds[item])
+    is_complete = len(history.listed_at_seconds) >= history.owned.items
+    row = JobLoss(
+        job, history.owned.model, history.owned.step, history.submitted_at_seconds, is_complete
+    )
+    _split_time(row, history, last, best_pace_seconds)
     return row
 
 
-def _split_time(row: JobLoss, lines: _JobLines, item: str, best_pace_seconds: float) -> None:
+def _split_time(row: JobLoss, history: _JobHistory, item: str, best_pace_seconds: float) -> None:
     parts = row.parts_seconds
-    listed_at_seconds = lines.listed_at_seconds[item]
-    runs = [run for run in lines.runs[item] if run.ended_seconds <= listed_at_seconds + 1e-9]
+    listed_at_seconds = history.listed_at_seconds[item]
+    runs = [run for run in history.runs[item] if run.ended_seconds <= listed_at_seconds + 1e-9]
     first_start_seconds = min(
-        run.started_seconds for item_runs in lines.runs.values() for run in item_runs
+        run.started_seconds for item_runs in history.runs.values() for run in item_runs
     )
-    is_late = first_start_seconds > lines.submitted_at_seconds + PROMPT_START_SECONDS
-    cursor_seconds = lines.submitted_at_seconds
+    is_late = first_start_seconds > history.submitted_at_seconds + PROMPT_START_SECONDS
+    cursor_seconds = history.submitted_at_seconds
     reason = Reason.NO_WEIGHTS if is_late else Reason.NO_CAPACITY
     for index, run in enumerate(runs):
         started_seconds = max(cursor_seconds, run.started_seconds)
-        _add_wait(parts, lines, cursor_seconds, started_seconds, reason)
+        _add_wait(parts, history, cursor_seconds, started_seconds, reason)
         next_first_piece = runs[index + 1].event.first_piece if index + 1 < len(runs) else None
         is_kept = next_first_piece is None or next_first_piece > run.event.first_piece
         _add_run(
@@ -188,20 +190,20 @@
 
 def _add_wait(
     parts: dict[Reason, float],
-    lines: _JobLines,
+    history: _JobHistory,
     from_seconds: float,
     until_seconds: float,
     reason: Reason,
 ) -> None:
     """Split a wait into time without a working owner and the rest, which counts as `reason`."""
     owner_dead_until_seconds = min(
-        until_seconds, max(from_seconds, _last_takeover_from_dead_seconds(lines))
+        until_seconds, max(from_seconds, _last_takeover_from_dead_seconds(history))
     )
     parts[Reason.OWNER_DIED] += owner_dead_until_seconds - from_seconds
     from_seconds = owner_dead_until_seconds
     ownerless_seconds = 0.0
-    for dropped_seconds in lines.dropped_at_seconds:
-        later_owned_seconds = [at for at in lines.owned_at_seconds if at >= dropped_seconds]
+    for dropped_seconds in history.dropped_at_seconds:
+        later_owned_seconds = [at for at in history.owned_at_seconds if at >= dropped_seconds]
         owned_seconds = min(later_owned_seconds, default=until_seconds)
         overlap_seconds = min(until_seconds, owned_seconds) - max(from_seconds, dropped_seconds)
         ownerless_seconds += max(0.0, overlap_seconds)
@@ -210,13 +212,13 @@
     parts[reason] += until_seconds - from_seconds - ownerless_seconds
 
 
-def _last_takeover_from_dead_seconds(lines: _JobLines) -> float:
+def _last_takeover_from_dead_seconds(history: _JobHistory) -> float:
     """Return when a daemon last took the job over from one that did not log its release."""
-    owned_seconds = lines.owned_at_seconds
+    owned_seconds = history.owned_at_seconds
     takeover_times_seconds = [
         takeover_seconds
         for former_seconds, takeover_seconds in zip(owned_seconds, owned_seconds[1:], strict=False)
-        if not any(former_seconds <= at <= takeover_seconds for at in lines.dropped_at_seconds)
+        if not any(former_seconds <= at <= takeover_seconds for at in history.dropped_at_seconds)
     ]
     return max(takeover_times_seconds, default=float("-inf"))
 
--- a/rackswitch/telemetry/events/dependencies.py
+++ b/rackswitch/telemetry/events/dependencies.py
@@ -46,7 +46,7 @@
 
 @register_event
 class SessionLost(Event, tag="session lost", frozen=True):
-    """The key-value service reported that the lease, and with it the keys attached, is gone."""
+    """The key-value service reported that the lease and the keys attached to it have expired."""
 
     lease: int
 
--- a/rackswitch/telemetry/journal.py
+++ b/rackswitch/telemetry/journal.py
@@ -40,7 +40,7 @@
     up : float
         Seconds since the process began to log, on the monotonic clock.
     lines_dropped_before : int
-        Lines dropped since the previous one, as the queue was full or the reader gone.
+        Lines dropped since the previous one, as the queue was full or the pipe closed.
     """
 
     time: float
