--- a/rackswitch/explain/tests/support.py
+++ b/rackswitch/explain/tests/support.py
@@ -1,15 +1,15 @@
-"""Log lines of daemons whose clocks differ."""
+"""Writes log lines of daemons whose wall clocks differ."""
 
 import msgspec
 
-from rackswitch.telemetry import LineHead
+from rackswitch.telemetry import LineHeader
 from rackswitch.telemetry.events import Event
 
 EPOCH_SECONDS = 1_700_000_000.0
 
 
 class LoggingDaemon:
-    """Writes lines as a daemon does; `ahead_seconds` is what its time of day is off by."""
+    """Collects log lines of a daemon whose wall clock is ahead by `ahead_seconds`."""
 
     def __init__(self, name: str, started_seconds: float = 0.0, ahead_seconds: float = 0.0):
         self.name = name
@@ -18,11 +18,11 @@
         self._started_seconds = started_seconds
 
     def log(self, at_seconds: float, event: Event) -> None:
-        """Write a line at a true time."""
-        head = LineHead(
+        """Add a line with an event that happens at a true time."""
+        header = LineHeader(
             EPOCH_SECONDS + at_seconds + self.ahead_seconds,
             at_seconds - self._started_seconds,
             self.name,
         )
-        line = msgspec.json.encode(head)[:-1] + b"," + msgspec.json.encode(event)[1:]
+        line = msgspec.json.encode(header)[:-1] + b"," + msgspec.json.encode(event)[1:]
         self.lines.append(line.decode())
