--- a/rackswitch/gateway/core.py
+++ b/rackswitch/gateway/core.py
@@ -191,7 +191,7 @@
             self.jobs.run(),
             self._cleaner.run(),
             self.quarantine.run(),
-            *self._duties.runs(),
+            *self._duties.background_tasks(),
             self.log.run(),
             self._count_calls(),
             self._forget_unlisted(),
--- a/rackswitch/gateway/duties/__init__.py
+++ b/rackswitch/gateway/duties/__init__.py
@@ -1,1 +1,1 @@
-"""What the fleet does towards the operators' API, by one daemon at a time."""
+"""Calls to the operators' API, made by one daemon at a time: usage reports and engine orders."""
--- a/rackswitch/gateway/duties/duties.py
+++ b/rackswitch/gateway/duties/duties.py
@@ -1,4 +1,4 @@
-"""Everything that a gateway does towards the operators' API, put together."""
+"""Sets up the parts that call the operators' API."""
 
 import time
 from collections.abc import Coroutine
@@ -8,7 +8,7 @@
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.duties.duty_turn import DUTIES_ROLE, DUTIES_TURN
 from rackswitch.gateway.duties.scaling_manager import ScalingManager
-from rackswitch.gateway.duties.usage_gathering import UsageGathering
+from rackswitch.gateway.duties.usage_gathering import UsageGatherer
 from rackswitch.gateway.duties.usage_reporter import UsageReporter
 from rackswitch.gateway.duties.usage_service import UsageService
 from rackswitch.gateway.jobs.known_jobs import KnownJobs
@@ -20,23 +20,23 @@
 
 
 class Duties:
-    """One daemon's part in the duties of one holder.
+    """One daemon's part in the duties that a single holder carries out.
 
     Parameters
     ----------
     context : GatewayContext
-        The daemon; it counts usage from now on as the settings cut time.
+        The daemon; its usage counts are replaced by ones with the windows of the settings.
     roles : RoleManager
-        Leases on roles.
+        Manages this daemon's leases on roles.
     known : KnownJobs
         All jobs of the fleet.
 
     Attributes
     ----------
     turns : TurnManager
-        Who calls the operators' API.
+        Decides when this daemon may call the operators' API.
     usage : UsageService
-        What was counted here.
+        Serves the usage counts of this daemon to others.
     """
 
     __slots__ = ("_context", "_known", "turns", "usage")
@@ -52,37 +52,37 @@
         self.usage = UsageService(context, context.usage)
 
     def wanted_roles(self) -> list[str]:
-        """Return the roles that the settings call for."""
+        """Return the roles that the settings require."""
         return [DUTIES_ROLE] if self._context.settings.duties is not None else []
 
     def last_holder(self, role: str) -> str | None:
-        """Return the daemon that held the role last; None if it is another role."""
+        """Return the last daemon that acted in the duties role; None for any other role."""
         return self.turns.last_holder(DUTIES_TURN.group) if role == DUTIES_ROLE else None
 
-    def runs(self) -> list[Coroutine[Any, Any, None]]:
-        """Return what is to be run until the daemon ends."""
+    def background_tasks(self) -> list[Coroutine[Any, Any, None]]:
+        """Return the coroutines to run until the daemon stops."""
         settings = self._context.settings.duties
         if settings is None:
             return []
         client = DutyClient(settings.url, self._context.daemon.sessions)
-        work: list[Coroutine[Any, Any, None]] = []
+        tasks: list[Coroutine[Any, Any, None]] = []
         if settings.reports_usage:
-            gathering = UsageGathering(self._context, self._context.usage)
+            gatherer = UsageGatherer(self._context, self._context.usage)
             windows = self._context.usage.windows
-            usage = UsageReporter(self._context, self.turns, client, gathering, windows)
-            work.append(usage.run())
+            reporter = UsageReporter(self._context, self.turns, client, gatherer, windows)
+            tasks.append(reporter.run())
         if settings.orders_engines:
-            scale = ScalingManager(
+            scaling = ScalingManager(
                 self._context, self.turns, client, self._known, settings.calls_per_second
             )
-            work.append(scale.run())
-        return work
+            tasks.append(scaling.run())
+        return tasks
 
     async def hand_over(self) -> None:
-        """Leave what was counted to a daemon that goes on."""
+        """Hand over the usage counts to a daemon that keeps running."""
         settings = self._context.settings.duties
         if settings is None or not settings.reports_usage:
             return
         windows = self._context.usage.windows
-        oldest = windows.number_at(time.time() - windows.allowed_late_seconds)
-        await self.usage.hand_over(oldest)
+        oldest_window = windows.number_at(time.time() - windows.allowed_late_seconds)
+        await self.usage.hand_over(oldest_window)
--- a/rackswitch/gateway/duties/duty_turn.py
+++ b/rackswitch/gateway/duties/duty_turn.py
@@ -10,16 +10,16 @@
 DUTIES_ROLE = "duties"
 DUTIES_KEY = "control/duties"
 DUTIES_TURN = Turn("duties", DUTIES_ROLE, DUTIES_KEY)
-"""One role for all of these calls: they are few, and each role costs a renewal each 0.67 s."""
+"""One role for all of these calls: they are few, and every role needs regular lease renewals."""
 
 
 class DutyRecord(msgspec.Struct, frozen=True):
-    """Who calls the operators' API."""
+    """Record of the daemon that calls the operators' API."""
 
     holder: str
 
 
 def note_record(turns: TurnManager, entry: KvEntry) -> None:
-    """Take in the record, as it was read or told."""
+    """Update the turns by the stored record."""
     record = msgspec.json.decode(entry.value, type=DutyRecord)
     turns.entered(DUTIES_TURN.group, record.holder, entry.mod_revision)
--- a/rackswitch/gateway/duties/fenced_record.py
+++ b/rackswitch/gateway/duties/fenced_record.py
@@ -1,4 +1,4 @@
-"""What the holder of the duties keeps in the key-value service for its successor."""
+"""State that the holder of the duties stores in the key-value service for its successor."""
 
 from typing import Generic, TypeVar
 
@@ -15,27 +15,27 @@
 
 
 class FencedRecord(Generic[T]):
-    """A value under one key, written along with the holder's entry in the record of turns.
+    """A value under one key, written in one transaction with the holder's entry.
 
-    A write holds only if the key is as it was last read or written here, so that an earlier write
-    whose answer was lost cannot undo a later one.
+    A write succeeds only if the key is unchanged since it was last read or written here, so that a
+    delayed write cannot undo a later one.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     turns : TurnManager
-        This daemon's turns as the holder.
+        Checks that this daemon may act as the holder.
     key : str
-        Where the value lies. Not among the entries that every daemon follows: only the holder
+        Key of the value. It is outside the prefixes that every daemon watches: only the holder
         needs it.
     empty : msgspec.Struct
-        The value of a key that is not there.
+        The value if the key does not exist.
 
     Attributes
     ----------
     value : msgspec.Struct or None
-        What the service holds; None while that is not known.
+        The stored value; None while it is unknown.
     """
 
     __slots__ = ("_context", "_empty", "_key", "_revision", "_turns", "value")
@@ -48,23 +48,23 @@
         self._revision = 0
         self.value: T | None = None
 
-    async def present(self) -> T | None:
-        """Return the value while this daemon may act on it, read if need be; else None."""
-        may_act = await self._turns.is_open(DUTIES_TURN, self._note_turn)
+    async def current_value(self) -> T | None:
+        """Return the value, reading it if necessary; None if unknown or this daemon may not act."""
+        may_act = await self._turns.is_open(DUTIES_TURN, self._record_turn)
         if not may_act:
-            # Whoever acts meanwhile writes it.
+            # Another holder may change it.
             self.value = None
             return None
         return self.value if self.value is not None else await self._read()
 
-    async def enter_with(self, value: T) -> Entry | None:
-        """Write a value and this daemon's entry; return None if it is not known to be written."""
+    async def write_with_entry(self, value: T) -> Entry | None:
+        """Write a value and this daemon's entry; return None unless the write is confirmed."""
         record = msgspec.json.encode(DutyRecord(self._context.daemon_name))
-        put = Operation(self._key, msgspec.json.encode(value))
+        write = Operation(self._key, msgspec.json.encode(value))
         unchanged = Compare(self._key, "mod", self._revision)
-        entry = await self._turns.enter(DUTIES_TURN, record, (put,), (unchanged,))
+        entry = await self._turns.enter(DUTIES_TURN, record, (write,), (unchanged,))
         if entry is None:
-            # It may have been written all the same: what is there must be read again.
+            # The write may have taken effect, so the value must be read again.
             self.value = None
             return None
         self.value, self._revision = value, entry.revision
@@ -81,5 +81,5 @@
             self._revision = found.mod_revision
         return self.value
 
-    def _note_turn(self, entry: KvEntry) -> None:
+    def _record_turn(self, entry: KvEntry) -> None:
         note_record(self._turns, entry)
--- a/rackswitch/gateway/duties/ordered_counts.py
+++ b/rackswitch/gateway/duties/ordered_counts.py
@@ -1,4 +1,4 @@
-"""What was last ordered of engines, as it is kept for a successor."""
+"""The last engine orders, as stored for the next holder."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class OrderedCount(msgspec.Struct, frozen=True, array_like=True):
-    """How many engines of a kind a service is to have in a zone."""
+    """Ordered number of engines of a kind for a service in a zone."""
 
     service: str
     zone: str
@@ -20,12 +20,12 @@
 
 
 class OrderedCounts(msgspec.Struct, frozen=True):
-    """What was last ordered, for every place that anything was ordered for."""
+    """The last ordered counts of all services and locations."""
 
     orders: tuple[OrderedCount, ...] = ()
 
-    def of(self, service: str) -> EngineCounts:
-        """Return what was ordered for a service."""
+    def for_service(self, service: str) -> EngineCounts:
+        """Return the ordered counts of a service by location."""
         return Counter(
             {
                 EngineLocation(order.zone, order.kind): order.count
@@ -35,12 +35,13 @@
         )
 
     def with_orders(self, service: str, orders: Iterable[EngineOrder]) -> "OrderedCounts":
-        """Return what is ordered once more orders are given."""
-        counts = self.of(service)
+        """Return the counts after further orders for a service."""
+        counts = self.for_service(service)
         for order in orders:
             counts[order.place] = order.count
-        others = tuple(order for order in self.orders if order.service != service)
-        own = tuple(
-            OrderedCount(service, place.zone, place.kind, count) for place, count in counts.items()
+        other_orders = tuple(order for order in self.orders if order.service != service)
+        own_orders = tuple(
+            OrderedCount(service, location.zone, location.kind, count)
+            for location, count in counts.items()
         )
-        return OrderedCounts(others + own)
+        return OrderedCounts(other_orders + own_orders)
--- a/rackswitch/gateway/duties/scaling_manager.py
+++ b/rackswitch/gateway/duties/scaling_manager.py
@@ -1,4 +1,4 @@
-"""Orders engines, as the single holder that may."""
+"""Orders engines from the platform while this daemon holds the duties role."""
 
 import asyncio
 import time
@@ -32,52 +32,51 @@
 __all__ = ["ScalingManager"]
 
 ORDERED_KEY = "capacity/ordered"
-"""What was last ordered, for a successor: the platform does not tell."""
+"""Key of the last orders, for the next holder: the platform does not report them."""
 
 TICK_SECONDS = 0.5
 
-CALLS_SHARE = 0.5
-"""Part of the calls that the operators' API takes which orders may use; what is over follows half
-a second later, and reports of usage are never in their way."""
+ORDER_CALLS_SHARE = 0.5
+"""Share of the operators' API rate limit for orders; the rest is left for usage reports. Further
+orders follow in the next tick."""
 
-RECENT_SECONDS = 30.0
-"""How long a job that has ended still tells what its trainer asks next: some seven steps."""
+RECENT_JOB_SECONDS = 30.0
+"""Jobs submitted within this time count as load, also once they have ended: their trainer is likely
+to submit a similar one."""
 
-LIST_SETTLES_SECONDS = 3.0
-"""How long after an outage of the service, and after the first engine is seen, the list of engines
-is not gone by: a live engine lists itself again within some 2 s, and a fleet that starts knows its
-holder before its engines. Ordered by the engines seen at that moment, none, two of six were given
-back by orders that meant to add some."""
+LIST_SETTLE_SECONDS = 3.0
+"""No orders are sent for this long after an outage of the key-value service and after the first
+engine is listed: the list may be incomplete, and orders based on it could remove engines."""
 
-USUAL_DUE_SECONDS = 7.5
-"""For a service without a route of batch jobs; as on the users' sheets."""
+DEFAULT_DUE_SECONDS = 7.5
+"""For a service without a route for batch jobs."""
 
 
 @dataclass(slots=True)
-class _Watched:
-    """What this daemon has seen of a service's engines since it holds the role.
+class _ObservedEngines:
+    """A service's engines, as observed since this daemon holds the role.
 
     Attributes
     ----------
     listed_since_seconds : float
         When the first of them was listed (monotonic).
     max_present : EngineCounts
-        The most that were there at a time, by place: what stood before anything was ordered.
-        An order that names fewer would take engines away.
+        Maximum number present at a time, by location. An order with a lower count would remove
+        engines.
     """
 
     planner: CapacityPlanner
     listed_since_seconds: float
     max_present: EngineCounts = field(default_factory=Counter)
 
-    def saw(self, present: EngineCounts) -> None:
-        """Take in which engines are there now."""
+    def record_present(self, present: EngineCounts) -> None:
+        """Record which engines are present now."""
         self.max_present |= present
 
 
 @dataclass(frozen=True, slots=True)
 class _Decision:
-    """What orders for a service follow from."""
+    """Inputs of a scaling decision for a service."""
 
     service: str
     capacity: Capacity
@@ -86,33 +85,33 @@
 
 
 class ScalingManager:
-    """Decides on engines and orders them while this daemon holds the role.
+    """Scales services by ordering engines while this daemon holds the role.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     turns : TurnManager
-        This daemon's turns in the role.
+        Checks that this daemon may act as the holder.
     client : DutyClient
-        Makes the calls.
-    known : KnownJobs
-        All jobs of the fleet, by which the need is worked out.
+        Client of the operators' API.
+    known_jobs : KnownJobs
+        All jobs of the fleet, from which the demand is computed.
     calls_per_second : float
-        What the operators' API takes from all daemons together.
+        Rate limit of the operators' API for all daemons together.
     wall_clock : callable
-        Returns the time of day.
+        Returns the Unix time in seconds.
     """
 
     __slots__ = (
         "_client",
         "_context",
-        "_kept",
-        "_known",
+        "_record",
+        "_known_jobs",
         "_max_orders",
         "_turns",
         "_wall_clock",
-        "_watched",
+        "_observed",
     )
 
     def __init__(
@@ -120,78 +119,81 @@
         context: GatewayContext,
         turns: TurnManager,
         client: DutyClient,
-        known: KnownJobs,
+        known_jobs: KnownJobs,
         calls_per_second: float,
         wall_clock: Callable[[], float] = time.time,
     ):
-        self._max_orders = max(1, int(calls_per_second * TICK_SECONDS * CALLS_SHARE))
+        self._max_orders = max(1, int(calls_per_second * TICK_SECONDS * ORDER_CALLS_SHARE))
         self._context = context
         self._turns = turns
         self._client = client
-        self._known = known
+        self._known_jobs = known_jobs
         self._wall_clock = wall_clock
-        self._watched: dict[str, _Watched] = {}
-        self._kept = FencedRecord(context, turns, ORDERED_KEY, OrderedCounts())
+        self._observed: dict[str, _ObservedEngines] = {}
+        self._record = FencedRecord(context, turns, ORDERED_KEY, OrderedCounts())
 
     async def run(self) -> None:
-        """Order until cancelled."""
+        """Scale services until cancelled."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            await self._tend()
+            await self._scale_services()
 
-    async def _tend(self) -> None:
+    async def _scale_services(self) -> None:
         rows = [row for row in self._context.daemon.view.rows(ServiceRow) if row.scaling]
         if not rows:
             return
-        ordered = await self._kept.present()
+        ordered = await self._record.current_value()
         if ordered is None:
-            self._watched.clear()
+            self._observed.clear()
             return
-        if not self._knows_engines():
+        if not self._is_list_settled():
             return
         for row in rows:
             if row.scaling is not None:
-                await self._tend_service(row, row.scaling, ordered)
+                await self._scale_service(row, row.scaling, ordered)
 
-    async def _tend_service(
+    async def _scale_service(
         self, row: ServiceRow, terms: ScalingTerms, ordered: OrderedCounts
     ) -> None:
         capacity = _capacity(row, terms)
         now_seconds = self._context.now_seconds()
-        present = self._present(row.name, now_seconds)
+        present = self._count_present(row.name, now_seconds)
         if not present:
             return
-        watched = self._watched.get(row.name)
-        if watched is None:
+        observed = self._observed.get(row.name)
+        if observed is None:
             planner = CapacityPlanner(KIND_POLICIES.get(self._context.policy.engine_kinds))
-            watched = self._watched[row.name] = _Watched(planner, now_seconds)
-        watched.saw(present)
-        if now_seconds < watched.listed_since_seconds + LIST_SETTLES_SECONDS:
+            observed = self._observed[row.name] = _ObservedEngines(planner, now_seconds)
+        observed.record_present(present)
+        if now_seconds < observed.listed_since_seconds + LIST_SETTLE_SECONDS:
             return
-        wanted = self._wanted(row, capacity)
+        wanted = self._wanted_engines(row, capacity)
         if wanted is None:
             return
-        state = ServiceState(present, watched.max_present | ordered.of(row.name))
-        orders = watched.planner.orders(state, capacity, wanted, now_seconds)
+        state = ServiceState(present, observed.max_present | ordered.for_service(row.name))
+        orders = observed.planner.orders(state, capacity, wanted, now_seconds)
         if orders:
             decision = _Decision(row.name, capacity, state, wanted)
-            await self._enter_and_order(decision, ordered, orders)
+            await self._write_and_order(decision, ordered, orders)
 
-    def _knows_engines(self) -> bool:
-        """Return whether engines that are not listed are gone, and did not lapse with the list."""
+    def _is_list_settled(self) -> bool:
+        """Return whether an engine missing from the list is gone.
+
+        Around an outage of the key-value service live engines may be missing too.
+        """
         contact = self._context.contact
-        settled_seconds = contact.back_seconds + LIST_SETTLES_SECONDS
+        settled_seconds = contact.back_seconds + LIST_SETTLE_SECONDS
         return not contact.is_away and self._context.now_seconds() >= settled_seconds
 
-    def _present(self, service: str, now_seconds: float) -> EngineCounts:
+    def _count_present(self, service: str, now_seconds: float) -> EngineCounts:
         counts: EngineCounts = Counter()
         for target in self._context.directory.usable(service, now_seconds):
             kind = EngineKind.RECLAIMABLE if target.reclaimable else EngineKind.KEPT
             counts[EngineLocation(target.zone, kind)] += 1
         return counts
 
-    def _wanted(self, row: ServiceRow, capacity: Capacity) -> int | None:
-        """Return how many engines a service should have, or None to leave them as they are."""
+    def _wanted_engines(self, row: ServiceRow, capacity: Capacity) -> int | None:
+        """Return how many engines a service should have; None to leave them unchanged."""
         jobs = self._recent_jobs(row)
         due_seconds = self._due_seconds(row.name)
         slots = wanted_slots(jobs, due_seconds)
@@ -200,8 +202,8 @@
         return policy(slots, busy, capacity.slots)
 
     def _recent_jobs(self, row: ServiceRow) -> list[JobLoad]:
-        oldest_unix_seconds = self._wall_clock() - RECENT_SECONDS
-        markers = [known.marker for known in self._known.jobs.values()]
+        oldest_unix_seconds = self._wall_clock() - RECENT_JOB_SECONDS
+        markers = [known.marker for known in self._known_jobs.jobs.values()]
         return [
             JobLoad(marker.model, marker.work_seconds, is_open=not marker.ended)
             for marker in markers
@@ -210,27 +212,29 @@
         ]
 
     def _due_seconds(self, service: str) -> float:
-        dues = [
+        due_times_seconds = [
             route.due_seconds
             for route in self._context.daemon.view.rows(RouteRow)
             if route.handling is Handling.BATCH
             and any(choice.serves == service for choice in route.choices)
         ]
-        return min(dues, default=USUAL_DUE_SECONDS)
+        return min(due_times_seconds, default=DEFAULT_DUE_SECONDS)
 
-    async def _enter_and_order(
+    async def _write_and_order(
         self, decision: _Decision, ordered: OrderedCounts, orders: list[EngineOrder]
     ) -> None:
-        """Write what is ordered, and order it.
+        """Store the ordered counts, then send the orders.
 
-        What is written first may not be ordered any more. Then the next holder finds fewer engines
-        than were ordered, and orders more than that; so nothing is ordered twice by itself.
+        If this daemon fails in between, the next holder finds fewer engines than the stored counts
+        and orders again; no order is sent twice otherwise.
         """
-        now = orders[: self._max_orders]
-        entry = await self._kept.enter_with(ordered.with_orders(decision.service, now))
+        sent_orders = orders[: self._max_orders]
+        entry = await self._record.write_with_entry(
+            ordered.with_orders(decision.service, sent_orders)
+        )
         if entry is None:
             return
-        for order in now:
+        for order in sent_orders:
             await self._order(decision, order, entry.began_seconds)
 
     async def _order(
@@ -239,21 +243,21 @@
         fencing = self._turns.fencing_to_send(DUTIES_TURN, entered_at_seconds)
         if fencing is None:
             return
-        place = order.place
+        location = order.place
         answer = await self._client.order_engines(
             Holder(self._context.daemon_name, fencing),
             decision.service,
-            place.zone,
+            location.zone,
             order.count,
-            place.kind is EngineKind.RECLAIMABLE,
+            location.kind is EngineKind.RECLAIMABLE,
         )
-        added = order.count - decision.state.ordered[place]
-        self._note_answer(decision, order, added, answer.outcome)
+        added = order.count - decision.state.ordered[location]
+        self._record_answer(decision, order, added, answer.outcome)
         self._context.log.write(
             EnginesOrdered(
                 service=decision.service,
-                zone=place.zone,
-                engine_kind=place.kind.value,
+                zone=location.zone,
+                engine_kind=location.kind.value,
                 count=order.count,
                 added=added,
                 wanted=decision.wanted,
@@ -263,26 +267,26 @@
             )
         )
 
-    def _note_answer(
+    def _record_answer(
         self, decision: _Decision, order: EngineOrder, added: int, outcome: DutyOutcome
     ) -> None:
-        """Learn from the answer to an order that adds so many engines."""
-        watched = self._watched[decision.service]
+        """Update the state of the service by the answer to an order."""
+        observed = self._observed[decision.service]
         now_seconds = self._context.now_seconds()
         if outcome in (DutyOutcome.TAKEN, DutyOutcome.UNKNOWN):
-            watched.planner.taken(added, decision.capacity, now_seconds)
+            observed.planner.taken(added, decision.capacity, now_seconds)
         else:
-            watched.planner.refused(order.place, now_seconds)
+            observed.planner.refused(order.place, now_seconds)
             before = EngineOrder(order.place, order.count - added)
-            if self._kept.value is not None:
-                self._kept.value = self._kept.value.with_orders(decision.service, [before])
+            if self._record.value is not None:
+                self._record.value = self._record.value.with_orders(decision.service, [before])
         if added < 0:
-            # What was given back is no engine that is lost.
-            watched.max_present[order.place] = order.count
+            # These engines were removed on purpose, so they must not be ordered again.
+            observed.max_present[order.place] = order.count
 
 
 def _capacity(row: ServiceRow, terms: ScalingTerms) -> Capacity:
-    """Return the terms on which a service's engines are had."""
+    """Return the scaling terms of a service."""
     return Capacity(
         terms.least,
         terms.most,
--- a/rackswitch/gateway/duties/tests/test_scaling_manager.py
+++ b/rackswitch/gateway/duties/tests/test_scaling_manager.py
@@ -1,4 +1,4 @@
-"""Orders of engines, seen from a platform that gives exactly what was ordered last."""
+"""Engine orders against a simulated platform that provides exactly the last ordered counts."""
 
 import asyncio
 from collections import Counter
@@ -26,37 +26,37 @@
 
 
 class Platform:
-    """Engines by place, listed to every daemon at once."""
+    """Engine counts by location, listed to every daemon without delay."""
 
-    def __init__(self, kept: dict[str, int]):
-        self.counts = Counter({(zone, False): number for zone, number in kept.items()})
+    def __init__(self, initial_counts: dict[str, int]):
+        self.counts = Counter({(zone, False): count for zone, count in initial_counts.items()})
         self.contexts: list = []
         self.calls: list[tuple[str, bool, int]] = []
-        self.min_engines = sum(kept.values())
+        self.min_engines = sum(initial_counts.values())
         self.outcome = DutyOutcome.TAKEN
 
     async def order_engines(self, holder, service, zone, count, reclaimable) -> DutyAnswer:
         self.calls.append((zone, reclaimable, count))
         if self.outcome is DutyOutcome.TAKEN:
-            before = self.counts[zone, reclaimable]
-            if count > before:
+            previous_count = self.counts[zone, reclaimable]
+            if count > previous_count:
                 asyncio.get_running_loop().call_later(
-                    TERMS.boot_seconds, self.become, zone, reclaimable, count
+                    TERMS.boot_seconds, self.set_count, zone, reclaimable, count
                 )
             else:
-                self.become(zone, reclaimable, count)
+                self.set_count(zone, reclaimable, count)
         return DutyAnswer(self.outcome, "")
 
-    def become(self, zone: str, reclaimable: bool, count: int) -> None:
+    def set_count(self, zone: str, reclaimable: bool, count: int) -> None:
         self.counts[zone, reclaimable] = count
         self.min_engines = min(self.min_engines, sum(self.counts.values()))
         for context in self.contexts:
-            self.list_to(context)
+            self.list_engines(context)
 
-    def list_to(self, context) -> None:
+    def list_engines(self, context) -> None:
         context.directory.entries.clear()
-        for (zone, reclaimable), number in self.counts.items():
-            for engine in range(number):
+        for (zone, reclaimable), count in self.counts.items():
+            for engine in range(count):
                 name = f"{zone}-{reclaimable}-{engine}"
                 context.directory.put(
                     ListedTarget(name, "s", "h", 1, zone, 8, reclaimable=reclaimable)
@@ -69,26 +69,26 @@
     context.daemon.view.offer(TABLE)
     platform.contexts.append(context)
     if listed:
-        platform.list_to(context)
+        platform.list_engines(context)
     known = KnownJobs()
     marker = JobMarker("j", 10, 0.0, model="m", work_seconds=work_seconds)
     known.created(marker, 1)
     roles = RoleManager(context.daemon, lambda: [DUTIES_ROLE])
-    keeper = ScalingManager(
+    manager = ScalingManager(
         context, TurnManager(context, roles), platform, known, 50.0, lambda: 1.0
     )
     context.daemon.spawn_duty(roles.run())
-    context.daemon.spawn_duty(keeper.run())
+    context.daemon.spawn_duty(manager.run())
     return context
 
 
-def test_a_holder_that_knows_its_role_before_its_engines_gives_none_back():
+def test_removes_no_engines_when_the_role_is_held_before_engines_are_listed():
     async def scenario():
         platform = Platform({"a": 2, "b": 1})
         context = start("d", KvStore(), platform, 130.0, listed=False)
         await asyncio.sleep(5.0)
         assert not platform.calls
-        platform.list_to(context)
+        platform.list_engines(context)
         await asyncio.sleep(20.0)
         assert platform.min_engines == 3
         assert sum(platform.counts.values()) == 8
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("outcome", [DutyOutcome.NONE_TO_BE_HAD, DutyOutcome.BUSY])
-def test_what_could_not_be_had_is_ordered_again_later_and_kept_engines_stay(outcome):
+def test_repeats_unfulfilled_orders_and_keeps_existing_engines(outcome):
     async def scenario():
         platform = Platform({"a": 2, "b": 1})
         platform.outcome = outcome
@@ -115,7 +115,7 @@
     run_virtual(scenario())
 
 
-def test_a_successor_goes_by_what_was_ordered():
+def test_a_new_holder_continues_from_the_stored_orders():
     async def scenario():
         platform = Platform({"a": 2, "b": 1})
         kv = KvStore()
@@ -134,7 +134,7 @@
     run_virtual(scenario())
 
 
-def test_a_lasting_surplus_is_given_back_to_what_is_wanted_and_no_further():
+def test_removes_a_lasting_surplus_down_to_the_wanted_count():
     async def scenario():
         platform = Platform({"a": 4, "b": 4})
         context = start("d", KvStore(), platform, 60.0)
--- a/rackswitch/gateway/duties/tests/test_usage_gathering.py
+++ b/rackswitch/gateway/duties/tests/test_usage_gathering.py
@@ -1,9 +1,9 @@
-"""Who is asked for counts, and what is made of answers that do not come."""
+"""Gathering usage counts from all daemons, also when some do not answer."""
 
 import asyncio
 
 from rackswitch.daemon.tests.support import run_virtual
-from rackswitch.gateway.duties.usage_gathering import UsageGathering, counts_message
+from rackswitch.gateway.duties.usage_gathering import UsageGatherer, counts_to_messages
 from rackswitch.gateway.tests.support import make_gateway_context
 from rackswitch.membership import VmEntry
 from rackswitch.peers import gateway_pb2 as pb
@@ -16,7 +16,7 @@
 
 
 class Peers:
-    """Daemons that answer with one request each, some of them only when asked again."""
+    """Links to daemons that report one request each; some answer only the second call or never."""
 
     def __init__(self, silent_once=(), silent=()):
         self.silent_once = set(silent_once)
@@ -30,14 +30,14 @@
             self.silent_once.discard(peer.daemon)
             return PeerUnreachable("no answer")
         started_ms = 1_002_000 if peer.daemon == "young" else 0
-        return pb.CountUsageReply(counts=counts_message({"t": 1}), counted_from_ms=started_ms)
+        return pb.CountUsageReply(counts=counts_to_messages({"t": 1}), counted_from_ms=started_ms)
 
 
 def gather(links: Peers, **leaving: bool):
     async def scenario():
         context = make_gateway_context("own", KvStore())
         context.daemon.links = links
-        entries = [VmEntry(name, "h", 1, "z", gone) for name, gone in leaving.items()]
+        entries = [VmEntry(name, "h", 1, "z", is_leaving) for name, is_leaving in leaving.items()]
         context.daemon.membership.learn_listed(
             [VmEntry(entry.daemon, "h", 1, "z", False) for entry in entries], 0.0
         )
@@ -45,22 +45,22 @@
         counts = UsageCounts(WINDOWS, 0.0)
         counts.began("t", 1001.0)
         counts.began("u", 1002.0)
-        return await UsageGathering(context, counts).gather(WINDOW)
+        return await UsageGatherer(context, counts).gather(WINDOW)
 
     return run_virtual(scenario())
 
 
-def test_every_daemon_is_asked_also_one_that_is_stopping():
+def test_asks_every_daemon_including_a_stopping_one():
     gathered = gather(Peers(), a=False, stopping=True)
     assert dict(gathered.counts) == {"t": 3, "u": 1}
-    assert (gathered.answered, gathered.silent) == (3, 0)
+    assert (gathered.answered, gathered.unanswered) == (3, 0)
 
 
-def test_one_that_does_not_answer_is_asked_once_more_and_then_told():
+def test_asks_a_silent_daemon_once_more_and_counts_it_as_unanswered():
     gathered = gather(Peers(silent_once=["a"], silent=["b"]), a=False, b=False)
     assert gathered.counts["t"] == 2
-    assert (gathered.answered, gathered.silent) == (2, 1)
+    assert (gathered.answered, gathered.unanswered) == (2, 1)
 
 
-def test_a_process_that_started_in_the_window_counted_a_part_of_it():
+def test_counts_of_a_daemon_that_started_within_the_window_are_partial():
     assert gather(Peers(), a=False, young=False).partial == 1
--- a/rackswitch/gateway/duties/tests/test_usage_runs.py
+++ b/rackswitch/gateway/duties/tests/test_usage_runs.py
@@ -1,16 +1,16 @@
-"""One holder, one content a window: through crashes, cuts, lost answers and late effects."""
+"""Usage is reported by one holder at a time and with one content per window, despite faults."""
 
 import pytest
 
 from rackswitch.daemon.tests.support import run_virtual
-from rackswitch.gateway.duties.tests.usage_run import ForgetfulKeeper, UsageRun
+from rackswitch.gateway.duties.tests.usage_run import RegatheringReporter, UsageRun
 
 RUN_SECONDS = 240.0
 
 
-def played(seed: int, **kinds) -> UsageRun:
+def run_simulation(seed: int, **options) -> UsageRun:
     async def scenario():
-        run = UsageRun(seed, **kinds)
+        run = UsageRun(seed, **options)
         await run.run(RUN_SECONDS)
         return run
 
@@ -18,18 +18,22 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_reports_have_one_holder_at_a_time_and_one_content_for_ever(seed):
-    run = played(seed)
+def test_one_holder_reports_at_a_time_and_content_never_changes(seed):
+    run = run_simulation(seed)
     assert run.violations() == []
-    # The last windows, undisturbed, have all come.
-    newest = max(run.windows_taken())
-    assert set(range(newest - 3, newest + 1)) <= run.windows_taken()
+    # All windows of the final fault-free phase were reported.
+    newest_window = max(run.accepted_windows())
+    assert set(range(newest_window - 3, newest_window + 1)) <= run.accepted_windows()
 
 
-def test_a_holder_that_does_not_wait_for_its_predecessors_turn_is_caught():
-    assert any(played(seed, naive_turns=True).violations() for seed in range(6))
+def test_detects_a_holder_that_does_not_wait_for_its_predecessors_turn():
+    assert any(run_simulation(seed, skip_turns=True).violations() for seed in range(6))
 
 
-def test_a_holder_that_gathers_again_what_it_may_have_sent_is_caught():
-    found = [line for s in range(6) for line in played(s, keeper=ForgetfulKeeper).violations()]
+def test_detects_a_holder_that_gathers_again_what_it_may_have_sent():
+    found = [
+        line
+        for seed in range(6)
+        for line in run_simulation(seed, reporter_kind=RegatheringReporter).violations()
+    ]
     assert any("contents" in line for line in found)
--- a/rackswitch/gateway/duties/tests/usage_run.py
+++ b/rackswitch/gateway/duties/tests/usage_run.py
@@ -1,4 +1,4 @@
-"""Several daemons that report one fleet's usage, seen from the operators' API."""
+"""Simulation of daemons that report usage to the operators' API, under random faults."""
 
 import asyncio
 import random
@@ -24,26 +24,26 @@
 
 WINDOWS = UsageWindows(5.0, 10.0)
 TURN_SECONDS = 3.0
-NAMES = ("a", "b", "c")
-FAULTS = ("crash", "cut off", "lapse", "slow", "lost answers")
-CALM_SECONDS = (0.5, 6.0)
-FAULT_SECONDS = (0.5, 6.0)
+DAEMONS = ("a", "b", "c")
+FAULT_KINDS = ("crash", "cut off", "lapse", "slow", "lost answers")
+FAULT_INTERVAL_SECONDS = (0.5, 6.0)
+FAULT_DURATION_SECONDS = (0.5, 6.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """A report as it left its holder."""
+    """A report as sent by its holder."""
 
     sent_seconds: float
     holder: str
     fencing: int
     window: int
     counts: tuple[tuple[str, int], ...]
-    taken: bool
+    accepted: bool
 
 
-class FakeClient:
-    """The operators' API: takes reports, late ones too, and does not answer each."""
+class FakeDutyClient:
+    """Client of a simulated operators' API that rejects or leaves unanswered some reports."""
 
     def __init__(self, run: "UsageRun"):
         self._run = run
@@ -51,21 +51,21 @@
     async def report_usage(self, holder: Holder, window: int, counts: dict) -> DutyAnswer:
         rng = self._run.rng
         now_seconds = asyncio.get_running_loop().time()
-        lost = rng.random() < 0.2
-        busy = not lost and rng.random() < 0.2
+        is_lost = rng.random() < 0.2
+        is_busy = not is_lost and rng.random() < 0.2
         content = tuple(sorted(counts.items()))
         self._run.reports.append(
-            Report(now_seconds, holder.daemon, holder.fencing, window, content, not busy)
+            Report(now_seconds, holder.daemon, holder.fencing, window, content, not is_busy)
         )
-        await asyncio.sleep(1.0 if lost else 0.01)
-        if lost:
+        await asyncio.sleep(1.0 if is_lost else 0.01)
+        if is_lost:
             return DutyAnswer(DutyOutcome.UNKNOWN, "no answer")
-        outcome = DutyOutcome.BUSY if busy else DutyOutcome.TAKEN
+        outcome = DutyOutcome.BUSY if is_busy else DutyOutcome.TAKEN
         return DutyAnswer(outcome, "")
 
 
-class FakeGathering:
-    """Each gathering brings something else: what is reported must not depend on that."""
+class FakeGatherer:
+    """Returns different counts on every call: a window's report must not change all the same."""
 
     def __init__(self, rng: random.Random):
         self._rng = rng
@@ -75,8 +75,8 @@
         return GatheredUsage(Counter({"t": self._rng.randrange(1, 1 << 40)}), answered=1)
 
 
-class NaiveTurns(OrderTurns):
-    """Reports as soon as the role is held, whoever reported before and however long ago."""
+class NoTurns(OrderTurns):
+    """Faulty turns: never wait for the former holder's turn to end."""
 
     def may_order_from_seconds(self, group: str, turn_seconds: float) -> float:
         return float("-inf")
@@ -86,7 +86,7 @@
 
 
 class ForgetfulRecord(FencedRecord):
-    """Forgets, when it is read, what was fixed and is not surely sent."""
+    """Faulty record: drops stored reports that are not confirmed when it is read."""
 
     async def _read(self):
         reports = await super()._read()
@@ -96,37 +96,39 @@
         return self.value
 
 
-class ForgetfulKeeper(UsageReporter):
-    """Gathers again what it is not sure to have sent, in place of repeating it."""
+class RegatheringReporter(UsageReporter):
+    """Faulty reporter: gathers unconfirmed windows again instead of repeating the report."""
 
-    def __init__(self, context, turns, *others):
-        super().__init__(context, turns, *others)
-        self._kept = ForgetfulRecord(context, turns, REPORTS_KEY, UsageReports())
+    def __init__(self, context, turns, *arguments):
+        super().__init__(context, turns, *arguments)
+        self._record = ForgetfulRecord(context, turns, REPORTS_KEY, UsageReports())
 
 
 class UsageRun:
-    """Daemons and the API, broken at random."""
+    """Daemons and the API under random faults."""
 
-    def __init__(self, seed: int, naive_turns: bool = False, keeper: type = UsageReporter):
+    def __init__(self, seed: int, skip_turns: bool = False, reporter_kind: type = UsageReporter):
         self.rng = random.Random(seed)
         self.kv = KvStore()
         self.reports: list[Report] = []
-        self._naive_turns = naive_turns
-        self._keeper_kind = keeper
+        self._skip_turns = skip_turns
+        self._reporter_kind = reporter_kind
         self._contexts: dict[str, object] = {}
-        self._faults = {name: KvFaults() for name in NAMES}
+        self._faults = {name: KvFaults() for name in DAEMONS}
 
     async def run(self, seconds: float) -> None:
-        for name in NAMES:
+        for name in DAEMONS:
             self._start(name)
-        breaking = asyncio.create_task(break_at_random(self.rng, CALM_SECONDS, FAULTS, self._fault))
+        fault_task = asyncio.create_task(
+            break_at_random(self.rng, FAULT_INTERVAL_SECONDS, FAULT_KINDS, self._inject_fault)
+        )
         await asyncio.sleep(seconds)
-        breaking.cancel()
-        await asyncio.gather(breaking, return_exceptions=True)
+        fault_task.cancel()
+        await asyncio.gather(fault_task, return_exceptions=True)
         for faults in self._faults.values():
             faults.down, faults.lost_answer, faults.late_effect = False, 0.0, 0.0
             faults.delay_seconds = 0.002
-        for name in NAMES:
+        for name in DAEMONS:
             if not self._contexts[name].daemon.has_tasks:
                 self._start(name)
         await asyncio.sleep(40.0)
@@ -140,13 +142,15 @@
         self._contexts[name] = context
         roles = RoleManager(context.daemon, lambda: [DUTIES_ROLE])
         turns = TurnManager(context, roles)
-        if self._naive_turns:
-            turns.order_turns = NaiveTurns(name)
+        if self._skip_turns:
+            turns.order_turns = NoTurns(name)
         wall_clock = asyncio.get_running_loop().time
-        gathering = FakeGathering(self.rng)
-        keeper = self._keeper_kind(context, turns, FakeClient(self), gathering, WINDOWS, wall_clock)
+        gatherer = FakeGatherer(self.rng)
+        reporter = self._reporter_kind(
+            context, turns, FakeDutyClient(self), gatherer, WINDOWS, wall_clock
+        )
         context.daemon.spawn_duty(roles.run())
-        context.daemon.spawn_duty(keeper.run())
+        context.daemon.spawn_duty(reporter.run())
         context.daemon.spawn_duty(self._follow(name, turns))
 
     async def _follow(self, name: str, turns: TurnManager) -> None:
@@ -156,9 +160,9 @@
                 for entry in self.kv.read(DUTIES_KEY).entries:
                     note_record(turns, entry)
 
-    async def _fault(self, kind: str) -> None:
-        name = self.rng.choice(NAMES)
-        seconds = self.rng.uniform(*FAULT_SECONDS)
+    async def _inject_fault(self, kind: str) -> None:
+        name = self.rng.choice(DAEMONS)
+        seconds = self.rng.uniform(*FAULT_DURATION_SECONDS)
         faults = self._faults[name]
         if kind == "crash":
             context = self._contexts[name]
@@ -183,14 +187,18 @@
                 self.kv.end_lease(lease_id)
 
     def violations(self) -> list[str]:
-        """Return what an API that checks no fencing number must not see."""
-        found = turn_violations(self.reports, TURN_SECONDS)
+        """Return violations visible to an API that does not check fencing numbers."""
+        problems = turn_violations(self.reports, TURN_SECONDS)
         contents: dict[int, set] = {}
         for report in self.reports:
-            if report.taken:
+            if report.accepted:
                 contents.setdefault(report.window, set()).add(report.counts)
-        found += [f"window {w}: {len(c)} contents" for w, c in contents.items() if len(c) > 1]
-        return found
-
-    def windows_taken(self) -> set[int]:
-        return {report.window for report in self.reports if report.taken}
+        problems += [
+            f"window {window}: {len(counts)} contents"
+            for window, counts in contents.items()
+            if len(counts) > 1
+        ]
+        return problems
+
+    def accepted_windows(self) -> set[int]:
+        return {report.window for report in self.reports if report.accepted}
--- a/rackswitch/gateway/duties/usage_gathering.py
+++ b/rackswitch/gateway/duties/usage_gathering.py
@@ -1,4 +1,4 @@
-"""Asking all daemons what they have counted in a window."""
+"""Gathers the usage counts of a window from all daemons."""
 
 import asyncio
 from collections import Counter
@@ -10,48 +10,47 @@
 from rackswitch.peers.links import PeerUnreachable
 from rackswitch.usage import UsageCounts
 
-__all__ = ["GatheredUsage", "UsageGathering", "counts_message"]
+__all__ = ["GatheredUsage", "UsageGatherer", "counts_to_messages"]
 
-ASKED_AT_ONCE = 16
-"""Daemons asked side by side. Each answer takes the asker some 1 ms of a processor."""
+MAX_PARALLEL_REQUESTS = 16
+"""Maximum number of daemons asked concurrently."""
 
-ANSWER_SECONDS = 0.5
-"""How long a daemon may take; it answers from memory."""
+ANSWER_TIMEOUT_SECONDS = 0.5
+"""Timeout of a request; daemons answer from memory."""
 
-SECOND_ROUND_SECONDS = 0.4
-"""When those that did not answer are asked once more: a lost packet is sent again by then."""
+RETRY_DELAY_SECONDS = 0.4
+"""Delay before the daemons that did not answer are asked once more."""
 
 
 @dataclass(slots=True)
 class GatheredUsage:
-    """What a window's gathering brought.
+    """The gathered counts of a window.
 
     Attributes
     ----------
-    answered, silent : int
-        How many daemons told their counts, and how many did not.
+    answered, unanswered : int
+        Number of daemons that reported their counts, and of those that did not answer.
     partial : int
-        How many of them began to count after the window's start.
+        Number of daemons that began to count after the window's start.
     """
 
     counts: Counter[str] = field(default_factory=Counter)
     answered: int = 0
-    silent: int = 0
+    unanswered: int = 0
     partial: int = 0
 
 
-class UsageGathering:
-    """Gathers counts by asking every daemon.
+class UsageGatherer:
+    """Gathers counts by asking every daemon directly.
 
-    Asked once a window, 64 daemons cost no call to the key-value service, where each daemon's
-    own writing would cost up to 64 calls in each window of 5 s.
+    This needs no calls to the key-value service, whose rate is limited.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     counts : UsageCounts
-        Its own counts.
+        The counts of this daemon.
     """
 
     __slots__ = ("_context", "_counts")
@@ -61,27 +60,27 @@
         self._counts = counts
 
     async def gather(self, window: int) -> GatheredUsage:
-        """Return what all daemons that can be reached have counted in a window."""
+        """Return the counts of a window from all reachable daemons."""
         gathered = GatheredUsage(Counter(self._counts.of(window)), answered=1)
-        # A daemon that stops hands its counts over at its end only, which may be after this.
-        asked = self._context.daemon.membership.others_reachable()
-        silent = await self._ask(asked, window, gathered)
-        if silent:
-            await asyncio.sleep(SECOND_ROUND_SECONDS)
-            silent = await self._ask(silent, window, gathered)
-        gathered.silent = len(silent)
+        # Stopping daemons are asked too: they hand over their counts only at their end.
+        peers = self._context.daemon.membership.others_reachable()
+        unanswered = await self._ask_all(peers, window, gathered)
+        if unanswered:
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
+            unanswered = await self._ask_all(unanswered, window, gathered)
+        gathered.unanswered = len(unanswered)
         return gathered
 
-    async def _ask(self, names: list[str], window: int, gathered: GatheredUsage) -> list[str]:
-        """Ask daemons side by side; return those that did not answer."""
-        places = asyncio.Semaphore(ASKED_AT_ONCE)
+    async def _ask_all(self, names: list[str], window: int, gathered: GatheredUsage) -> list[str]:
+        """Ask daemons concurrently; return those that did not answer."""
+        semaphore = asyncio.Semaphore(MAX_PARALLEL_REQUESTS)
 
         async def ask(name: str) -> str | None:
-            async with places:
+            async with semaphore:
                 return name if not await self._ask_one(name, window, gathered) else None
 
-        silent = await asyncio.gather(*(ask(name) for name in names))
-        return [name for name in silent if name is not None]
+        unanswered = await asyncio.gather(*(ask(name) for name in names))
+        return [name for name in unanswered if name is not None]
 
     async def _ask_one(self, name: str, window: int, gathered: GatheredUsage) -> bool:
         peer = self._context.daemon.membership.address(name)
@@ -91,19 +90,19 @@
             peer,
             lambda stub: stub.CountUsage,
             pb.CountUsageRequest(window=window),
-            ANSWER_SECONDS,
+            ANSWER_TIMEOUT_SECONDS,
             GatewayPeersStub,
         )
         if isinstance(reply, PeerUnreachable):
             return False
-        begins = self._counts.windows.begins_at_unix_seconds(window)
+        window_start_unix_seconds = self._counts.windows.begins_at_unix_seconds(window)
         gathered.answered += 1
-        gathered.partial += reply.counted_from_ms / 1000 > begins
+        gathered.partial += reply.counted_from_ms / 1000 > window_start_unix_seconds
         for count in reply.counts:
             gathered.counts[count.tenant] += count.requests
         return True
 
 
-def counts_message(counts: dict[str, int]) -> list[pb.TenantCount]:
-    """Return counts as daemons tell them to each other."""
-    return [pb.TenantCount(tenant=name, requests=number) for name, number in counts.items()]
+def counts_to_messages(counts: dict[str, int]) -> list[pb.TenantCount]:
+    """Return counts as messages of the peer protocol."""
+    return [pb.TenantCount(tenant=name, requests=requests) for name, requests in counts.items()]
--- a/rackswitch/gateway/duties/usage_reporter.py
+++ b/rackswitch/gateway/duties/usage_reporter.py
@@ -1,4 +1,4 @@
-"""Reports the fleet's usage, as the single holder that may."""
+"""Reports the fleet's usage while this daemon holds the duties role."""
 
 import asyncio
 import time
@@ -7,7 +7,7 @@
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.duties.duty_turn import DUTIES_TURN
 from rackswitch.gateway.duties.fenced_record import FencedRecord
-from rackswitch.gateway.duties.usage_gathering import UsageGathering
+from rackswitch.gateway.duties.usage_gathering import UsageGatherer
 from rackswitch.gateway.turns import TurnManager
 from rackswitch.platform.duty_calls import DutyClient, DutyOutcome, Holder
 from rackswitch.table import Handling, RouteRow
@@ -20,43 +20,41 @@
 
 TICK_SECONDS = 0.2
 
-RETRY_SECONDS = 1.0
-"""Between tries of a report that was not surely taken; each needs an entry in the record, a
-call of its own."""
+RETRY_DELAY_SECONDS = 1.0
+"""Delay before an unconfirmed report is sent again."""
 
 SETTLE_MARGIN_SECONDS = 0.3
-"""How much longer than their time limit the last requests of a window may take to be counted."""
+"""Margin beyond the longest request timeout before a window's counts are gathered."""
 
 MAX_SETTLE_SECONDS = 4.0
-"""A report must be in time even if its holder dies right after the window: 2.5 s until the role is
-free, and 3.5 s until the former holder's turn is over, of the 10 s that there are."""
+"""Upper bound of the wait, so that a successor can still report in time if the holder fails."""
 
 
 class UsageReporter:
-    """Gathers, fixes and sends each window's usage while this daemon holds the role.
+    """Gathers, stores and sends each window's usage while this daemon holds the role.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     turns : TurnManager
-        This daemon's turns in the role.
+        Checks that this daemon may act as the holder.
     client : DutyClient
-        Makes the calls.
-    gathering : UsageGathering
-        Asks the other daemons.
+        Client of the operators' API.
+    gatherer : UsageGatherer
+        Gathers the counts of all daemons.
     windows : UsageWindows
-        How time is cut.
+        The reporting windows.
     wall_clock : callable
-        Returns the time of day.
+        Returns the Unix time in seconds.
     """
 
     __slots__ = (
         "_client",
         "_context",
-        "_gathering",
-        "_kept",
-        "_next_try_seconds",
+        "_gatherer",
+        "_record",
+        "_next_retry_seconds",
         "_turns",
         "_wall_clock",
         "_windows",
@@ -67,7 +65,7 @@
         context: GatewayContext,
         turns: TurnManager,
         client: DutyClient,
-        gathering: UsageGathering,
+        gatherer: UsageGatherer,
         windows: UsageWindows,
         wall_clock: Callable[[], float] = time.time,
     ):
@@ -75,42 +73,42 @@
         self._context = context
         self._turns = turns
         self._client = client
-        self._gathering = gathering
+        self._gatherer = gatherer
         self._windows = windows
-        self._kept = FencedRecord(context, turns, REPORTS_KEY, UsageReports())
-        self._next_try_seconds = float("-inf")
+        self._record = FencedRecord(context, turns, REPORTS_KEY, UsageReports())
+        self._next_retry_seconds = float("-inf")
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Report usage until cancelled."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            await self._tend()
+            await self._report_due_windows()
 
-    async def _tend(self) -> None:
-        reports = await self._kept.present()
+    async def _report_due_windows(self) -> None:
+        reports = await self._record.current_value()
         if reports is None:
             return
         settle_seconds = self._settle_seconds()
         window = reports.next_to_gather(self._windows, settle_seconds, self._wall_clock())
         if window is not None:
             report = await self._gather(window)
-            await self._enter_and_send(reports.with_fixed(report))
-        elif reports.open and self._context.now_seconds() >= self._next_try_seconds:
-            await self._enter_and_send(reports)
+            await self._write_and_send(reports.with_fixed(report))
+        elif reports.open and self._context.now_seconds() >= self._next_retry_seconds:
+            await self._write_and_send(reports)
 
     def _settle_seconds(self) -> float:
-        """Return how long after a window its last requests have begun, or never will."""
-        limits = [
+        """Return how long after its end a window's counts can be taken as complete."""
+        timeouts_seconds = [
             route.timeout_seconds
             for route in self._context.daemon.view.rows(RouteRow)
             if route.handling is not Handling.BATCH and not route.is_public
         ]
-        longest_seconds = max(limits, default=0.0) + SETTLE_MARGIN_SECONDS
-        return min(longest_seconds, MAX_SETTLE_SECONDS)
+        max_timeout_seconds = max(timeouts_seconds, default=0.0) + SETTLE_MARGIN_SECONDS
+        return min(max_timeout_seconds, MAX_SETTLE_SECONDS)
 
     async def _gather(self, window: int) -> UsageReport:
-        gathered = await self._gathering.gather(window)
-        counts = {tenant: number for tenant, number in gathered.counts.items() if number}
+        gathered = await self._gatherer.gather(window)
+        counts = {tenant: requests for tenant, requests in gathered.counts.items() if requests}
         late_seconds = self._wall_clock() - self._windows.ends_at_unix_seconds(window)
         self._context.log.write(
             UsageFixed(
@@ -118,18 +116,18 @@
                 requests=sum(counts.values()),
                 tenants=len(counts),
                 daemons=gathered.answered,
-                daemons_silent=gathered.silent,
+                daemons_silent=gathered.unanswered,
                 daemons_partial=gathered.partial,
                 after_end_seconds=round(late_seconds, 3),
             )
         )
         return UsageReport(window, counts)
 
-    async def _enter_and_send(self, reports: UsageReports) -> None:
-        """Fix reports in the service, and send those that the platform may not have."""
+    async def _write_and_send(self, reports: UsageReports) -> None:
+        """Store reports in the key-value service and send those not confirmed by the platform."""
         now_seconds = self._context.now_seconds()
-        self._next_try_seconds = now_seconds + RETRY_SECONDS
-        entry = await self._kept.enter_with(reports)
+        self._next_retry_seconds = now_seconds + RETRY_DELAY_SECONDS
+        entry = await self._record.write_with_entry(reports)
         if entry is None:
             return
         for report in list(reports.open):
@@ -137,7 +135,7 @@
 
     async def _send(self, report: UsageReport, entered_at_seconds: float) -> None:
         fencing = self._turns.fencing_to_send(DUTIES_TURN, entered_at_seconds)
-        reports = self._kept.value
+        reports = self._record.value
         if fencing is None or reports is None:
             return
         holder = Holder(self._context.daemon_name, fencing)
--- a/rackswitch/gateway/duties/usage_service.py
+++ b/rackswitch/gateway/duties/usage_service.py
@@ -1,7 +1,7 @@
-"""Telling other daemons what was counted here, and taking over what a stopping one counted."""
+"""Exchanges usage counts with other daemons."""
 
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.duties.usage_gathering import counts_message
+from rackswitch.gateway.duties.usage_gathering import counts_to_messages
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.peers.gateway_grpc import GatewayPeersStub
 from rackswitch.peers.links import PeerUnreachable
@@ -10,22 +10,22 @@
 
 __all__ = ["UsageService"]
 
-HAND_OVER_SECONDS = 0.5
-"""How long another daemon may take to take counts over: it answers from memory."""
+HAND_OVER_TIMEOUT_SECONDS = 0.5
+"""Timeout of a call that hands counts over; the peer answers from memory."""
 
-MAX_TRIES = 3
-"""Daemons that are tried: a roll stops several at once."""
+MAX_HAND_OVER_ATTEMPTS = 3
+"""Maximum number of peers tried: several may be stopping at once."""
 
 
 class UsageService:
-    """One daemon's counts, towards the others.
+    """Serves this daemon's usage counts to other daemons and accepts theirs.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     counts : UsageCounts
-        What it has counted.
+        The counts of this daemon.
     """
 
     __slots__ = ("_context", "_counts")
@@ -34,15 +34,15 @@
         self._context = context
         self._counts = counts
 
-    def counted(self, request: pb.CountUsageRequest) -> pb.CountUsageReply:
-        """Return what was counted in a window."""
+    def window_counts(self, request: pb.CountUsageRequest) -> pb.CountUsageReply:
+        """Return the counts of a window."""
         return pb.CountUsageReply(
-            counts=counts_message(self._counts.of(request.window)),
+            counts=counts_to_messages(self._counts.of(request.window)),
             counted_from_ms=round(self._counts.counted_from_unix_seconds * 1000),
         )
 
     def add(self, request: pb.AddUsageRequest) -> pb.AddUsageReply:
-        """Answer from now on for what a daemon counted that stops."""
+        """Add the counts of a stopping daemon to the own counts."""
         if self._context.daemon.stopping:
             return pb.AddUsageReply(added=False)
         for window in request.windows:
@@ -50,35 +50,39 @@
             self._counts.add(window.window, counts)
         return pb.AddUsageReply(added=True)
 
-    async def hand_over(self, since_window: int) -> None:
-        """Give the counts of a window and of later ones to a daemon that goes on.
+    async def hand_over(self, first_window: int) -> None:
+        """Hand over the counts since a window to a daemon that keeps running.
 
-        Without it a roll over 45 % of the daemons takes their counts of up to two windows away.
-        One that does not answer may have them all the same, so no other is asked then.
+        A peer that does not answer may have added them, so no other is asked then: counts must not
+        be added twice.
         """
         windows = [
-            pb.WindowUsage(window=window, counts=counts_message(counts))
-            for window, counts in self._counts.take_since(since_window).items()
+            pb.WindowUsage(window=window, counts=counts_to_messages(counts))
+            for window, counts in self._counts.take_since(first_window).items()
         ]
         if not windows:
             return
         request = pb.AddUsageRequest(daemon=self._context.daemon_name, windows=windows)
-        outcome = "nobody took them"
+        outcome = "no daemon accepted them"
         own = self._context.daemon_name
         others = [name for name in self._context.daemon.membership.live() if name != own]
         self._context.rng.shuffle(others)
-        for name in others[:MAX_TRIES]:
+        for name in others[:MAX_HAND_OVER_ATTEMPTS]:
             peer = self._context.daemon.membership.address(name)
             if peer is None:
                 continue
             reply = await self._context.daemon.links.call(
-                peer, lambda stub: stub.AddUsage, request, HAND_OVER_SECONDS, GatewayPeersStub
+                peer,
+                lambda stub: stub.AddUsage,
+                request,
+                HAND_OVER_TIMEOUT_SECONDS,
+                GatewayPeersStub,
             )
             if isinstance(reply, PeerUnreachable):
                 outcome = f"unsure: {name} did not answer"
                 break
             if reply.added:
-                outcome = f"taken by {name}"
+                outcome = f"accepted by {name}"
                 break
         requests = sum(count.requests for window in windows for count in window.counts)
         self._context.log.write(UsageHandedOver(requests=requests, outcome=outcome))
--- a/rackswitch/gateway/peer_service.py
+++ b/rackswitch/gateway/peer_service.py
@@ -130,7 +130,7 @@
         """Tell what was counted in a window."""
         request = await stream.recv_message()
         if request is not None:
-            await stream.send_message(self._usage.counted(request))
+            await stream.send_message(self._usage.window_counts(request))
 
     async def AddUsage(self, stream: Stream[pb.AddUsageRequest, pb.AddUsageReply]) -> None:
         """Take over what a stopping daemon has counted."""
