--- a/rackswitch/gateway/__main__.py
+++ b/rackswitch/gateway/__main__.py
@@ -1,17 +1,17 @@
-"""``python3 -m rackswitch.gateway``."""
+"""Entry point of ``python3 -m rackswitch.gateway``."""
 
 import gc
 import os
 import signal
 
-# A gateway speaks no TLS, and the HTTP library reads the system's certificates when it is loaded:
-# 147 ms of the 1.15 s of processor time that a start takes (`python3 -X importtime`).
+# The gateway does not use TLS; this keeps the HTTP library from loading the system's certificates
+# on import, which would slow down the start.
 os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 os.environ.setdefault("SSL_CERT_DIR", os.devnull)
-# The settings are read once all is loaded: an order to read them again is met by then, and until
-# somebody takes it the system would end the program for it.
+# Until a handler is installed, SIGHUP would end the process. It may be ignored here, because the
+# settings are read only after all imports.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
-# What is loaded stays, so looking for garbage among it is in vain until all is there.
+# Imported objects are never freed, so garbage collection during the imports is wasted.
 gc.disable()
 
 from rackswitch.gateway.main import main  # noqa: E402
--- a/rackswitch/gateway/context.py
+++ b/rackswitch/gateway/context.py
@@ -1,4 +1,4 @@
-"""What the gateway's parts share."""
+"""State shared by the parts of a gateway."""
 
 import random
 import time
@@ -21,14 +21,14 @@
 __all__ = ["GatewayContext"]
 
 
-def _first_connection_limits() -> ConnectionLimits:
-    """Return the limits that hold before a table is known: those of a row that says nothing."""
+def _initial_connection_limits() -> ConnectionLimits:
+    """Return the limits that apply until a table is known: the defaults of a row."""
     row = LimitsRow(name="callers")
     return ConnectionLimits(row.header_timeout_seconds, row.idle_timeout_seconds)
 
 
-def _first_usage_counts() -> UsageCounts:
-    """Return counts for a deployment that wants no reports: nobody asks for them."""
+def _initial_usage_counts() -> UsageCounts:
+    """Return counts for a deployment without usage reports, where they are not read."""
     return UsageCounts(UsageWindows(5.0, 10.0), time.time())
 
 
@@ -39,32 +39,32 @@
     Attributes
     ----------
     policy : PolicySettings
-        Mechanisms that are switched on.
+        Switches of the gateway's mechanisms.
     daemon : DaemonContext
-        What is common with a daemon of the stand-alone deployment: the table in force, the
+        The part shared with daemons of the stand-alone deployment: the table in force, the
         members, clock, tasks and work in flight.
     routes : RouteIndex
         The routes of the table in force.
     tenants : TenantIndex
-        Who holds which key by the table in force.
+        Tenants by API key, from the table in force.
     usage : UsageCounts
-        Requests of tenants that began here.
+        Counts of tenants' requests that started at this daemon.
     named_versions : dict of str to int
         The newest version of each model that its trainer has named.
     targets : dict of str to Target
         Load, speed and health of the listed targets, by instance.
     load_estimator : LoadEstimator
-        What is believed of the targets' load, by what they tell and by own requests.
+        Estimates of the targets' load, from their load reports and this daemon's own requests.
     process_started_unix_seconds : float
-        When this process began; with the daemon's name it tells processes apart.
+        When this process started; identifies the process together with the daemon's name.
     member_entries : dict of str to MemberEntry
-        What each daemon last told of itself, also after its entry has gone.
+        Last known entry of each daemon, also after the entry was removed.
     loads : EngineLoads
-        Which engines load weights at present.
+        Loads of weights in progress, by engine.
     list_confirmed_at_seconds : float
-        When (monotonic) the service last vouched for the list of targets.
+        When the key-value service last confirmed the list of targets (monotonic).
     connection_limits : ConnectionLimits
-        How long callers' connections may rest and their heads may take, by the table.
+        Idle and header timeouts of callers' connections, from the table.
     """
 
     settings: NodeSettings
@@ -74,24 +74,24 @@
     routes: RouteIndex = field(default_factory=RouteIndex)
     directory: TargetDirectory = field(default_factory=TargetDirectory)
     tenants: TenantIndex = field(default_factory=TenantIndex)
-    usage: UsageCounts = field(default_factory=_first_usage_counts)
+    usage: UsageCounts = field(default_factory=_initial_usage_counts)
     named_versions: dict[str, int] = field(default_factory=dict)
     loads: EngineLoads = field(default_factory=EngineLoads)
     targets: dict[str, Target] = field(default_factory=dict)
     load_estimator: LoadEstimator = field(default_factory=LoadEstimator)
-    connection_limits: ConnectionLimits = field(default_factory=_first_connection_limits)
+    connection_limits: ConnectionLimits = field(default_factory=_initial_connection_limits)
     list_confirmed_at_seconds: float = float("-inf")
     process_started_unix_seconds: float = field(default_factory=time.time)
     member_entries: dict[str, MemberEntry] = field(default_factory=dict)
 
     @property
     def kv(self) -> KvClient:
-        """The key-value service."""
+        """Client of the key-value service."""
         return self.daemon.kv
 
     @property
     def log(self) -> DecisionLog:
-        """Where decisions are logged."""
+        """Log of decisions."""
         return self.daemon.log
 
     @property
@@ -110,37 +110,37 @@
         return self.settings.daemon
 
     def process_start(self, daemon: str) -> float | None:
-        """Return when the latest known process of a daemon began; None if none is known."""
+        """Return when the latest known process of a daemon started; None if none is known."""
         entry = self.member_entries.get(daemon)
         return entry.started_at_unix_seconds if entry is not None else None
 
     def room_of(self, daemon: str) -> float:
-        """Return the share of a processor that a daemon's VM has; 0 if it is not known."""
+        """Return the processor share of a daemon's VM; 0 if unknown."""
         if daemon == self.daemon_name:
             return self.settings.processor_share
         entry = self.member_entries.get(daemon)
         return entry.processor_share if entry is not None else 0.0
 
     def places_by_load(self, service: str) -> bool:
-        """Return whether a service's targets are chosen by what they tell of their load.
+        """Return whether a service's targets are chosen by their reported load.
 
-        So where they tell their pace, as places there differ; and where callers may want more
-        than there is room for, as each place counts then.
+        This is the case if they report their pace, as their speeds may differ, or if calls are
+        queued, as the demand may exceed the capacity.
         """
         return self.settings.queues_calls or self.load_estimator.tells_pace(service)
 
     def list_age_seconds(self) -> float:
-        """Return how old the service's word for the list of targets is; -1 if there is none."""
+        """Return the age of the last confirmation of the list of targets; -1 if there is none."""
         age_seconds = self.now_seconds() - self.list_confirmed_at_seconds
         return round(age_seconds, 3) if age_seconds < float("inf") else -1.0
 
     def forget_unlisted(self) -> None:
-        """Drop what is believed of the load of starts that the list has no more."""
+        """Drop the load estimates of target starts that are no longer listed."""
         self.directory.expire(self.now_seconds())
         self.load_estimator.keep_only({target.start for target in self.directory.entries.values()})
 
     def unix_seconds(self) -> float:
-        """Return the time of day, which daemons compare; they differ a little."""
+        """Return the Unix time, for comparisons between daemons, whose clocks differ slightly."""
         return time.time()
 
     def now_seconds(self) -> float:
--- a/rackswitch/gateway/core.py
+++ b/rackswitch/gateway/core.py
@@ -1,4 +1,4 @@
-"""One gateway, put together from its parts."""
+"""The gateway daemon, set up from its parts."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 from rackswitch.gateway.callers.target_choice import TargetChooser
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.daemon_context import make_daemon_context
-from rackswitch.gateway.daemon_snapshot import DaemonSnapshot, beliefs_of
+from rackswitch.gateway.daemon_snapshot import DaemonSnapshot, take_snapshot
 from rackswitch.gateway.duties.duties import Duties
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.items.item_runner import ItemRunner
@@ -22,7 +22,7 @@
 from rackswitch.gateway.jobs.job_placer import AdoptedJobs, JobPlacer
 from rackswitch.gateway.jobs.job_reader import JobReader
 from rackswitch.gateway.jobs.job_store import JobStore
-from rackswitch.gateway.listeners import StatusPages, listeners
+from rackswitch.gateway.listeners import StatusPages, make_servers
 from rackswitch.gateway.peer_service import GatewayPeersService
 from rackswitch.gateway.policy import PolicySettings
 from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
@@ -55,28 +55,28 @@
 
 __all__ = ["Gateway"]
 
-LAST_LINES_SECONDS = 0.01
-"""Between tries to write the last lines while their reader is slow."""
+LOG_FLUSH_INTERVAL_SECONDS = 0.01
+"""Interval between attempts to write the last log lines if their reader is slow."""
 
-COUNTS_LOG_SECONDS = 10.0
-"""Between log lines that tell how many calls the key-value service got so far."""
+STORE_CALLS_LOG_INTERVAL_SECONDS = 10.0
+"""Interval between log lines with the number of calls to the key-value service."""
 
-FORGET_SECONDS = 5.0
-"""Between looks for starts of targets that have gone."""
+UNLISTED_CHECK_INTERVAL_SECONDS = 5.0
+"""Interval between checks for target starts that are no longer listed."""
 
-BALANCER_NOTICE_SECONDS = 2.5
-"""How long a stopping daemon still takes connections: the balancer asks each second and
-leaves a daemon out that has said no twice."""
+BALANCER_DRAIN_SECONDS = 2.5
+"""How long a stopping daemon still accepts connections: the balancer checks readiness every second
+and removes a daemon after two failed checks."""
 
 FLEET_START_SECONDS = 1.0
-"""After a loss of all processes, how long another one may need more than this one to appear
-among the members: all start within some 0.3 s, and a session takes another 0.1 s."""
+"""After a restart of the whole fleet, how much later than this daemon another one may appear among
+the members."""
 
-NOTICED_SUSPENSION_SECONDS = 0.5
-"""Shorter ones are as good as a pause of the processor; connections rest for 4 s and more."""
+MIN_SUSPENSION_SECONDS = 0.5
+"""Shorter suspensions are ignored: open connections outlast them."""
 
 STOP_MARGIN_SECONDS = 1.0
-"""What is left of the grace when the last requests are given up."""
+"""Part of the grace period that is left for shutdown when the last requests are given up."""
 
 
 class Gateway:
@@ -85,11 +85,11 @@
     Parameters
     ----------
     settings : NodeSettings
-        Its settings.
+        Settings of the daemon.
     log_descriptor : int or None
-        Where its decisions are logged: standard output by default, None for nowhere.
+        File descriptor of the decision log; standard output by default, None for no log.
     policy : PolicySettings, optional
-        Mechanisms that are switched on; all by default.
+        Switches of the gateway's mechanisms; the defaults if left out.
     """
 
     def __init__(
@@ -101,11 +101,11 @@
         self.settings = settings
         policy = policy or PolicySettings()
         rng = random.Random(random.SystemRandom().randrange(1 << 60))
-        made = make_daemon_context(settings, rng, log_descriptor, policy)
-        self.direct = made.direct
-        self.log = made.context.log
-        self.context = GatewayContext(settings, made.context, StoreReachability(self.log), policy)
-        self._sessions = TargetSessions(self._word_heard)
+        parts = make_daemon_context(settings, rng, log_descriptor, policy)
+        self.direct = parts.direct
+        self.log = parts.context.log
+        self.context = GatewayContext(settings, parts.context, StoreReachability(self.log), policy)
+        self._sessions = TargetSessions(self._record_load_report)
         self._started_seconds = float("-inf")
         self._suspended_seconds = suspended_seconds()
         self.quarantine = QuarantineManager(self.context, lambda: self.copies.is_complete)
@@ -113,24 +113,30 @@
         self.session = Session(self.context, self._session_lost, self._owns_jobs)
         self._role_entries = RoleEntries()
         self.roles = RoleManager(
-            made.context,
+            parts.context,
             self._wanted_roles,
             self._preferred_holder,
             ROLES_PREFIX,
             self._vacant_seconds,
         )
-        chooser = TargetChooser(self.context)
+        target_chooser = TargetChooser(self.context)
         self.front = RequestDispatcher(
-            self.context, chooser, TargetClient(self._sessions), self.quarantine, chooser.places
+            self.context,
+            target_chooser,
+            TargetClient(self._sessions),
+            self.quarantine,
+            target_chooser.places,
         )
         job_store = JobStore(self.context)
         paces = EnginePaces()
-        runner = ItemRunner(
+        item_runner = ItemRunner(
             self.context, ItemClient(self._sessions), self.front, paces, self.quarantine
         )
         orders = OrderClient(self._sessions)
-        looks = LoadPoller(self.context, orders, runner.occupancy, runner.hear_memory)
-        self.jobs = JobManager(self.context, self.session, job_store, runner, looks)
+        load_poller = LoadPoller(
+            self.context, orders, item_runner.occupancy, item_runner.hear_memory
+        )
+        self.jobs = JobManager(self.context, self.session, job_store, item_runner, load_poller)
         self.versions = VersionManager(
             self.context,
             self.roles,
@@ -138,10 +144,10 @@
             self.jobs.known.oldest_usable_version,
             paces,
         )
-        self._cleaner = JobCleaner(self.context, self.jobs.known, job_store)
-        reader = JobReader(self.context, self.jobs, job_store, self.session)
+        self._job_cleaner = JobCleaner(self.context, self.jobs.known, job_store)
+        job_reader = JobReader(self.context, self.jobs, job_store, self.session)
         self._duties = Duties(self.context, self.roles, self.jobs.known)
-        control = ControlEntries(
+        control_entries = ControlEntries(
             self.context,
             self.jobs,
             self.versions,
@@ -153,83 +159,83 @@
         handlers = {
             OPERATOR_PREFIX: self.state.operator_handlers(),
             SERVERS_PREFIX: self.state.target_handlers(),
-            CONTROL_PREFIX: control.handlers(),
+            CONTROL_PREFIX: control_entries.handlers(),
         }
         self.copies = ReplicaManager(self.context, handlers, paces, CONTROL_PREFIX)
         self.presence = Presence(self.context, settings.peer_ports[0], self.copies.looked)
-        passed_on = ForwardedCalls(self.context, made.relay)
+        forwarded_calls = ForwardedCalls(self.context, parts.relay)
         self._peers = GatewayPeersService(
             self.context,
             self.copies.server,
-            reader,
+            job_reader,
             self.jobs,
-            passed_on,
+            forwarded_calls,
             AdoptedJobs(self.context, self.jobs),
             self._duties.usage,
             self.quarantine,
         )
-        edge = CallerHandler(
+        caller_handler = CallerHandler(
             self.context,
             CallHandler(self.context, self.front),
-            JobHandler(self.context, self.jobs, reader, JobPlacer(self.context, self.jobs)),
+            JobHandler(self.context, self.jobs, job_reader, JobPlacer(self.context, self.jobs)),
         )
-        pages = StatusPages(self.context, self.copies, self.beliefs)
-        self._servers = listeners(self.context, edge, pages)
+        pages = StatusPages(self.context, self.copies, self.snapshot)
+        self._servers = make_servers(self.context, caller_handler, pages)
 
     async def start(self) -> None:
-        """Listen and begin all duties."""
+        """Start listening and start all background tasks."""
         self._started_seconds = self.context.now_seconds()
         for server in self._servers:
             await server.start()
         await self._peers.start(self.settings.host, self.settings.peer_ports[0])
-        for duty in (
+        for task in (
             self.copies.run(),
             self.presence.run(),
             self.session.run(),
             self.roles.run(),
             self.versions.run(),
             self.jobs.run(),
-            self._cleaner.run(),
+            self._job_cleaner.run(),
             self.quarantine.run(),
             *self._duties.background_tasks(),
             self.log.run(),
-            self._count_calls(),
-            self._forget_unlisted(),
+            self._log_store_calls(),
+            self._forget_unlisted_targets(),
         ):
-            self.context.daemon.spawn_duty(duty)
+            self.context.daemon.spawn_duty(task)
         self.log.write(Started(zone=self.settings.zone, machine_class=self.settings.machine_class))
 
     async def stop(self) -> None:
-        """Stop as planned: hand over, serve what still comes, finish, then end."""
+        """Stop as planned: hand over roles and jobs, finish the requests in flight, then end."""
         deadline_seconds = (
             self.context.now_seconds() + self.settings.stop_grace_seconds - STOP_MARGIN_SECONDS
         )
         self.log.write(Stopping(requests_in_flight=self.context.daemon.in_flight.count))
         self.context.daemon.stopping = True
         self.context.daemon.membership.leave()
-        notice = asyncio.create_task(asyncio.sleep(BALANCER_NOTICE_SECONDS))
+        balancer_drain = asyncio.create_task(asyncio.sleep(BALANCER_DRAIN_SECONDS))
         try:
             async with asyncio.timeout_at(deadline_seconds):
                 await self.presence.tell_leaving()
                 await asyncio.gather(self.roles.tend(), self.jobs.hand_over())
         except TimeoutError:
-            # What was not handed over is taken over when this daemon's leases are over.
+            # Other daemons take over the rest when this daemon's leases expire.
             self.log.write(HandOverGivenUp(jobs=list(self.jobs.owned)))
-        await notice
-        left_seconds = deadline_seconds - self.context.now_seconds()
-        whole = await self.context.daemon.in_flight.wait_idle(max(0.0, left_seconds))
+        await balancer_drain
+        remaining_seconds = deadline_seconds - self.context.now_seconds()
+        completed = await self.context.daemon.in_flight.wait_idle(max(0.0, remaining_seconds))
         await self._duties.hand_over()
         await self.session.end()
-        whole = await self._finish_serving(deadline_seconds) and whole
-        self.log.write(Stopped(whole=whole))
+        completed = await self._finish_serving(deadline_seconds) and completed
+        self.log.write(Stopped(whole=completed))
         while self.log.pump() and self.context.now_seconds() < deadline_seconds:
-            await asyncio.sleep(LAST_LINES_SECONDS)
+            await asyncio.sleep(LOG_FLUSH_INTERVAL_SECONDS)
 
     async def _finish_serving(self, deadline_seconds: float) -> bool:
-        """Take nothing more, and return whether all that had come was answered in time.
+        """Stop the servers; return whether all received requests were answered in time.
 
-        Callers use their open connections to the end: without this, what they sent during the
-        last moments would be cut by the process's end.
+        Callers may still send requests on open connections; the end of the process must not cut
+        these off.
         """
         try:
             async with asyncio.timeout_at(deadline_seconds):
@@ -239,14 +245,14 @@
         return True
 
     async def crash(self) -> None:
-        """End at once, as a killed process would (for tests)."""
+        """End at once like a killed process (for tests)."""
         await self.context.daemon.cancel_all()
         for server in self._servers:
             await server.crash()
         await self.close()
 
     async def close(self) -> None:
-        """End all work and close all connections."""
+        """Cancel all tasks and close all connections."""
         await self.context.daemon.cancel_all()
         await self._peers.stop()
         self.context.daemon.links.close()
@@ -254,34 +260,34 @@
         await self._sessions.close()
         self.context.daemon.telemetry.close()
 
-    def beliefs(self) -> DaemonSnapshot:
-        """Return what this daemon believes now."""
-        return beliefs_of(self.context, self.copies, self.presence, self.roles, self.jobs)
+    def snapshot(self) -> DaemonSnapshot:
+        """Return a snapshot of this daemon's state."""
+        return take_snapshot(self.context, self.copies, self.presence, self.roles, self.jobs)
 
     @property
     def url(self) -> str:
-        """Where callers reach this daemon."""
+        """URL for callers of this daemon."""
         return self._servers[0].url
 
     def settings_changed(self, settings: NodeSettings) -> None:
-        """Take in settings that changed while this daemon runs."""
+        """Apply settings that changed while this daemon runs."""
         changes = compare_settings(self.settings, settings)
         self.settings = settings
         self.context.settings = settings
         self.direct.url = settings.kv_url
         self.log.write(Reloaded(applied=changes.applied, needs_restart=changes.needs_restart))
 
-    def look_at_clocks(self) -> None:
-        """Take in that the machine was suspended, if it was since the last look."""
+    def check_suspension(self) -> None:
+        """Drop idle connections if the VM was suspended since the last call."""
         before_seconds = self._suspended_seconds
         self._suspended_seconds = suspended_seconds()
-        for_seconds = self._suspended_seconds - before_seconds
-        if for_seconds >= NOTICED_SUSPENSION_SECONDS:
-            self.log.write(MachineSuspended(for_seconds=round(for_seconds, 3)))
+        duration_seconds = self._suspended_seconds - before_seconds
+        if duration_seconds >= MIN_SUSPENSION_SECONDS:
+            self.log.write(MachineSuspended(for_seconds=round(duration_seconds, 3)))
             self._sessions.drop_unused()
 
-    def _word_heard(self, target: ListedTarget, word: ReportedLoad) -> None:
-        self.context.load_estimator.heard(target.start, target.service, word)
+    def _record_load_report(self, target: ListedTarget, reported_load: ReportedLoad) -> None:
+        self.context.load_estimator.heard(target.start, target.service, reported_load)
 
     def _session_lost(self) -> None:
         self.jobs.session_lost()
@@ -293,13 +299,13 @@
         return self._role_entries.vacant_seconds(role, self.context.now_seconds())
 
     def _wanted_roles(self) -> list[str]:
-        # Who ordered last is known once the copies are.
+        # The last holders are known only once the replicas are complete.
         if not self.copies.is_complete:
             return []
         return [*self.versions.wanted_roles(), *self._duties.wanted_roles()]
 
     def _preferred_holder(self, role: str) -> str | None:
-        """Return who ordered last if that daemon is there, or is probably just starting too."""
+        """Return the last holder if it is a live member or may still be starting with the fleet."""
         holder = self._duties.last_holder(role) or self.versions.last_holder(role)
         now_seconds = self.context.now_seconds()
         starting = now_seconds < self._started_seconds + FLEET_START_SECONDS
@@ -307,13 +313,13 @@
             return holder
         return None
 
-    async def _count_calls(self) -> None:
+    async def _log_store_calls(self) -> None:
         calls = getattr(self.context.kv, "calls_by_path", {})
         while True:
             self.log.write(StoreCalls(calls=dict(calls)))
-            await asyncio.sleep(COUNTS_LOG_SECONDS)
+            await asyncio.sleep(STORE_CALLS_LOG_INTERVAL_SECONDS)
 
-    async def _forget_unlisted(self) -> None:
+    async def _forget_unlisted_targets(self) -> None:
         while True:
             self.context.forget_unlisted()
-            await asyncio.sleep(FORGET_SECONDS)
+            await asyncio.sleep(UNLISTED_CHECK_INTERVAL_SECONDS)
--- a/rackswitch/gateway/daemon_context.py
+++ b/rackswitch/gateway/daemon_context.py
@@ -1,4 +1,4 @@
-"""What a daemon on the operator platform has in common with a stand-alone one."""
+"""Builds the part of the context that is shared with stand-alone daemons."""
 
 import random
 import time
@@ -20,20 +20,20 @@
 __all__ = ["DaemonParts", "make_daemon_context"]
 
 ROLE_LEASE_SECONDS = 2.0
-"""Life of a role's lease; a successor waits for it and for the turn that the platform
-wants between two holders' orders."""
+"""TTL of a role's lease. A new holder waits for its expiry and then for the turn that the platform
+requires between the orders of two holders."""
 
 
 @dataclass(frozen=True, slots=True)
 class DaemonParts:
-    """A daemon's context, and its ways to the key-value service.
+    """A daemon's context and its transports to the key-value service.
 
     Attributes
     ----------
     direct : HttpTransport
-        The own path.
+        Direct transport to the service.
     relay : RelayTransport
-        What chooses between it and peers; the context's client uses it.
+        Transport used by the context's client; chooses between the direct one and peers.
     """
 
     context: DaemonContext
@@ -49,11 +49,11 @@
 ) -> DaemonParts:
     """Return the context of a daemon that has not started.
 
-    Services of the stand-alone deployment that the platform lacks have no address in it.
+    Addresses of services that exist only in the stand-alone deployment are left empty.
     """
     sessions = HttpSessions()
     telemetry = Telemetry(settings.daemon)
-    own = MemberUpdate(
+    own_member = MemberUpdate(
         settings.daemon,
         settings.host,
         settings.peer_ports[0],
@@ -61,7 +61,7 @@
         int(time.time() * 1000),
         MemberState.ALIVE,
     )
-    membership = Membership(own, 1.0, rng)
+    membership = Membership(own_member, 1.0, rng)
     log = DecisionLog(settings.daemon, log_descriptor, telemetry.events.count)
     links = PeerLinks("")
     direct = HttpTransport(settings.kv_url, sessions)
--- a/rackswitch/gateway/daemon_snapshot.py
+++ b/rackswitch/gateway/daemon_snapshot.py
@@ -1,4 +1,4 @@
-"""What a daemon believes at this moment, and how old that is."""
+"""Snapshot of a daemon's state, served at `/status`."""
 
 import msgspec
 
@@ -10,11 +10,11 @@
 from rackswitch.jobs import ItemPhase
 from rackswitch.table import ServiceRow
 
-__all__ = ["DaemonSnapshot", "JobSnapshot", "beliefs_of"]
+__all__ = ["DaemonSnapshot", "JobSnapshot", "take_snapshot"]
 
 
 class JobSnapshot(msgspec.Struct, frozen=True):
-    """A job that is worked on here."""
+    """Progress of a job owned by this daemon."""
 
     listed: int
     total: int
@@ -26,21 +26,21 @@
 
 
 class DaemonSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """The state of one daemon, for a person.
+    """The state of one daemon, for operators.
 
     Attributes
     ----------
     copy_ages_seconds : dict of str to float
-        By prefix, how long ago the key-value service vouched for the copy kept here; -1 if
-        it never did.
+        By prefix, time since the key-value service last confirmed this daemon's replica; -1 if it
+        never did.
     away_seconds : float or None
-        How long the service has not answered this daemon; None while it does.
+        How long the service has been unreachable; None while it answers.
     follows : str
-        The daemon whose copies are taken over; empty if the service is watched itself.
+        The daemon whose replicas are followed; empty if the service is watched directly.
     targets : dict of str to int
-        Usable targets by service.
+        Number of usable targets by service.
     roles : dict of str to int
-        Roles held here, with their fencing numbers.
+        Fencing numbers of the roles held by this daemon.
     """
 
     daemon: str
@@ -61,27 +61,29 @@
     log_lines_folded: int
 
 
-def beliefs_of(
+def take_snapshot(
     context: GatewayContext,
-    copies: ReplicaManager,
+    replicas: ReplicaManager,
     presence: Presence,
     roles: RoleManager,
     jobs: JobManager,
 ) -> DaemonSnapshot:
-    """Return what a daemon believes now."""
+    """Return a snapshot of a daemon's state."""
     now_seconds = context.now_seconds()
-    away_since_seconds = context.contact.away_since_seconds
+    unreachable_since_seconds = context.contact.away_since_seconds
     services = context.daemon.view.rows(ServiceRow)
     return DaemonSnapshot(
         daemon=context.daemon_name,
         table_revision=context.table_revision,
         copy_ages_seconds={
-            prefix: _age(now_seconds - copy.confirmed_at_seconds)
-            for prefix, copy in copies.copies.items()
+            prefix: _rounded_age_seconds(now_seconds - replica.confirmed_at_seconds)
+            for prefix, replica in replicas.copies.items()
         },
-        away_seconds=_age(now_seconds - away_since_seconds) if away_since_seconds else None,
+        away_seconds=_rounded_age_seconds(now_seconds - unreachable_since_seconds)
+        if unreachable_since_seconds
+        else None,
         session_sure=presence.is_sure(),
-        follows=copies.followed,
+        follows=replicas.followed,
         members=context.daemon.membership.live(),
         targets={
             row.name: len(context.directory.usable(row.name, now_seconds)) for row in services
@@ -89,7 +91,7 @@
         named_versions=dict(context.named_versions),
         roles={role: roles.fencing(role) for role in roles.roles if roles.may_act(role)},
         jobs_known=len(jobs.known.jobs),
-        jobs_owned=_jobs(jobs, now_seconds),
+        jobs_owned=_job_snapshots(jobs, now_seconds),
         requests_in_flight=context.daemon.in_flight.count,
         stopping=context.daemon.stopping,
         log_lines_dropped=context.log.dropped_total,
@@ -97,15 +99,15 @@
     )
 
 
-def _age(seconds: float) -> float:
+def _rounded_age_seconds(seconds: float) -> float:
     return round(seconds, 3) if seconds < float("inf") else -1.0
 
 
-def _jobs(jobs: JobManager, now_seconds: float) -> dict[str, JobSnapshot]:
-    beliefs: dict[str, JobSnapshot] = {}
+def _job_snapshots(jobs: JobManager, now_seconds: float) -> dict[str, JobSnapshot]:
+    snapshots: dict[str, JobSnapshot] = {}
     for job_id, owned in jobs.owned.items():
         phases = [progress.phase for progress in owned.ledger.items.values()]
-        beliefs[job_id] = JobSnapshot(
+        snapshots[job_id] = JobSnapshot(
             listed=len(owned.ledger.listed),
             total=owned.ledger.total,
             waiting=phases.count(ItemPhase.WAITING),
@@ -114,4 +116,4 @@
             oldest_version=owned.ledger.job.oldest_version,
             seconds_left=round(owned.due_seconds - now_seconds, 3),
         )
-    return beliefs
+    return snapshots
--- a/rackswitch/gateway/duties/duties.py
+++ b/rackswitch/gateway/duties/duties.py
@@ -28,7 +28,7 @@
         The daemon; its usage counts are replaced by ones with the windows of the settings.
     roles : RoleManager
         Manages this daemon's leases on roles.
-    known : KnownJobs
+    known_jobs : KnownJobs
         All jobs of the fleet.
 
     Attributes
@@ -39,11 +39,11 @@
         Serves the usage counts of this daemon to others.
     """
 
-    __slots__ = ("_context", "_known", "turns", "usage")
+    __slots__ = ("_context", "_known_jobs", "turns", "usage")
 
-    def __init__(self, context: GatewayContext, roles: RoleManager, known: KnownJobs):
+    def __init__(self, context: GatewayContext, roles: RoleManager, known_jobs: KnownJobs):
         self._context = context
-        self._known = known
+        self._known_jobs = known_jobs
         self.turns = TurnManager(context, roles)
         settings = context.settings.duties
         if settings is not None:
@@ -73,7 +73,7 @@
             tasks.append(reporter.run())
         if settings.orders_engines:
             scaling = ScalingManager(
-                self._context, self.turns, client, self._known, settings.calls_per_second
+                self._context, self.turns, client, self._known_jobs, settings.calls_per_second
             )
             tasks.append(scaling.run())
         return tasks
--- a/rackswitch/gateway/duties/duty_turn.py
+++ b/rackswitch/gateway/duties/duty_turn.py
@@ -22,4 +22,4 @@
 def note_record(turns: TurnManager, entry: KvEntry) -> None:
     """Update the turns by the stored record."""
     record = msgspec.json.decode(entry.value, type=DutyRecord)
-    turns.entered(DUTIES_TURN.group, record.holder, entry.mod_revision)
+    turns.record_entry(DUTIES_TURN.group, record.holder, entry.mod_revision)
--- a/rackswitch/gateway/duties/fenced_record.py
+++ b/rackswitch/gateway/duties/fenced_record.py
@@ -50,7 +50,7 @@
 
     async def current_value(self) -> T | None:
         """Return the value, reading it if necessary; None if unknown or this daemon may not act."""
-        may_act = await self._turns.is_open(DUTIES_TURN, self._record_turn)
+        may_act = await self._turns.may_act_now(DUTIES_TURN, self._record_turn)
         if not may_act:
             # Another holder may change it.
             self.value = None
@@ -62,7 +62,7 @@
         record = msgspec.json.encode(DutyRecord(self._context.daemon_name))
         write = Operation(self._key, msgspec.json.encode(value))
         unchanged = Compare(self._key, "mod", self._revision)
-        entry = await self._turns.enter(DUTIES_TURN, record, (write,), (unchanged,))
+        entry = await self._turns.write_entry(DUTIES_TURN, record, (write,), (unchanged,))
         if entry is None:
             # The write may have taken effect, so the value must be read again.
             self.value = None
--- a/rackswitch/gateway/duties/scaling_manager.py
+++ b/rackswitch/gateway/duties/scaling_manager.py
@@ -277,9 +277,11 @@
             observed.planner.taken(added, decision.capacity, now_seconds)
         else:
             observed.planner.refused(order.place, now_seconds)
-            before = EngineOrder(order.place, order.count - added)
+            previous_order = EngineOrder(order.place, order.count - added)
             if self._record.value is not None:
-                self._record.value = self._record.value.with_orders(decision.service, [before])
+                self._record.value = self._record.value.with_orders(
+                    decision.service, [previous_order]
+                )
         if added < 0:
             # These engines were removed on purpose, so they must not be ordered again.
             observed.max_present[order.place] = order.count
--- a/rackswitch/gateway/duties/tests/test_usage_gathering.py
+++ b/rackswitch/gateway/duties/tests/test_usage_gathering.py
@@ -18,16 +18,16 @@
 class Peers:
     """Links to daemons that report one request each; some answer only the second call or never."""
 
-    def __init__(self, silent_once=(), silent=()):
-        self.silent_once = set(silent_once)
-        self.silent = set(silent)
+    def __init__(self, unreachable_once=(), unreachable=()):
+        self.unreachable_once = set(unreachable_once)
+        self.unreachable = set(unreachable)
 
     async def call(self, peer, method, message, timeout_seconds, stub_kind):
         await asyncio.sleep(0.001)
-        if peer.daemon in self.silent:
+        if peer.daemon in self.unreachable:
             return PeerUnreachable("no answer")
-        if peer.daemon in self.silent_once:
-            self.silent_once.discard(peer.daemon)
+        if peer.daemon in self.unreachable_once:
+            self.unreachable_once.discard(peer.daemon)
             return PeerUnreachable("no answer")
         started_ms = 1_002_000 if peer.daemon == "young" else 0
         return pb.CountUsageReply(counts=counts_to_messages({"t": 1}), counted_from_ms=started_ms)
@@ -56,8 +56,8 @@
     assert (gathered.answered, gathered.unanswered) == (3, 0)
 
 
-def test_asks_a_silent_daemon_once_more_and_counts_it_as_unanswered():
-    gathered = gather(Peers(silent_once=["a"], silent=["b"]), a=False, b=False)
+def test_asks_an_unreachable_daemon_once_more_and_counts_it_as_unanswered():
+    gathered = gather(Peers(unreachable_once=["a"], unreachable=["b"]), a=False, b=False)
     assert gathered.counts["t"] == 2
     assert (gathered.answered, gathered.unanswered) == (2, 1)
 
--- a/rackswitch/gateway/duties/usage_reporter.py
+++ b/rackswitch/gateway/duties/usage_reporter.py
@@ -109,7 +109,7 @@
     async def _gather(self, window: int) -> UsageReport:
         gathered = await self._gatherer.gather(window)
         counts = {tenant: requests for tenant, requests in gathered.counts.items() if requests}
-        late_seconds = self._wall_clock() - self._windows.ends_at_unix_seconds(window)
+        seconds_after_end = self._wall_clock() - self._windows.ends_at_unix_seconds(window)
         self._context.log.write(
             UsageFixed(
                 window=window,
@@ -118,7 +118,7 @@
                 daemons=gathered.answered,
                 daemons_silent=gathered.unanswered,
                 daemons_partial=gathered.partial,
-                after_end_seconds=round(late_seconds, 3),
+                after_end_seconds=round(seconds_after_end, 3),
             )
         )
         return UsageReport(window, counts)
@@ -142,14 +142,14 @@
         answer = await self._client.report_usage(holder, report.window, report.counts)
         if answer.outcome in (DutyOutcome.TAKEN, DutyOutcome.REFUSED):
             reports.taken(report.window)
-        late_seconds = self._wall_clock() - self._windows.ends_at_unix_seconds(report.window)
+        seconds_after_end = self._wall_clock() - self._windows.ends_at_unix_seconds(report.window)
         self._context.log.write(
             UsageSent(
                 window=report.window,
                 requests=sum(report.counts.values()),
                 fencing=fencing,
-                after_end_seconds=round(late_seconds, 3),
-                in_time=late_seconds <= self._windows.allowed_late_seconds,
+                after_end_seconds=round(seconds_after_end, 3),
+                in_time=seconds_after_end <= self._windows.allowed_late_seconds,
                 outcome=f"{answer.outcome.value}: {answer.detail}",
             )
         )
--- a/rackswitch/gateway/duties/usage_service.py
+++ b/rackswitch/gateway/duties/usage_service.py
@@ -64,10 +64,10 @@
             return
         request = pb.AddUsageRequest(daemon=self._context.daemon_name, windows=windows)
         outcome = "no daemon accepted them"
-        own = self._context.daemon_name
-        others = [name for name in self._context.daemon.membership.live() if name != own]
-        self._context.rng.shuffle(others)
-        for name in others[:MAX_HAND_OVER_ATTEMPTS]:
+        own_name = self._context.daemon_name
+        peer_names = [name for name in self._context.daemon.membership.live() if name != own_name]
+        self._context.rng.shuffle(peer_names)
+        for name in peer_names[:MAX_HAND_OVER_ATTEMPTS]:
             peer = self._context.daemon.membership.address(name)
             if peer is None:
                 continue
--- a/rackswitch/gateway/listeners.py
+++ b/rackswitch/gateway/listeners.py
@@ -1,4 +1,4 @@
-"""Where a daemon listens: for callers, for the balancer, and for readers of its figures."""
+"""HTTP servers of a daemon: for callers, readiness checks and metrics."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -13,68 +13,80 @@
 from rackswitch.web import WebServer
 from rackswitch.web.exchange import Exchange
 
-__all__ = ["StatusPages", "listeners"]
+__all__ = ["StatusPages", "make_servers"]
 
 
 STATUS_PATH = "/status"
-JSON = (("content-type", "application/json"),)
+JSON_HEADERS = (("content-type", "application/json"),)
 
 
 class StatusPages:
-    """What a daemon tells about itself.
+    """Readiness, metrics and status pages of a daemon.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    copies : ReplicaManager
-        Whether the key-value service has been read.
-    beliefs : callable
-        Returns what the daemon believes now.
+    replicas : ReplicaManager
+        Shows whether the key-value service has been read completely.
+    take_snapshot : callable
+        Returns a snapshot of the daemon's state.
     """
 
-    __slots__ = ("_beliefs", "_context", "_copies")
+    __slots__ = ("_take_snapshot", "_context", "_replicas")
 
     def __init__(
-        self, context: GatewayContext, copies: ReplicaManager, beliefs: Callable[[], DaemonSnapshot]
+        self,
+        context: GatewayContext,
+        replicas: ReplicaManager,
+        take_snapshot: Callable[[], DaemonSnapshot],
     ):
         self._context = context
-        self._copies = copies
-        self._beliefs = beliefs
+        self._replicas = replicas
+        self._take_snapshot = take_snapshot
 
     async def ready(self, exchange: Exchange) -> None:
-        """Answer the balancer whether this daemon serves callers."""
-        known = self._copies.is_complete and self._context.table_revision > 0
-        ready = known and not self._context.daemon.stopping
+        """Respond with 200 if this daemon can serve callers, else 503."""
+        is_loaded = self._replicas.is_complete and self._context.table_revision > 0
+        ready = is_loaded and not self._context.daemon.stopping
         await exchange.respond(200 if ready else 503)
 
     async def metrics(self, exchange: Exchange) -> None:
-        """Answer with the daemon's own figures, or with what it believes."""
+        """Respond with the daemon's metrics, or with its snapshot at the status path."""
         if exchange.path == STATUS_PATH:
-            await exchange.respond(200, JSON, msgspec.json.encode(self._beliefs()))
+            await exchange.respond(200, JSON_HEADERS, msgspec.json.encode(self._take_snapshot()))
             return
         if exchange.path != METRICS_PATH:
             await exchange.respond(404)
             return
-        figures = self._context.daemon.telemetry.exposition()
-        await exchange.respond(200, (("content-type", "text/plain; version=0.0.4"),), figures)
+        metrics_text = self._context.daemon.telemetry.exposition()
+        await exchange.respond(200, (("content-type", "text/plain; version=0.0.4"),), metrics_text)
 
 
-def listeners(context: GatewayContext, edge: CallerHandler, pages: StatusPages) -> list[WebServer]:
-    """Return the servers of a daemon, not started yet; the callers' is the first."""
+def make_servers(
+    context: GatewayContext, caller_handler: CallerHandler, pages: StatusPages
+) -> list[WebServer]:
+    """Return the servers of a daemon, not started yet; the first one serves callers."""
     settings = context.settings
     servers = []
     if settings.callers is not None:
         address = settings.callers
-        server = WebServer(edge, address.host, address.port, limits=context.connection_limits)
+        server = WebServer(
+            caller_handler, address.host, address.port, limits=context.connection_limits
+        )
         servers.append(server)
-    for at, handler in ((settings.readiness, pages.ready), (settings.metrics, pages.metrics)):
-        if at is not None:
-            servers.append(WebServer(_one_handler(handler), at.host, at.port))
+    for listen_address, handler in (
+        (settings.readiness, pages.ready),
+        (settings.metrics, pages.metrics),
+    ):
+        if listen_address is not None:
+            servers.append(
+                WebServer(_make_application(handler), listen_address.host, listen_address.port)
+            )
     return servers
 
 
-def _one_handler(handler: Callable[[Exchange], Awaitable[None]]) -> Any:
+def _make_application(handler: Callable[[Exchange], Awaitable[None]]) -> Any:
     async def application(scope: dict[str, Any], receive: Any, send: Any) -> None:
         if scope["type"] == "http":
             await handler(Exchange(scope, receive, send))
--- a/rackswitch/gateway/main.py
+++ b/rackswitch/gateway/main.py
@@ -1,4 +1,4 @@
-"""The program of a VM on the operator platform."""
+"""Entry point of the gateway daemon on a VM of the operator platform."""
 
 import asyncio
 import signal
@@ -17,14 +17,14 @@
 __all__ = ["main"]
 
 EXIT_BAD_SETTINGS = 2
-EXIT_BROKEN = 3
-CHECK_SECONDS = 0.2
-RELOAD_SECONDS = 2.0
-"""Between looks at the settings file, which may also change without a signal."""
+EXIT_BROKEN_INVARIANT = 3
+CHECK_INTERVAL_SECONDS = 0.2
+RELOAD_INTERVAL_SECONDS = 2.0
+"""Interval between reads of the settings file, which may also change without a signal."""
 
 
 class _Signals:
-    """What the platform has asked for."""
+    """Signals received from the platform."""
 
     __slots__ = ("reload", "stop")
 
@@ -32,8 +32,8 @@
         self.stop = asyncio.Event()
         self.reload = asyncio.Event()
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload.set)
 
 
@@ -42,18 +42,18 @@
     gateway = Gateway(settings, policy=policy)
     await gateway.start()
     loop = asyncio.get_running_loop()
-    next_reload_seconds = loop.time() + RELOAD_SECONDS
+    next_reload_seconds = loop.time() + RELOAD_INTERVAL_SECONDS
     while not signals.stop.is_set():
         if gateway.context.daemon.broken is not None:
             logger.critical("stopping on a broken invariant")
             gateway.log.pump()
-            return EXIT_BROKEN
-        gateway.look_at_clocks()
+            return EXIT_BROKEN_INVARIANT
+        gateway.check_suspension()
         if signals.reload.is_set() or loop.time() >= next_reload_seconds:
             signals.reload.clear()
-            next_reload_seconds = loop.time() + RELOAD_SECONDS
+            next_reload_seconds = loop.time() + RELOAD_INTERVAL_SECONDS
             _reload(gateway)
-        await asyncio.sleep(CHECK_SECONDS)
+        await asyncio.sleep(CHECK_INTERVAL_SECONDS)
     await gateway.stop()
     await gateway.close()
     return 0
@@ -68,7 +68,7 @@
 
 
 def main() -> None:
-    """Entry point; the settings file is the one that the platform names."""
+    """Run the daemon with the settings file that the platform provides."""
     set_up_logs()
     settings = read_node_settings()
     if isinstance(settings, SettingsFault):
--- a/rackswitch/gateway/peer_service.py
+++ b/rackswitch/gateway/peer_service.py
@@ -1,4 +1,4 @@
-"""The calls that other gateways make to this one."""
+"""Serves the calls of other gateways."""
 
 import asyncio
 
@@ -20,32 +20,32 @@
 
 
 class GatewayPeersService(GatewayPeersBase):
-    """Serves the other gateways of the fleet.
+    """gRPC service for the other gateways of the fleet.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
-    copies : ReplicaServer
-        What followers ask for.
+    replica_server : ReplicaServer
+        Serves followers of this daemon's replicas.
     reader : JobReader
-        Results of the jobs owned here.
+        Reads results of the jobs owned by this daemon.
     jobs : JobManager
-        The jobs themselves.
+        Manages the jobs owned by this daemon.
     passed_on : ForwardedCalls
-        Calls to the key-value service for daemons that cannot reach it.
+        Makes calls to the key-value service for daemons that cannot reach it.
     taken : AdoptedJobs
-        Jobs that other daemons accepted.
+        Takes ownership of jobs that other daemons accepted.
     usage : UsageService
-        What was counted of tenants' requests.
+        Serves this daemon's usage counts.
     quarantine : QuarantineManager
-        Told of targets that ended.
+        Receives reports of targets that ended.
     """
 
     def __init__(
         self,
         context: GatewayContext,
-        copies: ReplicaServer,
+        replica_server: ReplicaServer,
         reader: JobReader,
         jobs: JobManager,
         passed_on: ForwardedCalls,
@@ -55,16 +55,16 @@
     ):
         self._quarantine = quarantine
         self._usage = usage
-        self._taken = taken
-        self._passed_on = passed_on
+        self._adopted_jobs = taken
+        self._forwarded_calls = passed_on
         self._context = context
-        self._copies = copies
+        self._replica_server = replica_server
         self._reader = reader
         self._jobs = jobs
         self._server = Server([self])
 
     async def start(self, host: str, port: int) -> None:
-        """Listen."""
+        """Start listening."""
         await self._server.start(host, port)
 
     async def stop(self) -> None:
@@ -73,13 +73,13 @@
         await self._server.wait_closed()
 
     async def Follow(self, stream: Stream[pb.FollowRequest, pb.FollowReply]) -> None:
-        """Answer a follower of this daemon's copies."""
+        """Answer a follower of this daemon's replicas."""
         request = await stream.recv_message()
         if request is not None:
-            await stream.send_message(await self._copies.serve(request))
+            await stream.send_message(await self._replica_server.serve(request))
 
     async def ReadJob(self, stream: Stream[pb.ReadJobRequest, pb.ReadJobReply]) -> None:
-        """Answer a read of a job that is owned here."""
+        """Return results of a job owned by this daemon."""
         request = await stream.recv_message()
         if request is None:
             return
@@ -96,7 +96,7 @@
         await stream.send_message(reply)
 
     async def YieldJob(self, stream: Stream[pb.YieldJobRequest, pb.YieldJobReply]) -> None:
-        """Leave a job to the daemon that has claimed it."""
+        """Release a job to the daemon that claimed it."""
         request = await stream.recv_message()
         if request is None:
             return
@@ -109,37 +109,37 @@
         await stream.send_message(reply)
 
     async def HandOver(self, stream: Stream[pb.HandOverRequest, pb.HandOverReply]) -> None:
-        """Go on with a job of a daemon that stops."""
+        """Take over a job of a stopping daemon."""
         request = await stream.recv_message()
         if request is not None:
             await stream.send_message(await self._jobs.receive(request))
 
     async def TakeJob(self, stream: Stream[pb.TakeJobRequest, pb.TakeJobReply]) -> None:
-        """Own a job that another daemon accepted."""
+        """Take ownership of a job that another daemon accepted."""
         request = await stream.recv_message()
         if request is not None:
-            await stream.send_message(await self._taken.take(request))
+            await stream.send_message(await self._adopted_jobs.take(request))
 
     async def PassOn(self, stream: Stream[pb.PassOnRequest, pb.PassOnReply]) -> None:
-        """Make a call to the key-value service for a daemon that cannot."""
+        """Make a call to the key-value service for a daemon that cannot reach it."""
         request = await stream.recv_message()
         if request is not None:
-            await stream.send_message(await self._passed_on.serve(request))
+            await stream.send_message(await self._forwarded_calls.serve(request))
 
     async def CountUsage(self, stream: Stream[pb.CountUsageRequest, pb.CountUsageReply]) -> None:
-        """Tell what was counted in a window."""
+        """Return this daemon's usage counts of a window."""
         request = await stream.recv_message()
         if request is not None:
             await stream.send_message(self._usage.window_counts(request))
 
     async def AddUsage(self, stream: Stream[pb.AddUsageRequest, pb.AddUsageReply]) -> None:
-        """Take over what a stopping daemon has counted."""
+        """Add the usage counts of a stopping daemon."""
         request = await stream.recv_message()
         if request is not None:
             await stream.send_message(self._usage.add(request))
 
     async def TellEnds(self, stream: Stream[pb.TellEndsRequest, pb.TellEndsReply]) -> None:
-        """Take in which targets ended under runs of another daemon."""
+        """Record targets that ended during runs of another daemon."""
         request = await stream.recv_message()
         if request is not None:
             await stream.send_message(self._quarantine.told(request))
--- a/rackswitch/gateway/placement_log.py
+++ b/rackswitch/gateway/placement_log.py
@@ -1,4 +1,4 @@
-"""What is logged of the place that a request was given."""
+"""Log event of the target estimate behind a placement."""
 
 import math
 
@@ -10,18 +10,18 @@
 
 
 def placement_event(
-    context: GatewayContext, place: TargetEstimate | None, service: str, kind: WorkKind
+    context: GatewayContext, estimate: TargetEstimate | None, service: str, kind: WorkKind
 ) -> PlaceSeen | None:
-    """Return the inputs of a choice for its log line; None if they did not decide."""
-    if place is None or not context.places_by_load(service):
+    """Return the inputs of a placement for the log; None if the load did not decide it."""
+    if estimate is None or not context.places_by_load(service):
         return None
     run_seconds = context.load_estimator.usual_run_seconds(service, kind)
-    has_word = math.isfinite(place.word_age_seconds)
+    has_report = math.isfinite(estimate.word_age_seconds)
     return PlaceSeen(
-        slots=place.slots,
-        running=round(place.running, 2),
-        waiting=round(place.waiting, 2),
-        pace=round(place.pace, 3),
-        wait_seconds=round(place.wait_seconds(run_seconds), 4),
-        word_age_seconds=round(place.word_age_seconds, 3) if has_word else -1.0,
+        slots=estimate.slots,
+        running=round(estimate.running, 2),
+        waiting=round(estimate.waiting, 2),
+        pace=round(estimate.pace, 3),
+        wait_seconds=round(estimate.wait_seconds(run_seconds), 4),
+        word_age_seconds=round(estimate.word_age_seconds, 3) if has_report else -1.0,
     )
--- a/rackswitch/gateway/policy.py
+++ b/rackswitch/gateway/policy.py
@@ -1,4 +1,4 @@
-"""Which mechanisms of the gateway are switched on."""
+"""Switches of the gateway's mechanisms."""
 
 from pathlib import Path
 
@@ -8,50 +8,50 @@
 __all__ = ["POLICY_FILE", "PolicySettings", "read_policy"]
 
 POLICY_FILE = "deploy/policy.json"
-"""The project's own settings of a gateway, relative to the folder where it is started."""
+"""Path of the switches' file, relative to the working directory."""
 
 
 class PolicySettings(Settings, frozen=True, kw_only=True):
-    """Switches, one for each mechanism, so that each can be measured by leaving it out.
+    """One switch per mechanism, so that the effect of each can be measured.
 
     Attributes
     ----------
     calls_through_peers : bool
-        Whether a daemon that cannot reach the key-value service asks peers to pass its calls on.
+        Whether a daemon that cannot reach the key-value service sends its calls through peers.
     texts_kept : bool
-        Whether the unfinished long texts of a job are kept for the owner's successor.
+        Whether checkpoints of a job's unfinished long texts are stored for the next owner.
     jobs_gathered : bool
-        Whether a job that comes to a zone goes to a daemon there that owns jobs already.
+        Whether a new job goes to a daemon of its zone that already owns jobs.
     jobs_handed_over : bool
-        Whether a stopping owner gives its jobs to their next owner by a call, and owners come back
-        from an outage of the key-value service in one write.
+        Whether a stopping owner hands its jobs over to the next owner by a call, and owners reclaim
+        each job in one write after an outage of the key-value service.
     paces_told : bool
-        Whether daemons tell each other how fast engines are.
+        Whether daemons report the paces of engines to each other.
     loads_asked : bool
-        Whether the owner of a new job asks the engines how full they are.
+        Whether the owner of a new job polls the engines for their load.
     fast_engine_first : bool
-        Whether the first engine that loads a version is one of the fast ones.
+        Whether a fast engine is the first to load a new version.
     engines_wanted : str
-        How many engines a service should have, by name (`rackswitch.capacity.policies`).
+        Name of the policy for the number of engines (`rackswitch.capacity.policies`).
     engine_kinds : str
-        How many of them may be ones that the platform takes away, by name.
+        Name of the policy for the number of reclaimable engines.
     runs_move : bool
-        Whether a run goes on at a faster engine if that gains time.
+        Whether a run moves to a faster engine if that saves time.
     longest_first : bool
-        Whether items start by when they must start; by their order in the job otherwise.
+        Whether items start by their latest start time; otherwise by their order in the job.
     steps_by_slack : bool
-        Whether items start by slack and rank over all steps, those last that no trainer waits for.
-        This and all that follow count only for services that are placed by load
-        (`GatewayContext.places_by_load`).
+        Whether items start by slack and rank over all steps; those that no trainer waits for start
+        last. This and the following switches apply only to services whose targets are chosen by
+        load (`GatewayContext.places_by_load`).
     room_shared : bool
-        Whether an engine's room is what other daemons' runs leave of it.
+        Whether other daemons' runs are subtracted from an engine's free slots.
     memory_counted : bool
-        Whether no run is sent where an engine's memory would run out.
+        Whether a run is sent to an engine only if its memory suffices.
     urgency_told : bool
-        Whether engines are told how urgent runs are, by slack and rank. Engines that displace
-        running texts by more urgent ones then read many anew, and texts stand still meanwhile.
+        Whether runs are sent with their urgency, by slack and rank. Engines then preempt runs for
+        more urgent ones, and a preempted run has to read its text again.
     runs_leave : bool
-        Whether runs go on elsewhere before an engine that leaves is gone.
+        Whether runs move away from a draining engine before it ends.
     """
 
     calls_through_peers: bool = True
@@ -73,7 +73,7 @@
 
 
 def read_policy(path: str = POLICY_FILE) -> PolicySettings | SettingsFault:
-    """Read and check the switches; the defaults hold if there is no such file.
+    """Read and check the switches; without a file the defaults apply.
 
     Parameters
     ----------
@@ -83,7 +83,7 @@
     Returns
     -------
     PolicySettings or SettingsFault
-        The switches, or one line with file, field and what is wrong.
+        The switches, or a one-line error with the file and field.
     """
     if not Path(path).exists():
         return PolicySettings()
@@ -96,6 +96,6 @@
     ):
         name = getattr(policy, field)
         if name not in registry:
-            known = ", ".join(registry.names())
-            return SettingsFault(f"{path}: `$.{field}` {name!r} is none of {known}")
+            known_names = ", ".join(registry.names())
+            return SettingsFault(f"{path}: `$.{field}` {name!r} is not one of {known_names}")
     return policy
--- a/rackswitch/gateway/reload.py
+++ b/rackswitch/gateway/reload.py
@@ -1,4 +1,4 @@
-"""Settings that changed while the daemon runs: what takes effect, and what needs a restart."""
+"""Reloading of settings: which changes apply at once and which need a restart."""
 
 from dataclasses import dataclass, fields
 
@@ -6,7 +6,7 @@
 
 __all__ = ["SettingsChanges", "compare_settings"]
 
-LIVE_FIELDS = frozenset(
+RELOADABLE_FIELDS = frozenset(
     (
         "kv_url",
         "kv_most_value_bytes",
@@ -16,8 +16,7 @@
         "keep_results_seconds",
     )
 )
-"""Fields whose readers look at the settings in force; the others name the daemon and where
-it listens, which a process keeps for life."""
+"""Fields that apply without a restart. The others hold the daemon's name and its addresses."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,9 +26,9 @@
     Attributes
     ----------
     applied : tuple of str
-        In force from now on.
+        Fields that apply at once.
     needs_restart : tuple of str
-        In force when the process is started the next time.
+        Fields that apply after a restart of the process.
     """
 
     applied: tuple[str, ...]
@@ -37,13 +36,13 @@
 
 
 def compare_settings(before: NodeSettings, after: NodeSettings) -> SettingsChanges:
-    """Return what differs between the settings in force and new ones."""
+    """Return the differences between the current settings and new ones."""
     changed = [
         field.name
         for field in fields(NodeSettings)
         if getattr(before, field.name) != getattr(after, field.name)
     ]
     return SettingsChanges(
-        applied=tuple(name for name in changed if name in LIVE_FIELDS),
-        needs_restart=tuple(name for name in changed if name not in LIVE_FIELDS),
+        applied=tuple(name for name in changed if name in RELOADABLE_FIELDS),
+        needs_restart=tuple(name for name in changed if name not in RELOADABLE_FIELDS),
     )
--- a/rackswitch/gateway/standby.py
+++ b/rackswitch/gateway/standby.py
@@ -1,6 +1,6 @@
-"""The program of a VM with a disk, on which rackswitch keeps nothing.
+"""Placeholder program for a VM with a disk, which rackswitch does not use.
 
-The platform wants one there. It imports as little as it can and waits to be stopped.
+The platform requires a process there. It only waits to be stopped.
 """
 
 import signal
@@ -10,11 +10,11 @@
 
 
 def main() -> None:
-    """Wait for the order to stop."""
-    stops = {signal.SIGTERM, signal.SIGINT}
-    signal.pthread_sigmask(signal.SIG_BLOCK, stops | {signal.SIGHUP})
+    """Wait for a stop signal."""
+    stop_signals = {signal.SIGTERM, signal.SIGINT}
+    signal.pthread_sigmask(signal.SIG_BLOCK, stop_signals | {signal.SIGHUP})
     print('{"event":"started"}', flush=True)
-    while signal.sigwait(stops | {signal.SIGHUP}) not in stops:
+    while signal.sigwait(stop_signals | {signal.SIGHUP}) not in stop_signals:
         print('{"event":"reloaded"}', flush=True)
     print('{"event":"stopped"}', flush=True)
     sys.exit(0)
--- a/rackswitch/gateway/tests/path.py
+++ b/rackswitch/gateway/tests/path.py
@@ -1,4 +1,4 @@
-"""Playing scenarios on a fleet of whole gateways, on loopback."""
+"""Runs test scenarios on a fleet of complete gateways on loopback."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,9 +16,9 @@
     policy: PolicySettings | None = None,
     **sizes: int,
 ) -> None:
-    """Run a scenario on a fresh fleet."""
+    """Run a scenario on a new fleet."""
 
-    async def whole() -> None:
+    async def run_scenario() -> None:
         fleet = PlatformFleet(**sizes, policy=policy)
         await fleet.start()
         try:
@@ -27,7 +27,7 @@
         finally:
             await fleet.stop()
 
-    run_on_boot_clock(whole())
+    run_on_boot_clock(run_scenario())
 
 
 def runs_of(targets: list[PlatformTargetStandIn], request_id: str) -> int:
@@ -41,7 +41,7 @@
 
 
 def check_whole(results: list[dict], pieces: list[int], job_id: str) -> None:
-    """Every item stands once, with its whole text and its own score."""
+    """Check that every item is listed once, with its complete text and its own score."""
     by_id = {result["id"]: result for result in results}
     assert len(by_id) == len(results) == len(pieces)
     for number, count in enumerate(pieces):
--- a/rackswitch/gateway/tests/support.py
+++ b/rackswitch/gateway/tests/support.py
@@ -1,4 +1,4 @@
-"""Gateways without a network, on a clock that jumps."""
+"""Gateway contexts and stubs for tests without a network, on a virtual clock."""
 
 import asyncio
 import random
@@ -27,14 +27,14 @@
 
 
 class NoLooks:
-    """Asks no engine how full it is."""
+    """Load poller that polls no engine."""
 
     async def look(self, service: str) -> None:
         return
 
 
 class NoQuarantine:
-    """Asks after no target, and holds nothing back."""
+    """Quarantine that admits every request and ignores all outcomes."""
 
     def broke(self, fingerprint: str, target: ListedTarget) -> None:
         return
@@ -56,20 +56,20 @@
 
 async def break_at_random(
     rng: random.Random,
-    calm_seconds: tuple[float, float],
+    interval_seconds: tuple[float, float],
     kinds: Sequence[str],
-    fault: Callable[[str], Awaitable[None]],
+    inject_fault: Callable[[str], Awaitable[None]],
 ) -> None:
-    """Bring about faults of random kinds until cancelled, one or two at a time, calm between."""
+    """Inject one or two faults of random kinds at random intervals, until cancelled."""
     while True:
-        await asyncio.sleep(rng.uniform(*calm_seconds))
+        await asyncio.sleep(rng.uniform(*interval_seconds))
         count = 2 if rng.random() < 0.4 else 1
-        chosen = [rng.choice(kinds) for _ in range(count)]
-        await asyncio.gather(*(fault(kind) for kind in chosen))
+        chosen_kinds = [rng.choice(kinds) for _ in range(count)]
+        await asyncio.gather(*(inject_fault(kind) for kind in chosen_kinds))
 
 
 class HolderCall(Protocol):
-    """A call of a role's holder, as it left; whoever got it checks no fencing number."""
+    """A call of a role's holder, as sent to a receiver that does not check fencing numbers."""
 
     sent_seconds: float
     holder: str
@@ -77,14 +77,14 @@
 
 
 def turn_violations(calls: Sequence[HolderCall], turn_seconds: float) -> list[str]:
-    """Return what must not be seen of calls, in the order in which they were sent."""
-    found: list[str] = []
-    for before, after in zip(calls, calls[1:], strict=False):
-        gap_seconds = after.sent_seconds - before.sent_seconds
-        if after.fencing < before.fencing:
-            found.append(f"fencing {after.fencing} after {before.fencing}")
-        elif before.holder != after.holder and after.fencing == before.fencing:
-            found.append(f"two holders with fencing {after.fencing}")
-        elif before.holder != after.holder and gap_seconds < turn_seconds:
-            found.append(f"{before.holder}, then {after.holder} after {gap_seconds:.2f} s")
-    return found
+    """Return violations of the holders' turns in calls sorted by the time they were sent."""
+    problems: list[str] = []
+    for earlier, later in zip(calls, calls[1:], strict=False):
+        interval_seconds = later.sent_seconds - earlier.sent_seconds
+        if later.fencing < earlier.fencing:
+            problems.append(f"fencing {later.fencing} after {earlier.fencing}")
+        elif earlier.holder != later.holder and later.fencing == earlier.fencing:
+            problems.append(f"two holders with fencing {later.fencing}")
+        elif earlier.holder != later.holder and interval_seconds < turn_seconds:
+            problems.append(f"{earlier.holder}, then {later.holder} after {interval_seconds:.2f} s")
+    return problems
--- a/rackswitch/gateway/tests/test_bad_input.py
+++ b/rackswitch/gateway/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""What is wrong with a request gets the status that says so; nothing runs, and the daemon lives."""
+"""Invalid requests get the matching error status, run nothing and do not harm the daemon."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 
 
 async def send_raw(fleet: PlatformFleet, data: bytes) -> bytes:
-    """Send bytes on a connection of their own; return all that comes back until its end."""
+    """Send bytes on a new connection; return the complete response until the connection closes."""
     host, _, port = fleet.gateways["d0"].url.removeprefix("http://").partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(data)
@@ -44,7 +44,7 @@
         (f"POST /lodge/1 HTTP/1.1\r\n{HEAD}Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", 408),
     ],
 )
-def test_a_request_that_is_not_whole_or_not_http_is_refused_and_its_connection_closed(data, status):
+def test_rejects_an_incomplete_or_malformed_request_and_closes_the_connection(data, status):
     async def scenario(fleet):
         answer = await send_raw(fleet, data.encode())
         assert answer.startswith(f"HTTP/1.1 {status} ".encode()), answer[:200]
@@ -55,7 +55,7 @@
     play(scenario)
 
 
-def test_a_caller_that_leaves_in_the_middle_of_its_body_runs_nothing():
+def test_runs_nothing_if_the_caller_disconnects_within_the_body():
     async def scenario(fleet):
         host, _, port = fleet.gateways["d0"].url.removeprefix("http://").partition(":")
         _, writer = await asyncio.open_connection(host, int(port))
@@ -68,7 +68,7 @@
     play(scenario)
 
 
-def test_what_follows_a_whole_request_is_never_part_of_it():
+def test_data_after_a_complete_request_is_not_part_of_it():
     async def scenario(fleet):
         inner = f"POST /lodge/2 HTTP/1.1\r\n{HEAD.replace('r1', 'r9')}Content-Length: 0\r\n\r\n"
         outer = f"POST /lodge/1 HTTP/1.1\r\n{HEAD}Connection: close\r\nContent-Length: 2\r\n\r\nok"
@@ -80,7 +80,7 @@
     play(scenario)
 
 
-def test_a_job_of_too_many_items_is_refused_by_their_count():
+def test_rejects_a_job_with_too_many_items():
     async def scenario(fleet):
         limits = desired_state(2)["limits"] | {"max_body_bytes": 33_554_432}
         fleet.store.put("op/config", desired_state(2, limits=limits))
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize(
-    ("item", "words"),
+    ("item", "expected_text"),
     [
         ({"id": 7, "path": "/jobs/1"}, "`$.items[1]`"),
         ({"path": "/jobs/1"}, "`$.items[1]`"),
@@ -110,14 +110,14 @@
         ({"id": "b", "path": "/jobs/1", "scorer": {"id": "s"}}, "`$.items[1]`"),
     ],
 )
-def test_a_wrong_item_is_named(item, words):
+def test_error_for_an_invalid_item_names_it(item, expected_text):
     async def scenario(fleet):
         job = {"items": [{"id": "a", "path": "/jobs/1"}, item], "model": "m0"}
         status, _, text = await fleet.request(
             "d0", "POST", "/jobs/new", json.dumps(job).encode(), "j1"
         )
         assert status == 400
-        assert words in text.decode()
+        assert expected_text in text.decode()
         assert (await fleet.read("d0", "j1")).status == 404
         assert not has_run(fleet)
 
--- a/rackswitch/gateway/tests/test_collections.py
+++ b/rackswitch/gateway/tests/test_collections.py
@@ -1,7 +1,7 @@
-"""What earlier tests left in this process holds up no daemon of a test."""
+"""Garbage collection in tests does not traverse objects left by earlier tests."""
 
 import gc
 
 
-def test_only_what_a_test_makes_itself_is_looked_through_for_garbage():
+def test_objects_from_before_a_test_are_frozen():
     assert len(gc.get_objects()) < gc.get_freeze_count() / 10
--- a/rackswitch/gateway/tests/test_path_daemon.py
+++ b/rackswitch/gateway/tests/test_path_daemon.py
@@ -1,4 +1,4 @@
-"""What a whole daemon does besides serving, on loopback."""
+"""Settings changes, status and logging of a complete daemon on loopback."""
 
 import contextlib
 import os
@@ -8,7 +8,7 @@
 from rackswitch.gateway.tests.path import check_whole, play, wait_for
 
 
-def test_changed_settings_are_in_force_without_a_restart():
+def test_applies_changed_settings_without_a_restart():
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
         old_url = gateway.settings.kv_url
@@ -18,26 +18,26 @@
         await wait_for(lambda: gateway.copies.followed or not gateway.context.contact.is_away)
         assert await fleet.submit("d0", "j1", [2]) == 202
 
-    # With peers that pass its calls on an address that is wrong would not show.
+    # Otherwise peers would forward the calls, and the wrong address would have no effect.
     play(scenario, policy=PolicySettings(calls_through_peers=False))
 
 
-def test_a_daemon_tells_what_it_believes():
+def test_snapshot_shows_the_state_of_a_daemon():
     async def scenario(fleet):
         assert await fleet.submit("d0", "j1", [100, 100]) == 202
-        beliefs = fleet.gateways["d0"].beliefs()
-        assert beliefs.table_revision == 1
-        assert beliefs.session_sure
-        assert beliefs.members == ["d0", "d1"]
-        assert beliefs.targets == {"desk": 2, "engines": 2}
-        assert beliefs.jobs_owned["j1"].total == 2
-        assert all(age >= 0 for age in beliefs.copy_ages_seconds.values())
+        snapshot = fleet.gateways["d0"].snapshot()
+        assert snapshot.table_revision == 1
+        assert snapshot.session_sure
+        assert snapshot.members == ["d0", "d1"]
+        assert snapshot.targets == {"desk": 2, "engines": 2}
+        assert snapshot.jobs_owned["j1"].total == 2
+        assert all(age >= 0 for age in snapshot.copy_ages_seconds.values())
         check_whole(await fleet.read_all("d0", "j1"), [100, 100], "j1")
 
     play(scenario)
 
 
-def test_a_log_that_nobody_reads_delays_no_answer():
+def test_a_blocked_log_reader_does_not_delay_responses():
     async def scenario(fleet):
         _, writer = os.pipe()
         os.set_blocking(writer, False)
--- a/rackswitch/gateway/tests/test_path_tenants.py
+++ b/rackswitch/gateway/tests/test_path_tenants.py
@@ -1,4 +1,4 @@
-"""Keys and tenants on the whole path, on loopback."""
+"""API keys and tenants end to end, on a fleet of gateways on loopback."""
 
 import os
 
@@ -14,18 +14,18 @@
 
 
 def state(version, *tenants, public=()):
-    built = desired_state(version, tenants=list(tenants))
-    for route in built["routes"]:
+    document = desired_state(version, tenants=list(tenants))
+    for route in document["routes"]:
         route["public"] = route["name"] in public
-    return built
+    return document
 
 
-def test_an_engine_learns_the_keys_tenant_and_never_the_key():
+def test_sends_the_keys_tenant_to_targets_but_never_the_key():
     async def scenario(fleet):
         await fleet.operate(state(2, ACME, ZETA))
         fleet.key = "acme-key-2"
-        lie = {"x-rackswitch-tenant": "zeta"}
-        status, _, _ = await fleet.request("d0", "GET", "/look/x", headers=lie)
+        forged_headers = {"x-rackswitch-tenant": "zeta"}
+        status, _, _ = await fleet.request("d0", "GET", "/look/x", headers=forged_headers)
         assert status == 200
         [run] = [run for service in fleet.services for run in service.runs]
         assert run.values("X-Rackswitch-Tenant") == ["acme"]
@@ -34,17 +34,17 @@
     play(scenario)
 
 
-def test_a_key_nobody_holds_is_answered_401_and_nothing_runs():
+def test_rejects_an_unknown_key_with_401_and_runs_nothing():
     async def scenario(fleet):
         await fleet.operate(state(2, ACME, public=("lookup",)))
         for key in ("", "wrong", "acme-key-1"):
             fleet.key = key
-            known = key == "acme-key-1"
+            is_valid = key == "acme-key-1"
             status, headers, _ = await fleet.request("d0", "POST", "/lodge/x", request_id=f"r{key}")
-            assert status == (200 if known else 401)
-            assert known or headers["WWW-Authenticate"] == "Bearer"
+            assert status == (200 if is_valid else 401)
+            assert is_valid or headers["WWW-Authenticate"] == "Bearer"
             assert (await fleet.request("d1", "GET", "/rackswitch/lots/j9"))[0] == (
-                404 if known else 401
+                404 if is_valid else 401
             )
         fleet.key = ""
         assert (await fleet.request("d0", "GET", "/look/x", request_id="open"))[0] == 200
@@ -54,7 +54,7 @@
     play(scenario)
 
 
-def test_a_key_taken_away_is_refused_and_the_log_says_since_when_but_not_which(tmp_path):
+def test_rejects_a_revoked_key_and_logs_the_table_but_not_the_key(tmp_path):
     async def scenario(fleet):
         path = tmp_path / "log"
         descriptor = os.open(path, os.O_CREAT | os.O_WRONLY)
@@ -79,7 +79,7 @@
     play(scenario)
 
 
-def test_a_daemon_without_the_service_sends_a_key_it_does_not_know_elsewhere():
+def test_answers_503_for_an_unknown_key_while_the_store_is_unreachable():
     async def scenario(fleet):
         await fleet.operate(state(2, ACME))
         await fleet.operate(state(3, {**ACME, "api_keys": ["acme-key-1"]}))
@@ -95,7 +95,7 @@
     play(scenario)
 
 
-def test_a_table_in_which_two_tenants_have_one_key_is_not_taken(tmp_path):
+def test_rejects_a_table_in_which_two_tenants_share_a_key(tmp_path):
     async def scenario(fleet):
         await fleet.operate(state(2, ACME))
         path = tmp_path / "log"
@@ -117,7 +117,7 @@
     play(scenario)
 
 
-def test_a_job_is_its_tenants_and_to_others_it_is_not_there():
+def test_a_job_is_visible_only_to_its_tenant():
     async def scenario(fleet):
         await fleet.operate(state(2, ACME, ZETA, public=("lookup",)))
         fleet.key = "acme-key-1"
@@ -130,7 +130,7 @@
         assert await fleet.end_job("d0", "j1") == 404
         for path in ("acme%0Aj1", "acme/j1", "acme\\nj1"):
             assert (await fleet.request("d1", "GET", f"/rackswitch/lots/{path}"))[0] == 404
-        # It may use the same identity for a job of its own.
+        # Another tenant may use the same job id for a job of its own.
         assert await fleet.submit("d1", "j1", [1]) == 202
         assert len(await fleet.read_all("d0", "j1")) == 1
         fleet.key = "acme-key-2"
@@ -146,7 +146,7 @@
     play(scenario)
 
 
-def test_a_job_outlives_its_key_and_its_owner():
+def test_a_job_continues_after_its_key_is_revoked_and_its_owner_crashed():
     async def scenario(fleet):
         await fleet.operate(state(2, ACME, ZETA, public=("lookup",)))
         fleet.key = "acme-key-1"
@@ -169,7 +169,7 @@
     play(scenario)
 
 
-def test_an_items_own_headers_bring_no_key_no_tenant_and_no_second_request():
+def test_item_headers_cannot_inject_a_key_a_tenant_or_a_request():
     async def scenario(fleet):
         await fleet.operate(state(2, ACME, public=("lookup",)))
         fleet.key = "acme-key-1"
@@ -178,20 +178,26 @@
             item = {"id": "i", "path": "/jobs/0", "headers": headers, "body": "MQ=="}
             return msgspec.json.encode({"model": "m0", "items": [item]})
 
-        sneaky = {
+        forged_headers = {
             "X-Rackswitch-Model": "m0",
             "AUTHORIZATION": "Bearer acme-key-1",
             "x-rackswitch-TENANT": "zeta",
             "Content-Length": "0",
         }
-        assert (await fleet.request("d0", "POST", "/jobs/n", job(sneaky), "j1"))[0] == 202
+        assert (await fleet.request("d0", "POST", "/jobs/n", job(forged_headers), "j1"))[0] == 202
         assert len(await fleet.read_all("d0", "j1")) == 1
         [run] = [run for engine in fleet.engines for run in engine.runs]
         assert run.values("X-Rackswitch-Tenant") == ["acme"]
         assert run.values("Authorization") == []
         assert run.body == b"1"
-        for bad in ({"X": "a\r\nX-Rackswitch-Tenant: zeta"}, {"X-A: b\r\nY": "c"}, {"": "c"}):
-            status, _, body = await fleet.request("d0", "POST", "/jobs/n", job(bad), "j2")
+        for invalid_headers in (
+            {"X": "a\r\nX-Rackswitch-Tenant: zeta"},
+            {"X-A: b\r\nY": "c"},
+            {"": "c"},
+        ):
+            status, _, body = await fleet.request(
+                "d0", "POST", "/jobs/n", job(invalid_headers), "j2"
+            )
             assert status == 400
             assert b"items[0]" in body
 
--- a/rackswitch/gateway/tests/test_planned_stop.py
+++ b/rackswitch/gateway/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""The last moments of a daemon that stops as planned, on loopback."""
+"""Requests during the planned stop of a daemon, on loopback."""
 
 import asyncio
 from unittest.mock import patch
@@ -9,15 +9,17 @@
 WORK_SECONDS = 0.6
 
 
-def test_a_request_that_comes_while_the_session_is_given_back_is_served():
+def test_serves_a_request_received_while_the_session_ends():
     async def scenario(fleet):
-        end = Session.end
-        asked = []
+        original_end = Session.end
+        requests = []
 
         async def end_and_ask(session):
-            asked.append(asyncio.create_task(fleet.request("d0", "POST", "/lodge/1", b"b", "r1")))
+            requests.append(
+                asyncio.create_task(fleet.request("d0", "POST", "/lodge/1", b"b", "r1"))
+            )
             await wait_for(lambda: runs_of(fleet.services, "r1") == 1)
-            await end(session)
+            await original_end(session)
 
         for service in fleet.services:
             service.faults.work_seconds = WORK_SECONDS
@@ -25,7 +27,7 @@
         with patch.object(Session, "end", end_and_ask):
             await gateway.stop()
         await gateway.close()
-        status, _, _ = await asked[0]
+        status, _, _ = await requests[0]
         assert status == 200
         assert runs_of(fleet.services, "r1") == 1
 
--- a/rackswitch/gateway/tests/test_start.py
+++ b/rackswitch/gateway/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A signal that comes while the program is being loaded."""
+"""Signals during the start of the program."""
 
 import os
 import signal
@@ -10,7 +10,7 @@
 from rackswitch.gateway.main import EXIT_BAD_SETTINGS
 from rackswitch.platform.names import SETTINGS_VARIABLE
 
-SIGNALLED_AS_IT_LOADS = """
+SIGNAL_DURING_IMPORT = """
 import os, runpy, signal, sys
 
 class Signalling:
@@ -23,16 +23,16 @@
 """
 
 
-def test_an_order_to_read_the_settings_again_does_not_end_a_program_that_is_being_loaded():
+def test_sighup_during_imports_does_not_end_the_program():
     environment = {name: text for name, text in os.environ.items() if name != SETTINGS_VARIABLE}
     environment["PYTHONPATH"] = str(Path(rackswitch.__file__).parents[1])
-    ended = subprocess.run(
-        [sys.executable, "-c", SIGNALLED_AS_IT_LOADS],
+    process = subprocess.run(
+        [sys.executable, "-c", SIGNAL_DURING_IMPORT],
         env=environment,
         capture_output=True,
         timeout=30.0,
         check=False,
     )
-    assert ended.returncode != -signal.SIGHUP
-    # It has gone on to where it misses its settings.
-    assert ended.returncode == EXIT_BAD_SETTINGS, ended.stderr
+    assert process.returncode != -signal.SIGHUP
+    # The program went on until it found no settings.
+    assert process.returncode == EXIT_BAD_SETTINGS, process.stderr
--- a/rackswitch/gateway/tests/test_suspension.py
+++ b/rackswitch/gateway/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""Gateways on machines that were suspended for seconds."""
+"""Gateways on VMs that were suspended for several seconds."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 ROLE = "versions/engines"
 
 
-def test_a_daemon_that_wakes_holds_no_role_or_session_that_ran_out_meanwhile():
+def test_expired_roles_and_sessions_are_not_held_after_a_suspension():
     async def scenario(fleet):
         gateways = fleet.gateways.values()
         await wait_for(lambda: any(gateway.roles.may_act(ROLE) for gateway in gateways))
@@ -19,7 +19,7 @@
         machine.suspended_seconds = SUSPENDED_SECONDS
         assert not any(gateway.roles.may_act(ROLE) for gateway in gateways)
         assert not fleet.gateways["d0"].session.is_sure()
-        # And goes on as soon as the service has confirmed both.
+        # Both are held again once the key-value service has confirmed them.
         await wait_for(lambda: any(gateway.roles.may_act(ROLE) for gateway in gateways))
         await wait_for(fleet.gateways["d0"].session.is_sure)
 
@@ -27,14 +27,14 @@
         play(scenario)
 
 
-def test_a_request_whose_time_ran_out_meanwhile_is_not_sent_on():
+def test_a_request_that_expired_during_a_suspension_is_not_sent_again():
     async def scenario(fleet):
         for service in fleet.services:
             service.faults.mute = True
-        asking = asyncio.create_task(fleet.request("d0", "POST", "/look/1", b"b", "r1"))
+        request_task = asyncio.create_task(fleet.request("d0", "POST", "/look/1", b"b", "r1"))
         await wait_for(lambda: runs_of(fleet.services, "r1") == 1)
         machine.suspended_seconds = SUSPENDED_SECONDS
-        status, _, _ = await asking
+        status, _, _ = await request_task
         assert status == 504
         assert runs_of(fleet.services, "r1") == 1
 
@@ -42,17 +42,17 @@
         play(scenario)
 
 
-def test_connections_that_rested_meanwhile_are_not_used_again():
+def test_connections_idle_during_a_suspension_are_not_reused():
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
         status, _, _ = await fleet.request("d0", "POST", "/look/1", b"b", "r1")
         assert status == 200
-        [[(kept, _)]] = gateway._sessions._kept_connector._conns.values()
-        gateway.look_at_clocks()
-        assert kept.is_connected()
+        [[(connection, _)]] = gateway._sessions._kept_connector._conns.values()
+        gateway.check_suspension()
+        assert connection.is_connected()
         machine.suspended_seconds = SUSPENDED_SECONDS
-        gateway.look_at_clocks()
-        assert not kept.is_connected()
+        gateway.check_suspension()
+        assert not connection.is_connected()
         status, _, _ = await fleet.request("d0", "POST", "/look/1", b"b", "r2")
         assert status == 200
 
--- a/rackswitch/gateway/turns.py
+++ b/rackswitch/gateway/turns.py
@@ -1,4 +1,4 @@
-"""Acting as the single holder of a role where nobody checks fencing numbers."""
+"""Turns of a role's holders, for calls whose receivers do not check fencing numbers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,16 +14,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """What one holder at a time does.
+    """A kind of action that one holder at a time carries out.
 
     Attributes
     ----------
     group : str
-        Name of what is acted upon.
+        Name of the object of the action.
     role : str
         The role whose holder acts.
     key : str
-        Where the holder enters itself before it acts.
+        Key of the record in which the holder writes its entry before it acts.
     """
 
     group: str
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """An entry in a record.
+    """A written entry.
 
     Attributes
     ----------
     began_seconds : float
-        When it was begun (monotonic).
+        When the write started (monotonic).
     revision : int
-        The service's revision by it.
+        Revision of the key-value service after the write.
     """
 
     began_seconds: float
@@ -48,99 +48,98 @@
 
 
 class TurnManager:
-    """This daemon's side of roles whose holders take turns by a record in the service.
+    """Lets this daemon act in roles whose holders take turns by a record in the key-value service.
 
-    A holder enters itself in the record under its role's fence and acts only shortly after that.
-    A successor reads the record once and waits until the former holder's last possible act is a
-    turn past.
+    A holder writes its entry under its role's fence and acts only shortly after that. A new holder
+    reads the record once and waits for one turn after the former holder's last possible action.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     roles : RoleManager
-        Leases on roles.
+        Manages this daemon's leases on roles.
     """
 
-    __slots__ = ("_context", "_read_under", "_roles", "order_turns")
+    __slots__ = ("_context", "_read_fencing", "_roles", "order_turns")
 
     def __init__(self, context: GatewayContext, roles: RoleManager):
         self._context = context
         self._roles = roles
-        self._read_under: dict[str, int] = {}
+        self._read_fencing: dict[str, int] = {}
         self.order_turns = OrderTurns(context.settings.daemon)
 
-    def entered(self, group: str, holder: str, revision: int) -> None:
-        """Note who has entered the record of a group."""
+    def record_entry(self, group: str, holder: str, revision: int) -> None:
+        """Record the latest entry of a group."""
         self.order_turns.entered(group, holder, revision, self._context.now_seconds())
 
     def last_holder(self, group: str) -> str | None:
-        """Return the daemon that entered a group's record last.
+        """Return the daemon that wrote the last entry of a group.
 
-        It may act again at once, where any other has to wait for the end of its turn.
+        It may act again at once; any other daemon has to wait for the end of that turn.
         """
         return self.order_turns.last_holder(group)
 
-    async def is_open(self, turn: Turn, on_entry: Callable[[KvEntry], None]) -> bool:
-        """Return whether this daemon may enter the record now.
+    async def may_act_now(self, turn: Turn, on_entry: Callable[[KvEntry], None]) -> bool:
+        """Return whether this daemon may write an entry and act now.
 
         Parameters
         ----------
         turn : Turn
-            What is acted upon.
+            The action.
         on_entry : callable
-            Takes in the record; it calls `entered`.
+            Decodes the record and calls `record_entry`.
         """
-        if not self._roles.may_act(turn.role) or not await self._knows_record(turn, on_entry):
+        if not self._roles.may_act(turn.role) or not await self._read_record(turn, on_entry):
             return False
         return self._context.now_seconds() >= self._may_act_from_seconds(turn)
 
-    async def enter(
+    async def write_entry(
         self,
         turn: Turn,
         record: bytes,
-        also: tuple[Operation, ...] = (),
+        extra_operations: tuple[Operation, ...] = (),
         conditions: tuple[Compare, ...] = (),
     ) -> Entry | None:
-        """Enter this daemon in the record under the role's fence.
+        """Write this daemon's entry under the role's fence.
 
         Parameters
         ----------
         turn : Turn
-            What is acted upon.
+            The action.
         record : bytes
             The record's new content.
-        also : tuple of Operation
-            Written along with it, all or nothing.
+        extra_operations : tuple of Operation
+            Further writes of the same transaction.
         conditions : tuple of Compare
-            What must hold besides. If they are what fails, the role's next renewal tells whether
-            it is still held.
+            Further conditions of the transaction. If it fails, the role is not given up at once:
+            its next renewal shows whether it is still held.
 
         Returns
         -------
         Entry or None
-            None if it was not taken, or no answer tells so.
+            None if the transaction failed or its outcome is unknown.
         """
         began_seconds = self._context.now_seconds()
         fence = self._roles.fence(turn.role)
-        operations = (Operation(turn.key, record), *also)
-        done = await self._context.kv.txn([TxnPart((fence, *conditions), operations)])
-        if isinstance(done, KvUnavailable):
-            self._context.contact.failed(self._context.now_seconds(), done.detail)
+        operations = (Operation(turn.key, record), *extra_operations)
+        replies = await self._context.kv.txn([TxnPart((fence, *conditions), operations)])
+        if isinstance(replies, KvUnavailable):
+            self._context.contact.failed(self._context.now_seconds(), replies.detail)
             return None
-        if not done[0].succeeded:
+        if not replies[0].succeeded:
             if not conditions:
                 self._roles.lose(turn.role)
             return None
-        return Entry(began_seconds, done[0].revision)
+        return Entry(began_seconds, replies[0].revision)
 
     def fencing_to_send(self, turn: Turn, entered_at_seconds: float) -> int | None:
-        """Return the fencing number to act under now, or None if it is too late to act.
+        """Return the fencing number for a call made now; None if it is too late.
 
-        To be called after the last wait, right before the effect.
+        Must be called right before the call, with no await in between.
         """
-        in_time = self.order_turns.may_send(entered_at_seconds, self._context.now_seconds())
-        if not in_time or not self._roles.may_act(turn.role):
+        is_in_time = self.order_turns.may_send(entered_at_seconds, self._context.now_seconds())
+        if not is_in_time or not self._roles.may_act(turn.role):
             return None
         return self._roles.fencing(turn.role)
 
@@ -148,14 +147,14 @@
         turn_seconds = self._context.settings.order_turn_seconds
         return self.order_turns.may_order_from_seconds(turn.group, turn_seconds)
 
-    async def _knows_record(self, turn: Turn, on_entry: Callable[[KvEntry], None]) -> bool:
-        """Read the record once after the role was acquired; return whether it is known.
+    async def _read_record(self, turn: Turn, on_entry: Callable[[KvEntry], None]) -> bool:
+        """Read the record once after the role was acquired; return whether it was read.
 
-        The former holder may have entered itself right before it lost the role, and this
-        daemon's copy may lag. No entry of it can follow, as entries are fenced by the role.
+        The former holder may have written an entry right before it lost the role, and this
+        daemon's replica may lag. No later entry is possible, as entries are fenced by the role.
         """
         fencing = self._roles.fencing(turn.role)
-        if self._read_under.get(turn.group) == fencing:
+        if self._read_fencing.get(turn.group) == fencing:
             return True
         read = await self._context.kv.read(turn.key)
         if isinstance(read, KvUnavailable):
@@ -163,7 +162,7 @@
             return False
         for entry in read.entries:
             on_entry(entry)
-        self._read_under[turn.group] = fencing
+        self._read_fencing[turn.group] = fencing
         wait_seconds = self._may_act_from_seconds(turn) - self._context.now_seconds()
         self._context.log.write(
             OrdersTakenOver(
--- a/rackswitch/gateway/versions/__init__.py
+++ b/rackswitch/gateway/versions/__init__.py
@@ -1,1 +1,1 @@
-"""Versions of weights: orders to engines, by one holder at a time."""
+"""Roll-out of weight versions: load orders to engines, sent by one holder at a time."""
--- a/rackswitch/gateway/versions/order_sender.py
+++ b/rackswitch/gateway/versions/order_sender.py
@@ -1,4 +1,4 @@
-"""Sending one engine one order to load a version, and waiting for its effect."""
+"""Sends an engine an order to load a version and waits for the load to finish."""
 
 import asyncio
 from dataclasses import dataclass
@@ -23,44 +23,43 @@
 VERSION_ROLE_PREFIX = "versions/"
 ORDERS_PREFIX = "control/orders/"
 
-LOOK_SECONDS = 0.05
-"""Between looks at the list of targets while a load is awaited: two in a keeper's tick."""
+POLL_INTERVAL_SECONDS = 0.05
+"""Interval between checks of the target list while waiting for a load."""
 
 LOAD_TIMEOUT_SECONDS = 4.0
-"""A load takes 0.9 s and is told with a lag; an order that has shown no effect by then is
-looked after."""
+"""How long to wait for a load to show in the target list or a report before it counts as failed."""
 
-REPORT_EVERY_SECONDS = 0.5
-"""Between questions to an engine whose listed version does not change after an order."""
+REPORT_INTERVAL_SECONDS = 0.5
+"""Interval between report requests to an engine whose listed version does not change."""
 
 
 def version_role(service: str) -> str:
     """Return the role whose holder orders the engines of a service.
 
-    One holder for all models of a service: an engine may carry several, and must not get
+    All models of a service share one role: an engine may serve several models and must not get
     orders from two daemons.
     """
     return VERSION_ROLE_PREFIX + service
 
 
 def version_turn(service: str) -> Turn:
-    """Return the turn in which a service's engines are ordered."""
+    """Return the turn for orders to a service's engines."""
     return Turn(service, version_role(service), ORDERS_PREFIX + service)
 
 
 def service_of_role(role: str) -> str:
-    """Return the service whose engines a role's holder orders."""
+    """Return the service that a role belongs to."""
     return role.removeprefix(VERSION_ROLE_PREFIX)
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedLoad:
-    """An order that the plan wants sent.
+    """A planned load order for one engine.
 
     Attributes
     ----------
     target : ListedTarget
-        The engine, as it was listed when the order was planned.
+        The engine as listed when the order was planned.
     """
 
     service: str
@@ -70,16 +69,16 @@
 
 
 class OrderSender:
-    """Sends orders, each right after a check that this daemon may still send it.
+    """Sends load orders, each right after checking that this daemon may still send it.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     engines : OrderClient
-        Makes the calls.
+        Client for the engines' order interface.
     turns : TurnManager
-        Until when after its entry an order may leave.
+        Checks that this daemon may act as the holder.
     """
 
     __slots__ = ("_context", "_engines", "_turns")
@@ -90,14 +89,14 @@
         self._turns = turns
 
     async def load(self, planned: PlannedLoad, entered_at_seconds: float) -> bool:
-        """Order one load and wait for its effect; return whether it showed.
+        """Order a load and wait for it; return whether the engine has the version.
 
         Parameters
         ----------
         planned : PlannedLoad
             The order.
         entered_at_seconds : float
-            When this daemon began to enter itself in the record of orders (monotonic).
+            When this daemon started to write its entry in the record of orders (monotonic).
         """
         target, order = planned.target, planned.order
         report = await self._engines.report(target)
@@ -111,22 +110,22 @@
         if fencing is None:
             self._log_order(planned, 0, "not sent: too late after the entry")
             return False
-        sent = VersionOrder(
+        version_order = VersionOrder(
             planned.model,
             order.version,
             self._context.settings.daemon,
             fencing,
             report.orders_taken,
-            self._runs_may_go_on(planned.service),
+            self._allows_mixed_versions(planned.service),
         )
-        answer = await self._engines.order_version(target, sent)
+        answer = await self._engines.order_version(target, version_order)
         self._log_order(planned, fencing, answer.value, report.orders_taken)
         if answer is OrderAnswer.REFUSED:
             return False
-        return await self._wait_loaded(planned.model, target, order.version)
+        return await self._wait_until_loaded(planned.model, target, order.version)
 
-    def _runs_may_go_on(self, service: str) -> bool:
-        """Return whether no route of a service wants each text from one version."""
+    def _allows_mixed_versions(self, service: str) -> bool:
+        """Return whether no batch route of a service requires a single version per text."""
         routes = self._context.daemon.view.rows(RouteRow)
         return not any(
             route.single_version and route.handling is Handling.BATCH
@@ -134,20 +133,20 @@
             if any(choice.serves == service for choice in route.choices)
         )
 
-    async def _wait_loaded(self, model: str, target: ListedTarget, version: int) -> bool:
+    async def _wait_until_loaded(self, model: str, target: ListedTarget, version: int) -> bool:
         deadline_seconds = self._context.now_seconds() + LOAD_TIMEOUT_SECONDS
-        next_report_seconds = self._context.now_seconds() + 2 * REPORT_EVERY_SECONDS
+        next_report_seconds = self._context.now_seconds() + 2 * REPORT_INTERVAL_SECONDS
         while self._context.now_seconds() < deadline_seconds:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
             listed = self._context.directory.entries.get(target.instance)
             if listed is None or listed.start != target.start:
-                # A start that is back under the identity has neither the order nor its weights.
+                # The engine was restarted under the same name: order and weights are lost.
                 return False
             if listed.versions.get(model, 0) >= version:
                 return True
             if self._context.now_seconds() < next_report_seconds:
                 continue
-            next_report_seconds += REPORT_EVERY_SECONDS
+            next_report_seconds += REPORT_INTERVAL_SECONDS
             report = await self._engines.report(target)
             if isinstance(report, EngineReport) and not report.is_loading:
                 return report.versions.get(model, 0) >= version
--- a/rackswitch/gateway/versions/tests/test_order_runs.py
+++ b/rackswitch/gateway/versions/tests/test_order_runs.py
@@ -1,4 +1,4 @@
-"""Long seeded runs: an engine that checks no fences never sees two holders within a turn."""
+"""Engines that do not check fencing numbers never get orders of two holders within a turn."""
 
 import pytest
 
@@ -7,12 +7,12 @@
 
 RUN_SECONDS = 150.0
 SEEDS = range(6)
-NAIVE_SEEDS = range(6)
+SKIP_TURNS_SEEDS = range(6)
 
 
-def play(seed: int, naive: bool = False) -> OrderRun:
+def run_simulation(seed: int, skip_turns: bool = False) -> OrderRun:
     async def scenario() -> OrderRun:
-        run = OrderRun(seed, naive)
+        run = OrderRun(seed, skip_turns)
         await run.run(RUN_SECONDS)
         return run
 
@@ -20,14 +20,14 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_holders_take_turns_and_the_newest_version_arrives_in_the_end(seed):
-    run = play(seed)
+def test_holders_take_turns_and_all_engines_get_the_newest_version(seed):
+    run = run_simulation(seed)
     assert run.violations() == []
     assert sum(len(engine.arrivals) for engine in run.engines.values()) > 20
     holders = {arrival.holder for engine in run.engines.values() for arrival in engine.arrivals}
     assert len(holders) > 1
-    assert {engine.version for engine in run.engines.values()} == {run.newest}
+    assert {engine.version for engine in run.engines.values()} == {run.newest_version}
 
 
-def test_holders_that_trust_their_role_alone_are_found_out():
-    assert any(play(seed, naive=True).violations() for seed in NAIVE_SEEDS)
+def test_detects_holders_that_do_not_wait_for_their_turn():
+    assert any(run_simulation(seed, skip_turns=True).violations() for seed in SKIP_TURNS_SEEDS)
--- a/rackswitch/gateway/versions/tests/test_path_versions.py
+++ b/rackswitch/gateway/versions/tests/test_path_versions.py
@@ -1,4 +1,4 @@
-"""Versions of weights on the whole path, on loopback."""
+"""Roll-out of weight versions end to end, on a fleet of gateways on loopback."""
 
 import asyncio
 from collections import Counter
@@ -8,18 +8,18 @@
 from rackswitch.platform.orders import EngineReport, NoReport, OrderClient
 
 
-def test_a_named_version_is_rolled_onto_the_engines_by_one_holder():
+def test_one_holder_rolls_out_a_named_version():
     async def scenario(fleet):
         fleet.store.put("op/version/m0", {"model": "m0", "version": 2})
         engines = fleet.engines
         await wait_for(lambda: sum(engine.versions["m0"] == 2 for engine in engines) == 2)
         await asyncio.sleep(0.5)
-        # The version before the newest still serves, so half of the engines are enough.
+        # The previous version may still be used, so half of the engines are enough.
         assert sorted(engine.versions["m0"] for engine in engines) == [1, 1, 2, 2]
         assert await fleet.submit("d0", "j1", [2] * 12, oldest_version=2) == 202
         results = await fleet.read_all("d0", "j1")
         assert all(result["versions"] == [2] for result in results)
-        # That job cannot use the old version, so the others load the new one too.
+        # That job needs version 2, so the other engines load it too.
         await wait_for(lambda: all(engine.versions["m0"] == 2 for engine in engines))
         orders = [order for engine in engines for order in engine.orders]
         assert len(orders) == len(engines)
@@ -28,7 +28,7 @@
     play(scenario, engines=4)
 
 
-def test_a_text_made_by_two_versions_names_both():
+def test_a_text_generated_by_two_versions_lists_both():
     async def scenario(fleet):
         assert await fleet.submit("d0", "j1", [120] * 4) == 202
         await wait_for(lambda: any(engine.runs for engine in fleet.engines))
@@ -52,9 +52,8 @@
     play(scenario)
 
 
-def test_after_a_loss_of_all_daemons_the_one_that_ordered_last_orders_again_at_once():
-    # Found on played days (association, trouble-1 seed 2): another daemon took the role and
-    # had to wait for the end of the former holder's turn.
+def test_the_last_holder_gets_the_role_again_after_a_restart_of_all_daemons():
+    # Any other daemon would have to wait for the end of the former holder's turn.
     async def scenario(fleet):
         fleet.name_version(2)
         await wait_for(lambda: any(engine.orders for engine in fleet.engines))
@@ -69,8 +68,8 @@
     play(scenario, daemons=4)
 
 
-def test_a_report_of_another_start_says_nothing_of_the_one_that_is_listed():
-    """Its orders are counted anew, and its weights are the first ones."""
+def test_ignores_a_report_from_another_start_of_the_engine():
+    """A restarted engine counts its orders from zero and has the initial weights."""
 
     async def scenario(fleet):
         engine = fleet.engines[0]
@@ -83,8 +82,8 @@
         assert isinstance(await client.report(listed), NoReport)
         directory = fleet.gateways["d0"].context.directory
         await wait_for(lambda: directory.entries[engine.instance].start != listed.start)
-        again = directory.entries[engine.instance]
-        assert isinstance(await client.report(again), EngineReport)
+        listed_after_restart = directory.entries[engine.instance]
+        assert isinstance(await client.report(listed_after_restart), EngineReport)
         await sessions.close()
 
     play(scenario)
--- a/rackswitch/gateway/versions/tests/test_version_manager.py
+++ b/rackswitch/gateway/versions/tests/test_version_manager.py
@@ -1,4 +1,4 @@
-"""A successor knows the former holder's last entry, whatever its copy shows."""
+"""Load orders: a new holder waits for the former one's turn, even if its replica lags."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class FakeSender:
-    """Notes when loads are sent, in place of sending them."""
+    """Records when loads would be sent, without sending them."""
 
     def __init__(self, now_seconds):
         self.sent: list[tuple[float, PlannedLoad]] = []
@@ -33,7 +33,7 @@
         return True
 
 
-def make_keeper(name: str, kv: KvStore) -> tuple[VersionManager, FakeSender]:
+def make_manager(name: str, kv: KvStore) -> tuple[VersionManager, FakeSender]:
     context = make_gateway_context(name, kv)
     context.daemon.view.offer(TABLE)
     for engine in ("e0", "e1"):
@@ -42,47 +42,47 @@
         context.targets[engine] = Target(engine, listed.url, "z")
     context.named_versions = {"m": 2, "n": 2}
     roles = RoleManager(context.daemon, lambda: ["versions/s"])
-    keeper = VersionManager(context, roles, None, lambda model: 0, EnginePaces())
+    manager = VersionManager(context, roles, None, lambda model: 0, EnginePaces())
     sender = FakeSender(context.now_seconds)
-    keeper._sender = sender
+    manager._sender = sender
     context.daemon.spawn(roles.run())
-    context.daemon.spawn(keeper.run())
-    return keeper, sender
+    context.daemon.spawn(manager.run())
+    return manager, sender
 
 
-def test_whoever_orders_tells_what_is_loaded_where():
+def test_record_tells_other_daemons_which_loads_are_in_progress():
     async def scenario():
         kv = KvStore()
-        keeper, sender = make_keeper("a", kv)
+        manager, sender = make_manager("a", kv)
         await asyncio.sleep(2.0)
         assert sender.sent
-        owner = make_keeper("b", kv)[0]
+        owner = make_manager("b", kv)[0]
         (entry,) = kv.read(ORDERS_PREFIX + "s").entries
         owner.orders_put(entry)
         loads = owner._context.loads
         now_seconds = owner._context.now_seconds()
-        told = {
+        recorded = {
             (load.target.instance, load.model)
             for _, load in sender.sent
             if loads.is_loading(load.target.instance, load.model, now_seconds)
         }
-        assert told
-        for context in (keeper._context, owner._context):
+        assert recorded
+        for context in (manager._context, owner._context):
             await context.daemon.cancel_all()
 
     run_virtual(scenario())
 
 
-def enter(kv: KvStore, holder: str) -> None:
+def write_entry(kv: KvStore, holder: str) -> None:
     record = msgspec.json.encode({"holder": holder})
     kv.txn([TxnPart((), (Operation(ORDERS_PREFIX + "s", record),))])
 
 
-def test_a_successor_whose_copy_lags_waits_for_the_former_holders_turn():
+def test_a_new_holder_with_a_lagging_replica_waits_for_the_former_holders_turn():
     async def scenario():
         kv = KvStore()
-        enter(kv, "former")
-        _, sender = make_keeper("b", kv)
+        write_entry(kv, "former")
+        _, sender = make_manager("b", kv)
         await asyncio.sleep(TURN_SECONDS - 0.2)
         early = list(sender.sent)
         await asyncio.sleep(3.0)
@@ -93,12 +93,12 @@
     assert sent
 
 
-def test_behind_itself_or_nobody_it_does_not_wait():
+def test_a_holder_does_not_wait_after_itself_or_without_a_predecessor():
     async def scenario(holder: str | None):
         kv = KvStore()
         if holder is not None:
-            enter(kv, holder)
-        _, sender = make_keeper("b", kv)
+            write_entry(kv, holder)
+        _, sender = make_manager("b", kv)
         await asyncio.sleep(1.5)
         return sender.sent
 
@@ -108,7 +108,7 @@
 
 def test_an_engine_gets_one_order_at_a_time_for_all_its_models():
     async def scenario():
-        _, sender = make_keeper("b", KvStore())
+        _, sender = make_manager("b", KvStore())
         await asyncio.sleep(8.0)
         return sender.sent
 
--- a/rackswitch/gateway/versions/version_manager.py
+++ b/rackswitch/gateway/versions/version_manager.py
@@ -1,4 +1,4 @@
-"""Rolls named versions onto engines, as the single holder that may order them."""
+"""Rolls out model versions to engines while this daemon holds the service's role."""
 
 import asyncio
 from collections.abc import Callable
@@ -36,38 +36,38 @@
 
 @dataclass(slots=True)
 class _ServiceLoads:
-    """The loads of one service's engines, as far as this daemon has ordered them.
+    """The loads that this daemon has ordered for one service's engines.
 
     Attributes
     ----------
-    under_way : dict of str to ServiceLoad
-        By engine.
+    in_progress : dict of str to ServiceLoad
+        Loads in progress, by engine.
     """
 
     state: RolloutState = field(default_factory=RolloutState)
-    under_way: dict[str, ServiceLoad] = field(default_factory=dict)
+    in_progress: dict[str, ServiceLoad] = field(default_factory=dict)
 
-    def begin(self, load: ServiceLoad) -> None:
-        """Note that an order is about to be sent."""
-        self.under_way[load.order.engine] = load
+    def record_start(self, load: ServiceLoad) -> None:
+        """Record that an order is about to be sent."""
+        self.in_progress[load.order.engine] = load
         self.state.ordered(load.order)
 
-    def ended(self, engine: str, loaded: bool, now_seconds: float) -> None:
-        """Note an order's end."""
-        self.under_way.pop(engine, None)
+    def record_end(self, engine: str, loaded: bool, now_seconds: float) -> None:
+        """Record the end of a load."""
+        self.in_progress.pop(engine, None)
         self.state.ended(engine, loaded, now_seconds)
 
-    def loading(self, now_seconds: float) -> dict[str, tuple[str, int]]:
-        """Return what each engine with an order under way loads."""
+    def loading_versions(self, now_seconds: float) -> dict[str, tuple[str, int]]:
+        """Return the model and version being loaded, by engine."""
         return {
             engine: (load.model, load.order.version)
-            for engine, load in self.under_way.items()
+            for engine, load in self.in_progress.items()
             if now_seconds < load.order.deadline_seconds
         }
 
 
 class OrderedLoad(msgspec.Struct, frozen=True, array_like=True):
-    """A load that is ordered, or about to be."""
+    """A load that was ordered or is about to be."""
 
     engine: str
     model: str
@@ -75,12 +75,12 @@
 
 
 class OrdersRecord(msgspec.Struct, frozen=True):
-    """Who orders a service's engines.
+    """The holder that orders loads for a service's engines.
 
     Attributes
     ----------
     loads : tuple of OrderedLoad
-        What is under way and what is ordered next, for the owners of jobs.
+        Loads in progress and those ordered next; owners of jobs take them into account.
     """
 
     holder: str
@@ -88,20 +88,20 @@
 
 
 class VersionManager:
-    """Compares engines with the versions that trainers have named, and orders loads.
+    """Compares engines with the versions that trainers named, and orders loads.
 
     Parameters
     ----------
     context : GatewayContext
         The daemon.
     roles : RoleManager
-        Leases on roles.
+        Manages this daemon's leases on roles.
     engines : OrderClient
-        Makes the calls.
+        Client for the engines' order interface.
     oldest_usable_version : callable
         Returns the oldest version of a model that all open jobs may use.
     paces : EnginePaces
-        Which engines are slow at present.
+        Current pace of each engine.
     """
 
     __slots__ = (
@@ -131,45 +131,45 @@
         self._named_at_seconds: dict[tuple[str, int], float] = {}
 
     def wanted_roles(self) -> list[str]:
-        """Return the roles that the table in force calls for."""
+        """Return the roles that the table in force requires."""
         rows = self._context.daemon.view.rows(ServiceRow)
         return [version_role(row.name) for row in rows if row.models]
 
     def last_holder(self, role: str) -> str | None:
-        """Return the daemon that ordered a role's engines last."""
+        """Return the last daemon that sent orders in a role."""
         return self._turns.last_holder(service_of_role(role))
 
     async def run(self) -> None:
-        """Tend the services held here until cancelled."""
+        """Order loads for the services whose role is held here, until cancelled."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
             for row in list(self._context.daemon.view.rows(ServiceRow)):
                 if row.models:
-                    await self._tend(row)
+                    await self._update_service(row)
 
     def orders_put(self, entry: KvEntry) -> None:
-        """Note who has entered the record of a service's orders."""
+        """Record the holder and the loads from a service's stored record."""
         record = msgspec.json.decode(entry.value, type=OrdersRecord)
         service = entry.key.removeprefix(ORDERS_PREFIX)
         now_seconds = self._context.now_seconds()
-        self._turns.entered(service, record.holder, entry.mod_revision)
+        self._turns.record_entry(service, record.holder, entry.mod_revision)
         for load in record.loads:
             listed = self._context.directory.entries.get(load.engine)
-            # The holder may not have noticed yet that a load has ended.
+            # Skip loads that have ended; the holder may not have noticed yet.
             if listed is not None and listed.versions.get(load.model, 0) < load.version:
                 self._context.loads.told(load.engine, load.model, load.version, now_seconds)
 
-    async def _tend(self, row: ServiceRow) -> None:
+    async def _update_service(self, row: ServiceRow) -> None:
         turn = version_turn(row.name)
-        if not await self._turns.is_open(turn, self.orders_put):
+        if not await self._turns.may_act_now(turn, self.orders_put):
             return
         planned = self._plan(row)
         if not planned:
             return
-        entry = await self._turns.enter(turn, self._record(row.name))
+        entry = await self._turns.write_entry(turn, self._encode_record(row.name))
         if entry is None:
             for load in planned:
-                self._note_end(load, False)
+                self._record_end(load, False)
             return
         for load in planned:
             self._context.daemon.spawn(self._send(load, entry.began_seconds))
@@ -179,22 +179,25 @@
         try:
             loaded = await self._sender.load(load, entered_at_seconds)
         finally:
-            self._note_end(load, loaded)
+            self._record_end(load, loaded)
 
-    def _note_end(self, load: PlannedLoad, loaded: bool) -> None:
+    def _record_end(self, load: PlannedLoad, loaded: bool) -> None:
         loads = self._loads[load.service]
-        loads.ended(load.target.instance, loaded, self._context.now_seconds())
-
-    def _record(self, service: str) -> bytes:
-        """Return the record of a service's orders as this daemon enters it."""
-        under_way = self._loads[service].loading(self._context.now_seconds())
-        loads = tuple(OrderedLoad(engine, *what) for engine, what in under_way.items())
+        loads.record_end(load.target.instance, loaded, self._context.now_seconds())
+
+    def _encode_record(self, service: str) -> bytes:
+        """Return the encoded record of a service's orders with this daemon as the holder."""
+        in_progress = self._loads[service].loading_versions(self._context.now_seconds())
+        loads = tuple(
+            OrderedLoad(engine, *model_and_version)
+            for engine, model_and_version in in_progress.items()
+        )
         return msgspec.json.encode(OrdersRecord(self._context.settings.daemon, loads))
 
     def _plan(self, row: ServiceRow) -> list[PlannedLoad]:
-        """Return the loads to order now; they count as under way from here on."""
+        """Return the loads to order now, and record them as in progress."""
         now_seconds = self._context.now_seconds()
-        needs = [need for model in row.models if (need := self._need(model)) is not None]
+        needs = [need for model in row.models if (need := self._model_need(model)) is not None]
         listed = {
             target.instance: target
             for target in self._context.directory.usable(row.name, now_seconds)
@@ -204,23 +207,23 @@
             for name, target in listed.items()
         ]
         loads = self._loads.setdefault(row.name, _ServiceLoads())
-        under_way = loads.loading(now_seconds)
-        planned = plan_service_loads(needs, carriers, loads.state, under_way, now_seconds)
+        in_progress = loads.loading_versions(now_seconds)
+        planned = plan_service_loads(needs, carriers, loads.state, in_progress, now_seconds)
         for load in planned:
-            loads.begin(load)
+            loads.record_start(load)
         return [
             PlannedLoad(row.name, load.model, listed[load.order.engine], load.order)
             for load in planned
         ]
 
     def _pace_seconds(self, start: str) -> float:
-        """Return an engine's pace, the same for all where it is not to be looked at."""
+        """Return an engine's pace; the same for all if `fast_engine_first` is off."""
         if not self._context.policy.fast_engine_first:
             return FIRST_PACE_SECONDS
         return self._paces.get(start, self._context.now_seconds())
 
-    def _need(self, model: str) -> ModelNeed | None:
-        """Return what is known of a model's versions; None if none was named."""
+    def _model_need(self, model: str) -> ModelNeed | None:
+        """Return which versions of a model are needed; None if none was named."""
         newest = self._context.named_versions.get(model, 0)
         if newest == 0:
             return None
