--- a/rackswitch/gateway/duties/tests/usage_run.py
+++ b/rackswitch/gateway/duties/tests/usage_run.py
@@ -91,8 +91,10 @@
     async def _read(self):
         reports = await super()._read()
         if reports is not None:
-            first = reports.open[0].window - 1 if reports.open else reports.last_fixed
-            self.value = UsageReports(first, [])
+            last_confirmed_window = (
+                reports.open[0].window - 1 if reports.open else reports.last_fixed
+            )
+            self.value = UsageReports(last_confirmed_window, [])
         return self.value
 
 
--- a/rackswitch/gateway/peer_service.py
+++ b/rackswitch/gateway/peer_service.py
@@ -56,7 +56,7 @@
         self._quarantine = quarantine
         self._usage = usage
         self._adopted_jobs = taken
-        self._forwarded_calls = passed_on
+        self._passed_on = passed_on
         self._context = context
         self._replica_server = replica_server
         self._reader = reader
@@ -124,7 +124,7 @@
         """Make a call to the key-value service for a daemon that cannot reach it."""
         request = await stream.recv_message()
         if request is not None:
-            await stream.send_message(await self._forwarded_calls.serve(request))
+            await stream.send_message(await self._passed_on.serve(request))
 
     async def CountUsage(self, stream: Stream[pb.CountUsageRequest, pb.CountUsageReply]) -> None:
         """Return this daemon's usage counts of a window."""
