--- a/rackswitch/table/__init__.py
+++ b/rackswitch/table/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' table: rows, edits and the view that is in force."""
+"""The operators' table: rows, edits and the current view."""
 
 from rackswitch.table.delta import *  # noqa: F403
 from rackswitch.table.delta import __all__ as _delta_all
--- a/rackswitch/table/delta.py
+++ b/rackswitch/table/delta.py
@@ -1,4 +1,4 @@
-"""What changed between two revisions of the table, for daemons that have the older one."""
+"""Differences between two revisions of the table, for daemons that hold the older one."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 class TableDelta(msgspec.Struct, frozen=True):
-    """The rows touched after a revision; None stands for a row that is gone."""
+    """The rows changed after a revision; None marks a removed row."""
 
     from_revision: int
     to_revision: int
@@ -18,26 +18,26 @@
 
 
 def delta_since(document: TableDocument, revision: int) -> TableDelta | None:
-    """Return what a daemon at `revision` misses.
+    """Return the changes that a daemon at `revision` lacks.
 
     Returns
     -------
     TableDelta or None
-        None if the table's history does not reach back far enough; then the whole table
-        has to be sent.
+        None if the table's history does not reach back to `revision`; the complete table
+        must be sent then.
     """
-    newer = tuple(edit for edit in document.edits if edit.revision > revision)
-    if revision <= 0 or len(newer) != document.revision - revision:
+    newer_edits = tuple(edit for edit in document.edits if edit.revision > revision)
+    if revision <= 0 or len(newer_edits) != document.revision - revision:
         return None
-    touched = {key for edit in newer for key in edit.keys}
-    rows = {key: document.rows.get(key) for key in sorted(touched)}
-    return TableDelta(revision, document.revision, rows, newer)
+    changed_keys = {key for edit in newer_edits for key in edit.keys}
+    rows = {key: document.rows.get(key) for key in sorted(changed_keys)}
+    return TableDelta(revision, document.revision, rows, newer_edits)
 
 
 def apply_delta(
     document: TableDocument, delta: TableDelta, remembered_edits: int
 ) -> TableDocument | None:
-    """Return the newer table, or None if the delta is not for this one."""
+    """Return the updated table, or None if the delta starts from another revision."""
     if document.revision != delta.from_revision:
         return None
     rows = dict(document.rows)
--- a/rackswitch/table/edits.py
+++ b/rackswitch/table/edits.py
@@ -1,8 +1,7 @@
-"""Accepting an edit: identity, conditions, checks and the new document.
+"""Validation and application of table edits.
 
-Everything here is pure. A daemon reads the document from the key-value
-service, applies the edit, and writes the result back on the condition that
-nobody else has written meanwhile.
+The functions have no side effects. A daemon reads the document from the key-value
+service, applies the edit, and writes the result back with a compare-and-swap.
 """
 
 import msgspec
@@ -37,7 +36,7 @@
 ]
 
 REMEMBERED_EDITS = 512
-"""Edits whose identity is kept, so that a retry is not applied twice."""
+"""Number of recent edit ids kept, so that a retried edit is not applied twice."""
 
 OPERATOR_ROLES = ("read", "edit", "admin")
 TARGET_PROTOCOLS = ("openai", "plain", "scorer")
@@ -61,7 +60,7 @@
 
 
 class TableDocument(msgspec.Struct, frozen=True):
-    """The whole table as it is kept in the key-value service."""
+    """The complete table as it is stored in the key-value service."""
 
     revision: int = 0
     rows: dict[RowKey, StoredRow] = {}
@@ -69,7 +68,7 @@
 
 
 class RowChange(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Put or remove one row, if it is still at `if_revision` (0: absent; None: any)."""
+    """Puts or removes one row if it is at `if_revision` (0: absent; None: any revision)."""
 
     row: Row | None = None
     remove: RowKey | None = None
@@ -77,12 +76,12 @@
 
     @property
     def key(self) -> RowKey:
-        """The key of the row that changes."""
+        """The key of the changed row."""
         return row_key(self.row) if self.row is not None else (self.remove or "")
 
 
 class Edit(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Changes that are accepted all together or not at all."""
+    """Changes that are accepted or rejected as one unit."""
 
     edit_id: str
     operator: str
@@ -91,26 +90,26 @@
 
 
 class EditAccepted(msgspec.Struct, frozen=True):
-    """The edit fits; `document` is to be written."""
+    """The edit is valid; `document` is the table to write."""
 
     document: TableDocument
 
 
 class EditDone(msgspec.Struct, frozen=True):
-    """The edit was applied before, at `revision`."""
+    """The edit was already applied, at `revision`."""
 
     revision: int
 
 
 class EditConflict(msgspec.Struct, frozen=True):
-    """Somebody changed the row first; `present` is the row as it stands."""
+    """The row is not at the expected revision; `present` is its current state."""
 
     key: RowKey
     present: StoredRow | None
 
 
 class EditInvalid(msgspec.Struct, frozen=True):
-    """The edit would make a table that cannot be served."""
+    """The edit would produce an invalid table."""
 
     key: RowKey
     field: str
@@ -126,43 +125,43 @@
     Parameters
     ----------
     document : TableDocument
-        The table as last read.
+        The table before the edit.
     edit : Edit
-        The change, with its own identity.
+        The changes and the id that makes retries idempotent.
 
     Returns
     -------
     EditOutcome
-        The new document, or why there is none.
+        The new document, or the reason for the rejection.
     """
-    for remembered in document.edits:
-        if remembered.edit_id == edit.edit_id:
-            return EditDone(remembered.revision)
+    for earlier_edit in document.edits:
+        if earlier_edit.edit_id == edit.edit_id:
+            return EditDone(earlier_edit.revision)
     revision = document.revision + 1
     rows = dict(document.rows)
     for change in edit.changes:
-        refusal = _apply_change(rows, change, revision)
-        if refusal is not None:
-            return refusal
+        rejection = _apply_change(rows, change, revision)
+        if rejection is not None:
+            return rejection
     invalid = check_rows([stored.row for stored in rows.values()])
     if invalid is not None:
         return invalid
-    entry = RememberedEdit(
+    history_entry = RememberedEdit(
         edit_id=edit.edit_id,
         revision=revision,
         operator=edit.operator,
         at_unix_seconds=edit.at_unix_seconds,
         keys=tuple(change.key for change in edit.changes),
     )
-    kept = (*document.edits, entry)[-REMEMBERED_EDITS:]
-    return EditAccepted(TableDocument(revision=revision, rows=rows, edits=kept))
+    recent_edits = (*document.edits, history_entry)[-REMEMBERED_EDITS:]
+    return EditAccepted(TableDocument(revision=revision, rows=rows, edits=recent_edits))
 
 
 def _apply_change(
     rows: dict[RowKey, StoredRow], change: RowChange, revision: int
 ) -> EditConflict | EditInvalid | None:
     if (change.row is None) == (change.remove is None):
-        return EditInvalid(change.key, "row", "give exactly one of `row` and `remove`")
+        return EditInvalid(change.key, "row", "exactly one of `row` and `remove` is required")
     present = rows.get(change.key)
     present_revision = present.revision if present is not None else 0
     if change.if_revision is not None and change.if_revision != present_revision:
@@ -177,27 +176,31 @@
 
 
 def check_rows(rows: list[Row]) -> EditInvalid | None:
-    """Return the first row and field that make the table unservable, or None."""
-    served = {row.serves for row in rows if isinstance(row, TargetRow) and not row.draining}
-    models = {row.name for row in rows if isinstance(row, ModelRow)}
+    """Return the first invalid row and field, or None if the table is valid."""
+    served_names = {row.serves for row in rows if isinstance(row, TargetRow) and not row.draining}
+    model_names = {row.name for row in rows if isinstance(row, ModelRow)}
     for row in rows:
-        fault = _check_row(row, served, models)
-        if fault is not None:
-            return fault
-    holders = shared_key(row for row in rows if isinstance(row, TenantRow))
-    if holders is not None:
-        return EditInvalid(f"tenant/{holders[1]}", "key_sha256", f"a key of {holders[0]!r} too")
+        error = _check_row(row, served_names, model_names)
+        if error is not None:
+            return error
+    sharing_tenants = shared_key(row for row in rows if isinstance(row, TenantRow))
+    if sharing_tenants is not None:
+        return EditInvalid(
+            f"tenant/{sharing_tenants[1]}",
+            "key_sha256",
+            f"the key is held by {sharing_tenants[0]!r} too",
+        )
     return None
 
 
-def _check_row(row: Row, served: set[str], models: set[str]) -> EditInvalid | None:
+def _check_row(row: Row, served_names: set[str], model_names: set[str]) -> EditInvalid | None:
     key = row_key(row)
     if isinstance(row, RouteRow):
-        return _check_route(key, row, served)
+        return _check_route(key, row, served_names)
     if isinstance(row, TrainerRow):
-        if row.model not in models:
+        if row.model not in model_names:
             return EditInvalid(key, "model", f"unknown model {row.model!r}")
-        if row.scorer is not None and row.scorer not in served:
+        if row.scorer is not None and row.scorer not in served_names:
             return EditInvalid(key, "scorer", f"no target serves {row.scorer!r}")
         if row.idle_weight + row.staleness_weight <= 0:
             return EditInvalid(key, "idle_weight", "both weights are zero")
@@ -208,13 +211,13 @@
     return None
 
 
-def _check_route(key: RowKey, row: RouteRow, served: set[str]) -> EditInvalid | None:
+def _check_route(key: RowKey, row: RouteRow, served_names: set[str]) -> EditInvalid | None:
     if sum(choice.weight for choice in row.choices) <= 0:
-        return EditInvalid(key, "choices", "the weights sum to nothing")
+        return EditInvalid(key, "choices", "the weights sum to zero")
     for index, choice in enumerate(row.choices):
         field = f"choices[{index}]"
-        if choice.serves not in served:
+        if choice.serves not in served_names:
             return EditInvalid(key, f"{field}.serves", f"no target serves {choice.serves!r}")
         if choice.newest_version is not None and choice.newest_version < choice.oldest_version:
-            return EditInvalid(key, f"{field}.newest_version", "below oldest_version")
+            return EditInvalid(key, f"{field}.newest_version", "less than oldest_version")
     return None
--- a/rackswitch/table/matching.py
+++ b/rackswitch/table/matching.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request by its host and path."""
+"""Lookup of a request's route by host and path."""
 
 from dataclasses import dataclass, field
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteIndex:
-    """The routes of one table by host, longest path prefix first."""
+    """The routes of a table by host, longest path prefix first."""
 
     by_host: dict[str, tuple[RouteRow, ...]] = field(default_factory=dict)
 
@@ -20,12 +20,12 @@
         Parameters
         ----------
         host : str
-            The ``Host`` header; a port in it does not matter, nor does case.
+            The ``Host`` header; port and case are ignored.
         path : str
-            The path, without the query.
+            The path without the query.
         """
-        name = host.rsplit(":", 1)[0] if ":" in host else host
-        for route in self.by_host.get(name.lower(), ()):
+        hostname = host.rsplit(":", 1)[0] if ":" in host else host
+        for route in self.by_host.get(hostname.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
@@ -38,8 +38,8 @@
         row = stored.row
         if isinstance(row, RouteRow) and row.host:
             by_host.setdefault(row.host.lower(), []).append(row)
-    sorted_routes = {
+    routes_by_host = {
         host: tuple(sorted(routes, key=lambda route: -len(route.path_prefix)))
         for host, routes in by_host.items()
     }
-    return RouteIndex(sorted_routes)
+    return RouteIndex(routes_by_host)
--- a/rackswitch/table/rows.py
+++ b/rackswitch/table/rows.py
@@ -1,4 +1,4 @@
-"""The kinds of rows that operators and automation write."""
+"""Row types of the table that operators and automation edit."""
 
 from enum import Enum
 from typing import Annotated
@@ -30,18 +30,18 @@
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 RowKey = str
 
-MIDDLE_CLASS = 5
-"""Rank of requests of which nothing says a rank: that of the platform's engines."""
+DEFAULT_CALLER_CLASS = 5
+"""Rank of requests whose route and tenant specify none; same as the platform's engines."""
 
 
 class _Row(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, tag_field="kind"):
-    """Fields that every row has."""
+    """Fields common to all rows."""
 
     name: Name
 
 
 class TargetRow(_Row, tag="target", frozen=True, kw_only=True):
-    """An engine or plain service instance that requests can be sent to."""
+    """An engine or plain service instance that serves requests."""
 
     url: str
     zone: Name
@@ -52,14 +52,14 @@
 
 
 class ModelRow(_Row, tag="model", frozen=True, kw_only=True):
-    """A model whose versions change; `pinned_version` rolls back or holds a version."""
+    """A model with versions; `pinned_version` fixes the version or rolls back to it."""
 
     pinned_version: NonNegativeInt | None = None
     unavailable_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.34
 
 
 class RouteChoice(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One weighted way to serve a route, with the versions that may."""
+    """A weighted choice of model or service for a route, with the allowed version range."""
 
     serves: Name
     weight: NonNegative = 1.0
@@ -68,7 +68,7 @@
 
 
 class Handling(Enum):
-    """How requests of a route may be treated."""
+    """How requests of a route may be executed."""
 
     REPEATABLE = "repeatable"
     """May run more than once."""
@@ -81,29 +81,29 @@
 
 
 class RouteRow(_Row, tag="route", frozen=True, kw_only=True):
-    """What callers may ask for, and which versions may serve them.
+    """A route that callers can request, and the versions that may serve it.
 
-    A route is asked for by its name, or, if it has a host, by host and path.
+    Callers address a route by name, or by host and path if it has a host.
 
     Attributes
     ----------
     host, path_prefix : str
-        Requests to this host whose path begins so; the longest prefix of a host wins.
+        Match requests to this host whose path starts with the prefix; the longest prefix wins.
     timeout_seconds, goal_seconds : float
-        The longest a request is held, and the time within which an answer is wanted.
+        Maximum duration of a request, and the latency target.
     caller_class : int
-        Rank of the requests, 0 first.
+        Priority class of the requests; 0 is served first.
     most_attempts : int
-        Targets that one request may be sent to.
+        Maximum number of targets that one request is sent to.
     streams, resumable : bool
-        Whether answers are event streams, and whether another target may go on with one.
+        Whether responses are event streams, and whether another target may resume one.
     single_version : bool
-        Whether all of a sample must be made by one version.
+        Whether one version must generate the complete sample.
     is_public : bool
-        Whether nobody is asked for a key.
+        Whether requests need no key.
     due_seconds, keep_seconds : float
-        For batch jobs, counted from the submission: when all results are due, and from
-        when an item may be given up.
+        For batch jobs, measured from submission: when all results are due, and when an
+        item may be abandoned.
     """
 
     choices: tuple[RouteChoice, ...]
@@ -124,18 +124,18 @@
 
 
 class ScalingTerms(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Terms on which a service's targets can be ordered.
+    """Limits and prices for ordering a service's targets.
 
     Attributes
     ----------
     least, most : int
-        Targets in each availability zone, of all kinds together.
+        Minimum and maximum number of targets per availability zone, over all kinds.
     boot_seconds : float
-        From an order until a new target serves.
+        Time from an order until the new target serves requests.
     reclaimable_price : float
-        Price of a target that may be taken away, as a share of a kept one's.
+        Price of a reclaimable target relative to a non-reclaimable one.
     zone_prices : dict of str to float
-        Price of a kept target's second in each zone where targets can be had.
+        Price per second of a non-reclaimable target in each zone that offers targets.
     """
 
     least: NonNegativeInt = 0
@@ -146,18 +146,18 @@
 
 
 class ServiceRow(_Row, tag="service", frozen=True, kw_only=True):
-    """Facts about the targets of one service that do not differ between them.
+    """Properties shared by all targets of a service.
 
     Attributes
     ----------
     most_connections : int
-        Connections that a target takes from all daemons together.
+        Maximum number of connections that a target accepts from all daemons together.
     slots : int
-        Requests that a target works on at once; 0 if that is not known here.
+        Requests that a target processes concurrently; 0 if unknown.
     models : tuple of str
-        Models whose versions the targets load; none for a plain service.
+        Models that the targets load; empty for a plain service.
     scaling : ScalingTerms or None
-        Terms on which targets can be ordered; None if they cannot.
+        Limits and prices for ordering targets; None if they cannot be ordered.
     """
 
     most_connections: NonNegativeInt = 0
@@ -167,7 +167,7 @@
 
 
 class LimitsRow(_Row, tag="limits", frozen=True, kw_only=True):
-    """What a caller may send, and how long its connection may take or rest."""
+    """Limits on the size of callers' requests and on connection timeouts."""
 
     most_header_bytes: NonNegativeInt = 16_384
     most_body_bytes: NonNegativeInt = 33_554_432
@@ -181,9 +181,9 @@
     Attributes
     ----------
     key_sha256 : tuple of str
-        Digests of its keys; a request carries any of them.
+        SHA-256 digests of the customer's keys; a request carries one of the keys.
     caller_class : int or None
-        Rank of its requests, 0 first; None to go by the route's.
+        Priority class of its requests, 0 first; None to use the route's.
     """
 
     key_sha256: tuple[str, ...] = ()
@@ -193,12 +193,12 @@
 
     @property
     def rank(self) -> int:
-        """Rank of its requests where no route says one."""
-        return MIDDLE_CLASS if self.caller_class is None else self.caller_class
+        """Priority class of its requests if the route specifies none."""
+        return DEFAULT_CALLER_CLASS if self.caller_class is None else self.caller_class
 
 
 class TrainerRow(_Row, tag="trainer", frozen=True, kw_only=True):
-    """A trainer: what it may draw and how old a sample may be."""
+    """A trainer, with its model, concurrency limit and staleness bound."""
 
     token_sha256: str
     model: Name
@@ -210,20 +210,20 @@
 
 
 class OperatorRow(_Row, tag="operator", frozen=True, kw_only=True):
-    """A person or automation that may read or change the table."""
+    """A person or program that may read or edit the table."""
 
     token_sha256: str
     role: str = "read"
 
 
 class DaemonRow(_Row, tag="daemon", frozen=True, kw_only=True):
-    """An operator's order about one daemon."""
+    """An operator's instruction for one daemon."""
 
     draining: bool = False
 
 
 class FleetRow(_Row, tag="fleet", frozen=True, kw_only=True):
-    """Facts about the whole fleet; `daemon_slots` divides each limit into base shares."""
+    """Fleet-wide settings; `daemon_slots` is the number of base shares of each limit."""
 
     daemon_slots: Annotated[int, msgspec.Meta(ge=1)] = 9
 
--- a/rackswitch/table/shared_keys.py
+++ b/rackswitch/table/shared_keys.py
@@ -1,4 +1,4 @@
-"""Keys that more than one tenant of a table claims."""
+"""Detection of keys that are assigned to more than one tenant."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 
 
 def shared_key(tenants: Iterable[TenantRow]) -> tuple[str, str] | None:
-    """Return two tenants that have a key in common, or None if every key has one holder."""
+    """Return two tenants that share a key, or None if every key has one tenant."""
     holders: dict[str, str] = {}
     for row in tenants:
         for digest in row.key_sha256:
--- a/rackswitch/table/tests/test_delta.py
+++ b/rackswitch/table/tests/test_delta.py
@@ -1,4 +1,4 @@
-"""A delta brings an older table to exactly the newer one."""
+"""Applying a delta to an older table gives exactly the newer one."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,16 +15,16 @@
     delta_since,
 )
 
-STEPS = st.lists(st.tuples(st.integers(0, 4), st.booleans()), min_size=1, max_size=25)
+EDIT_STEPS = st.lists(st.tuples(st.integers(0, 4), st.booleans()), min_size=1, max_size=25)
 
 
-def history(steps):
-    """Return the table after each of a series of puts and removals."""
+def tables_after(steps):
+    """Return the table after each put or removal."""
     tables = [TableDocument()]
-    for number, (row, removes) in enumerate(steps):
-        change = RowChange(row=DaemonRow(name=f"d{row}", draining=bool(number % 2)))
-        if removes and f"daemon/d{row}" in tables[-1].rows:
-            change = RowChange(remove=f"daemon/d{row}")
+    for number, (row_number, is_removal) in enumerate(steps):
+        change = RowChange(row=DaemonRow(name=f"d{row_number}", draining=bool(number % 2)))
+        if is_removal and f"daemon/d{row_number}" in tables[-1].rows:
+            change = RowChange(remove=f"daemon/d{row_number}")
         edit = Edit(edit_id=str(number), operator="o", at_unix_seconds=0.0, changes=(change,))
         outcome = apply_edit(tables[-1], edit)
         assert isinstance(outcome, EditAccepted)
@@ -32,23 +32,23 @@
     return tables
 
 
-@given(STEPS, st.data())
-def test_any_older_table_becomes_the_newest(steps, data):
-    tables = history(steps)
+@given(EDIT_STEPS, st.data())
+def test_delta_updates_any_older_table_to_the_newest(steps, data):
+    tables = tables_after(steps)
     older = tables[data.draw(st.integers(1, len(tables) - 1))]
     delta = delta_since(tables[-1], older.revision)
     assert apply_delta(older, delta, REMEMBERED_EDITS) == tables[-1]
 
 
-@given(STEPS)
-def test_a_delta_for_another_table_is_not_applied(steps):
-    tables = history(steps)
+@given(EDIT_STEPS)
+def test_delta_for_another_revision_is_not_applied(steps):
+    tables = tables_after(steps)
     delta = delta_since(tables[-1], 1)
     assert apply_delta(TableDocument(revision=99), delta, REMEMBERED_EDITS) is None
 
 
-def test_a_history_that_is_too_short_asks_for_the_whole_table():
-    newest = history([(1, False)] * (REMEMBERED_EDITS + 3))[-1]
+def test_no_delta_when_the_history_is_too_short():
+    newest = tables_after([(1, False)] * (REMEMBERED_EDITS + 3))[-1]
     assert delta_since(newest, 1) is None
     assert delta_since(newest, 0) is None
     assert delta_since(newest, newest.revision - 1) is not None
--- a/rackswitch/table/tests/test_matching.py
+++ b/rackswitch/table/tests/test_matching.py
@@ -39,6 +39,6 @@
         ("", "/a/", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_wins(host, path, name):
+def test_longest_matching_prefix_of_the_host_wins(host, path, name):
     found = INDEX.find(host, path)
     assert (found.name if found is not None else None) == name
--- a/rackswitch/table/tests/test_view.py
+++ b/rackswitch/table/tests/test_view.py
@@ -1,4 +1,4 @@
-"""A table in force is never replaced by an older one."""
+"""The current table is never replaced by an older one."""
 
 import hypothesis.strategies as st
 from hypothesis import given
@@ -17,19 +17,19 @@
 
 
 @given(st.lists(st.integers(1, 20), max_size=30))
-def test_the_newest_table_offered_so_far_is_in_force(revisions):
+def test_view_holds_the_newest_table_offered(revisions):
     view = TableView()
     newest = 0
     for revision in revisions:
         document = TableDocument(revision=revision)
-        taken = view.offer(document)
-        assert taken == (revision > newest)
+        was_replaced = view.offer(document)
+        assert was_replaced == (revision > newest)
         newest = max(newest, revision)
         assert view.revision == newest
-        assert (view.document is document) == taken
+        assert (view.document is document) == was_replaced
 
 
-def test_a_confirmation_counts_for_the_revision_in_force_and_until_its_deadline():
+def test_confirmation_applies_to_the_current_revision_until_its_deadline():
     view = TableView()
     view.offer(TableDocument(revision=3))
     assert not view.is_confirmed(1.0)
@@ -56,7 +56,7 @@
     assert list(view.rows(ModelRow)) == [model]
 
 
-def test_targets_that_drain_get_nothing_new():
+def test_targets_excludes_draining_targets():
     rows = [
         TargetRow(name=name, url="http://t", zone="z", serves=serves, draining=draining)
         for name, serves, draining in (("a", "m", False), ("b", "m", True), ("c", "n", False))
@@ -64,7 +64,7 @@
     assert [row.name for row in view_of(*rows).targets("m")] == ["a"]
 
 
-def test_each_zone_has_its_watchers():
+def test_chooses_watchers_per_zone():
     live = [("d3", "x"), ("d1", "x"), ("d2", "x"), ("e1", "y")]
     assert choose_watchers(live, 2) == {"d1", "d2", "e1"}
     assert choose_watchers(live, 1) == {"d1", "e1"}
--- a/rackswitch/table/view.py
+++ b/rackswitch/table/view.py
@@ -1,4 +1,4 @@
-"""The table that a daemon has in force, and how fresh it is known to be."""
+"""The table that a daemon currently uses, and its freshness."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -15,12 +15,12 @@
 
 @dataclass(slots=True)
 class TableView:
-    """The newest table this daemon has seen; its revision only grows.
+    """The newest table that this daemon has received; its revision never decreases.
 
     Attributes
     ----------
     confirmed_until_seconds : float
-        Until when (monotonic) the table counts as confirmed with the service.
+        Monotonic time until which the table counts as confirmed by the service.
     """
 
     document: TableDocument = field(default_factory=TableDocument)
@@ -28,11 +28,11 @@
 
     @property
     def revision(self) -> int:
-        """The revision in force; 0 means no table."""
+        """The current revision; 0 if there is no table."""
         return self.document.revision
 
     def offer(self, document: TableDocument) -> bool:
-        """Take a table in force if it is newer; return whether it was."""
+        """Replace the table if `document` is newer; return whether it was."""
         if document.revision <= self.revision:
             return False
         previous = self.revision
@@ -41,16 +41,15 @@
         return True
 
     def confirm(self, revision: int, until_seconds: float) -> None:
-        """Note that `revision` was current in the service, to be trusted until a deadline.
+        """Record that `revision` was current in the service, valid until a deadline.
 
-        A confirmation of another revision than the one in force says nothing about
-        the table here and is ignored.
+        A confirmation of a revision other than the current one is ignored.
         """
         if revision == self.revision:
             self.confirmed_until_seconds = max(self.confirmed_until_seconds, until_seconds)
 
     def is_confirmed(self, now_seconds: float) -> bool:
-        """Return whether the freshness of the table is still vouched for."""
+        """Return whether the last confirmation of the table is still valid."""
         return self.revision > 0 and now_seconds < self.confirmed_until_seconds
 
     def rows(self, kind: type[RowT]) -> Iterable[RowT]:
@@ -66,20 +65,20 @@
         return stored.row if stored is not None else None  # type: ignore[return-value]
 
     def targets(self, serves: str) -> list[TargetRow]:
-        """Return the targets of a model or service that may get new work."""
+        """Return the targets of a model or service that are not draining."""
         return [row for row in self.rows(TargetRow) if row.serves == serves and not row.draining]
 
 
-def choose_watchers(live: Iterable[tuple[str, str]], per_zone: int) -> set[str]:
+def choose_watchers(live_daemons: Iterable[tuple[str, str]], per_zone: int) -> set[str]:
     """Choose the daemons that watch the service on behalf of all others.
 
     Parameters
     ----------
     live : iterable of (daemon, zone)
-        The daemons believed live. Different beliefs on different daemons cost some
-        calls, never a wrong table.
+        The daemons considered live. If daemons disagree on this set, the service gets
+        more calls; the table stays correct.
     per_zone : int
-        Watchers in each availability zone; so the number of calls follows the number
+        Watchers per availability zone; the number of calls therefore grows with the number
         of zones, not of daemons.
 
     Returns
@@ -88,9 +87,9 @@
         Daemon names.
     """
     by_zone: dict[str, list[str]] = {}
-    for daemon, zone in live:
+    for daemon, zone in live_daemons:
         by_zone.setdefault(zone, []).append(daemon)
-    chosen: set[str] = set()
+    watchers: set[str] = set()
     for daemons in by_zone.values():
-        chosen.update(sorted(daemons)[:per_zone])
-    return chosen
+        watchers.update(sorted(daemons)[:per_zone])
+    return watchers
