--- a/rackswitch/samples/__init__.py
+++ b/rackswitch/samples/__init__.py
@@ -1,4 +1,4 @@
-"""Samples: labels, staleness, the order of work, and handing over exactly once."""
+"""Samples: labels, staleness, scheduling, and exactly-once delivery to trainers."""
 
 from rackswitch.samples.labels import *  # noqa: F403
 from rackswitch.samples.labels import __all__ as _labels_all
--- a/rackswitch/samples/labels.py
+++ b/rackswitch/samples/labels.py
@@ -1,4 +1,4 @@
-"""From version spans, as the engine named them, to a sample's label."""
+"""Sample labels, built from the version spans that engines report."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LabelUnknown:
-    """The sample cannot be labelled truthfully and must be made again."""
+    """The sample's versions are not fully known; it must be generated again."""
 
     detail: str
 
@@ -18,42 +18,42 @@
 def make_label(
     spans: list[VersionSpan], tokens: int, scorer_version: str | None = None
 ) -> SampleLabel | LabelUnknown:
-    """Label a sample, or say why it cannot be labelled.
+    """Return a sample's label, or the reason why there is none.
 
     Parameters
     ----------
     spans : list of VersionSpan
-        What the engines said, over all attempts that the sample was resumed through.
+        Spans reported by the engines over all attempts of the sample.
     tokens : int
         Number of tokens in the sample.
     scorer_version : str, optional
-        The scorer's word about itself.
+        Version that the scorer reported.
     """
-    merged: list[tuple[int, int]] = []
+    merged_spans: list[tuple[int, int]] = []
     for span in spans:
         if span.version is None:
-            return LabelUnknown("an engine could not name its version")
-        if merged and merged[-1][0] == span.version:
-            merged[-1] = (span.version, merged[-1][1] + span.tokens)
+            return LabelUnknown("an engine did not report its version")
+        if merged_spans and merged_spans[-1][0] == span.version:
+            merged_spans[-1] = (span.version, merged_spans[-1][1] + span.tokens)
         else:
-            merged.append((span.version, span.tokens))
-    if not merged:
+            merged_spans.append((span.version, span.tokens))
+    if not merged_spans:
         return LabelUnknown("no tokens")
-    if sum(count for _, count in merged) != tokens:
+    if sum(span_tokens for _, span_tokens in merged_spans) != tokens:
         return LabelUnknown("the spans do not cover the tokens")
-    return SampleLabel(spans=tuple(merged), scorer_version=scorer_version)
+    return SampleLabel(spans=tuple(merged_spans), scorer_version=scorer_version)
 
 
 def staleness_versions(label: SampleLabel, policy_version: int) -> int:
-    """Return how many versions the sample's oldest token lies behind the trainer's."""
+    """Return how many versions the sample's oldest token is behind the trainer."""
     return max(0, policy_version - label.oldest_version)
 
 
 def may_resume(spans: list[VersionSpan], policy_version: int, bound_versions: int) -> bool:
-    """Return whether a broken-off sample is worth resuming.
+    """Return whether to resume an interrupted sample.
 
-    Resuming keeps its oldest span; if one more version would already make it too old,
-    it is started again, since it will not be finished under the present weights.
+    Resuming keeps its oldest span. A sample that one more version would make too old
+    is restarted, because the next version is likely before its end.
     """
     versions = [span.version for span in spans]
     if not versions or any(version is None for version in versions):
--- a/rackswitch/samples/ledger.py
+++ b/rackswitch/samples/ledger.py
@@ -1,11 +1,11 @@
-"""Handing samples to one trainer, each exactly once.
-
-The durable record names, for the step in progress, which sample indices went
-into which batch. It is written, on the condition that the writer still holds
-the ledger's lease, before a batch is handed over; bodies are not kept durably.
-If they are lost the same indices are made again for the same batch, which is
-sound because the trainer has not acknowledged it. See
-docs/samples/index.md for each crash point.
+"""Exactly-once delivery of samples to one trainer.
+
+The durable record lists the sample indices of each batch of the step in
+progress. It is written before a batch is handed over, on the condition that
+the writer still holds the ledger's lease. Sample bodies are not durable: if
+they are lost, the same indices are generated again for the same batch, which
+the trainer has not acknowledged yet. See docs/samples/index.md for each crash
+point.
 """
 
 from dataclasses import dataclass, field
@@ -15,7 +15,12 @@
 from rackswitch.outcomes import check_invariant
 from rackswitch.samples.labels import staleness_versions
 from rackswitch.samples.messages import Draw, Sample, SampleOrder, StepPlan
-from rackswitch.samples.work import LengthForecast, index_groups, shadow_allowed, work_order
+from rackswitch.samples.work import (
+    LengthForecast,
+    group_of_each_index,
+    may_start_next_step,
+    sort_by_expected_length,
+)
 
 __all__ = [
     "DrawComplete",
@@ -30,7 +35,7 @@
 
 
 class LedgerRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """What must outlast every daemon, for one trainer."""
+    """The durable state of one trainer's ledger."""
 
     step: int = 0
     trainer_epoch: int = 0
@@ -39,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawRefused:
-    """The draw cannot be right; nothing was changed."""
+    """The draw is invalid; the ledger is unchanged."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class DrawWait:
-    """Nothing can be handed over yet."""
+    """No batch is ready yet."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawWrite:
-    """Write this record first, then draw again."""
+    """The record must be written before the draw is repeated."""
 
     record: LedgerRecord
 
 
 @dataclass(frozen=True, slots=True)
 class DrawHandOver:
-    """Hand this batch over."""
+    """The batch to hand over."""
 
     batch: int
     samples: tuple[Sample, ...]
@@ -74,7 +79,7 @@
 
 @dataclass(slots=True)
 class LedgerCounts:
-    """What happened to samples, for metrics."""
+    """Counters of samples by outcome, for metrics."""
 
     finished: int = 0
     handed_over: int = 0
@@ -85,16 +90,16 @@
 
 @dataclass(slots=True)
 class SampleLedger:
-    """One trainer's samples on the daemon that holds its ledger.
+    """The sample ledger of one trainer, on the daemon that holds its lease.
 
     Parameters
     ----------
     trainer : str
-        The trainer.
+        The trainer's name.
     model : str
-        The model that its samples come from.
+        The model that generates the samples.
     record : LedgerRecord
-        The record as it stands in the key-value service.
+        The record stored in the key-value service.
     """
 
     trainer: str
@@ -109,39 +114,39 @@
     forecast: LengthForecast = field(default_factory=LengthForecast)
     counts: LedgerCounts = field(default_factory=LedgerCounts)
     _attempts: int = 0
-    _remake_last_batch: bool = False
+    _regenerate_last_batch: bool = False
 
     def learn_plan(self, plan: StepPlan) -> DrawRefused | None:
-        """Take in a step's plan; the same plan again is fine, another one is not."""
-        known = self.plans.get(plan.step)
-        if known is not None and known != plan:
-            return DrawRefused(f"step {plan.step} was planned differently")
+        """Record a step's plan; refuse it if it differs from the recorded one."""
+        recorded = self.plans.get(plan.step)
+        if recorded is not None and recorded != plan:
+            return DrawRefused(f"step {plan.step} already has a different plan")
         self.plans[plan.step] = plan
         return None
 
     def set_rules(self, staleness_bound_versions: int, latest_version: int) -> None:
-        """Take in the table's bound and the newest published version."""
+        """Update the table's staleness bound and the newest published version."""
         self.staleness_bound_versions = staleness_bound_versions
         self.policy_version = max(self.policy_version, latest_version)
 
-    def draw(self, draw: Draw, at_least: int = 1) -> DrawDecision:
-        """Decide the answer to a draw.
+    def draw(self, draw: Draw, min_samples: int = 1) -> DrawDecision:
+        """Decide the response to a draw.
 
         Parameters
         ----------
         draw : Draw
-            The trainer's call.
+            The trainer's request.
         at_least : int
-            Fewest samples worth a new batch, unless no more are to come.
+            Minimum number of samples in a new batch, unless fewer remain in the step.
 
         Notes
         -----
-        The caller writes a record it is told to write, calls `written` once the write is
-        known to have taken effect, and then asks again.
+        After `DrawWrite` the caller writes the record, calls `written` once the write has
+        taken effect, and repeats the draw.
         """
         self.policy_version = max(self.policy_version, draw.policy_version)
         if draw.trainer_epoch < self.record.trainer_epoch:
-            return DrawRefused("a later start of this trainer has drawn already")
+            return DrawRefused("a later epoch of this trainer has already drawn")
         if draw.trainer_epoch > self.record.trainer_epoch:
             return self._rewind(draw)
         if draw.step == self.record.step + 1:
@@ -150,26 +155,26 @@
             return DrawRefused(f"step {self.record.step} is in progress")
         last_batch = len(self.record.batches)
         if draw.acknowledged_batch == last_batch:
-            return self._next_batch(draw, at_least)
+            return self._next_batch(draw, min_samples)
         if draw.acknowledged_batch == last_batch - 1:
             return self._hand_over(last_batch)
         return DrawRefused(f"batch {last_batch} is the last of step {draw.step}")
 
     def written(self, record: LedgerRecord) -> None:
-        """Note that the record is in force in the service."""
-        handed = [index for batch in record.batches for index in batch]
-        check_invariant(len(handed) == len(set(handed)), "no index is in two batches")
+        """Record that the write of `record` to the service took effect."""
+        handed_over = [index for batch in record.batches for index in batch]
+        check_invariant(len(handed_over) == len(set(handed_over)), "no index is in two batches")
         check_invariant(
             record.trainer_epoch > self.record.trainer_epoch
             or (record.step, len(record.batches)) > (self.record.step, len(self.record.batches)),
-            "a record moves forward within a trainer epoch",
+            "the record advances within a trainer epoch",
         )
         self.record = record
-        self._remake_last_batch = False
-        self._forget_old_steps()
+        self._regenerate_last_batch = False
+        self._discard_old_steps()
 
     def finished(self, sample: Sample) -> bool:
-        """Take in a finished sample; return False if nobody waits for this one."""
+        """Record a finished sample; return False if it is not expected or is too stale."""
         key = (sample.step, sample.index)
         if self.running.get(key) != sample.attempt:
             return False
@@ -182,11 +187,11 @@
         self.counts.finished += 1
         plan = self.plans.get(sample.step)
         if plan is not None:
-            self.forecast.note(plan.groups[sample.group].prompt, sample.tokens)
+            self.forecast.record_length(plan.groups[sample.group].prompt, sample.tokens)
         return True
 
     def failed(self, order: SampleOrder, unlabelled: bool = False) -> None:
-        """Note that an order brought no sample; its index will be ordered again."""
+        """Record that an order failed; its index will be ordered again."""
         key = (order.step, order.index)
         if self.running.get(key) == order.attempt:
             del self.running[key]
@@ -194,35 +199,39 @@
             self.counts.unlabelled += unlabelled
 
     def next_orders(
-        self, room: int, idle_weight: float, staleness_weight: float
+        self, max_orders: int, idle_weight: float, staleness_weight: float
     ) -> list[SampleOrder]:
-        """Return the orders to start now, at most `room`."""
+        """Return the orders to start now, at most `max_orders` of them."""
         orders: list[SampleOrder] = []
         step = self.record.step
-        missing = self._missing(step)
-        self._append_orders(orders, step, missing, room)
+        missing = self._missing_indices(step)
+        self._append_orders(orders, step, missing, max_orders)
         plan = self.plans.get(step)
         total = plan.total_samples if plan is not None else 0
         unfinished = len(missing) + sum(1 for key in self.running if key[0] == step)
-        if len(orders) < room and shadow_allowed(unfinished, total, idle_weight, staleness_weight):
-            self._append_orders(orders, step + 1, self._missing(step + 1), room)
+        if len(orders) < max_orders and may_start_next_step(
+            unfinished, total, idle_weight, staleness_weight
+        ):
+            self._append_orders(orders, step + 1, self._missing_indices(step + 1), max_orders)
         return orders
 
     def missing_samples(self) -> int:
-        """Return how many samples of the step in progress have still to be started."""
-        return len(self._missing(self.record.step))
+        """Return the number of samples of the step in progress that have not been started."""
+        return len(self._missing_indices(self.record.step))
 
     def _append_orders(
-        self, orders: list[SampleOrder], step: int, missing: set[int], room: int
+        self, orders: list[SampleOrder], step: int, missing: set[int], max_orders: int
     ) -> None:
         plan = self.plans.get(step)
         if plan is None or not missing:
             return
-        groups = index_groups(plan)
-        for index in work_order(plan, missing, self.forecast)[: room - len(orders)]:
-            orders.append(self._order(plan, index, groups[index]))
+        groups = group_of_each_index(plan)
+        for index in sort_by_expected_length(plan, missing, self.forecast)[
+            : max_orders - len(orders)
+        ]:
+            orders.append(self._make_order(plan, index, groups[index]))
 
-    def _order(self, plan: StepPlan, index: int, group_number: int) -> SampleOrder:
+    def _make_order(self, plan: StepPlan, index: int, group_number: int) -> SampleOrder:
         self._attempts += 1
         group = plan.groups[group_number]
         self.running[(plan.step, index)] = self._attempts
@@ -241,51 +250,57 @@
             staleness_bound_versions=self.staleness_bound_versions,
         )
 
-    def _missing(self, step: int) -> set[int]:
-        """Return the indices of a step that are neither handed over, ready nor running."""
+    def _missing_indices(self, step: int) -> set[int]:
+        """Return the indices of a step that are not handed over, ready or running."""
         plan = self.plans.get(step)
         if plan is None:
             return set()
-        gone = self._not_to_make() if step == self.record.step else set()
+        excluded = self._excluded_indices() if step == self.record.step else set()
         self._drop_stale(step)
         return {
             index
             for index in range(plan.total_samples)
-            if index not in gone
+            if index not in excluded
             and (step, index) not in self.bodies
             and (step, index) not in self.running
         }
 
-    def _not_to_make(self) -> set[int]:
-        """Return the indices handed over; of the last batch only if nobody asked again.
+    def _excluded_indices(self) -> set[int]:
+        """Return the indices that need no generation.
 
-        A new holder has no bodies of the last batch and cannot know whether it arrived;
-        it makes them again only when the trainer draws that batch once more.
+        A new lease holder has no bodies of the last batch and does not know whether the
+        trainer received it. It generates them again only if the trainer redraws that batch.
         """
-        return self._acknowledged() if self._remake_last_batch else self._handed()
+        return (
+            self._acknowledged_indices()
+            if self._regenerate_last_batch
+            else self._handed_over_indices()
+        )
 
-    def _acknowledged(self) -> set[int]:
-        """Return the indices of all batches before the last one."""
+    def _acknowledged_indices(self) -> set[int]:
+        """Return the indices of all batches before the last one, which are acknowledged."""
         return {index for batch in self.record.batches[:-1] for index in batch}
 
-    def _handed(self) -> set[int]:
+    def _handed_over_indices(self) -> set[int]:
         return {index for batch in self.record.batches for index in batch}
 
-    def _next_batch(self, draw: Draw, at_least: int) -> DrawDecision:
+    def _next_batch(self, draw: Draw, min_samples: int) -> DrawDecision:
         plan = self.plans.get(draw.step)
         if plan is None:
             return DrawRefused(f"step {draw.step} has not been planned")
-        handed = self._handed()
-        if len(handed) == plan.total_samples:
+        handed_over = self._handed_over_indices()
+        if len(handed_over) == plan.total_samples:
             return DrawComplete()
         self._drop_stale(draw.step)
-        ready = sorted(
-            index for step, index in self.bodies if step == draw.step and index not in handed
+        ready_indices = sorted(
+            index for step, index in self.bodies if step == draw.step and index not in handed_over
+        )
+        required_samples = min(
+            min_samples, draw.most_samples, plan.total_samples - len(handed_over)
         )
-        enough = min(at_least, draw.most_samples, plan.total_samples - len(handed))
-        if len(ready) < enough:
+        if len(ready_indices) < required_samples:
             return DrawWait()
-        batch = tuple(ready[: draw.most_samples])
+        batch = tuple(ready_indices[: draw.most_samples])
         return DrawWrite(
             msgspec.structs.replace(self.record, batches=(*self.record.batches, batch))
         )
@@ -295,21 +310,21 @@
         self._drop_stale(step)
         indices = self.record.batches[batch - 1]
         samples = [self.bodies.get((step, index)) for index in indices]
-        whole = tuple(sample for sample in samples if sample is not None)
-        if len(whole) < len(indices):
-            self._remake_last_batch = True
+        available_samples = tuple(sample for sample in samples if sample is not None)
+        if len(available_samples) < len(indices):
+            self._regenerate_last_batch = True
             return DrawWait()
-        for sample in whole:
+        for sample in available_samples:
             age = staleness_versions(sample.label, self.policy_version)
-            check_invariant(age <= self.staleness_bound_versions, "no stale sample leaves")
-        self.counts.handed_over += len(whole)
-        return DrawHandOver(batch, whole)
+            check_invariant(age <= self.staleness_bound_versions, "no stale sample is handed over")
+        self.counts.handed_over += len(available_samples)
+        return DrawHandOver(batch, available_samples)
 
     def _open_step(self, draw: Draw) -> DrawDecision:
         plan = self.plans.get(self.record.step)
-        complete = plan is not None and len(self._handed()) == plan.total_samples
-        never_used = plan is None and not self.record.batches
-        if not (complete or never_used):
+        complete = plan is not None and len(self._handed_over_indices()) == plan.total_samples
+        is_unused = plan is None and not self.record.batches
+        if not (complete or is_unused):
             return DrawRefused(f"step {self.record.step} is not complete")
         if draw.step not in self.plans:
             return DrawRefused(f"step {draw.step} has not been planned")
@@ -318,17 +333,17 @@
         return DrawWrite(LedgerRecord(step=draw.step, trainer_epoch=self.record.trainer_epoch))
 
     def _rewind(self, draw: Draw) -> DrawDecision:
-        """Follow a trainer that restarted from a checkpoint and lost what came after."""
+        """Rewind to the checkpoint from which the trainer restarted."""
         if draw.step not in self.plans:
             return DrawRefused(f"step {draw.step} has not been planned")
-        kept: tuple[tuple[int, ...], ...] = ()
+        kept_batches: tuple[tuple[int, ...], ...] = ()
         if draw.step == self.record.step:
-            kept = self.record.batches[: draw.acknowledged_batch]
-        if len(kept) < draw.acknowledged_batch:
+            kept_batches = self.record.batches[: draw.acknowledged_batch]
+        if len(kept_batches) < draw.acknowledged_batch:
             return DrawRefused(f"step {draw.step} has no batch {draw.acknowledged_batch} on record")
         self.running.clear()
         return DrawWrite(
-            LedgerRecord(step=draw.step, trainer_epoch=draw.trainer_epoch, batches=kept)
+            LedgerRecord(step=draw.step, trainer_epoch=draw.trainer_epoch, batches=kept_batches)
         )
 
     def _drop_stale(self, step: int) -> None:
@@ -338,8 +353,8 @@
                 del self.bodies[key]
                 self.counts.too_stale += 1
 
-    def _forget_old_steps(self) -> None:
-        acknowledged = self._acknowledged()
+    def _discard_old_steps(self) -> None:
+        acknowledged = self._acknowledged_indices()
         for key in list(self.bodies):
             if key[0] < self.record.step or (key[0] == self.record.step and key[1] in acknowledged):
                 del self.bodies[key]
--- a/rackswitch/samples/messages.py
+++ b/rackswitch/samples/messages.py
@@ -1,4 +1,4 @@
-"""Messages about samples, as they travel between trainers and daemons."""
+"""Sample messages exchanged between trainers and daemons."""
 
 from typing import Annotated
 
@@ -29,7 +29,7 @@
 
 
 class StepPlan(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """All samples of one training step; a sample's index counts through the groups."""
+    """All samples of one training step; sample indices run consecutively over the groups."""
 
     step: Count
     groups: Annotated[tuple[GroupPlan, ...], msgspec.Meta(min_length=1)]
@@ -41,19 +41,19 @@
 
 
 class Draw(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A trainer's call for the next batch.
+    """A trainer's request for the next batch.
 
     Attributes
     ----------
     acknowledged_batch : int
-        The last batch of this step that the trainer keeps; 0 for none.
+        The last batch of this step that the trainer has received; 0 if none.
     policy_version : int
-        The version the trainer is at; staleness is counted from it.
+        The trainer's current version; staleness is measured from it.
     trainer_epoch : int
-        Grows by one each time the trainer restarts from a checkpoint. Only a higher
-        epoch may acknowledge less than was acknowledged before.
+        Increases by one with each restart of the trainer from a checkpoint. Only a higher
+        epoch may acknowledge an earlier batch than before.
     wait_seconds : float
-        How long the daemon may wait for samples.
+        Maximum time that the daemon waits for samples.
     """
 
     step: Count
@@ -65,12 +65,12 @@
 
 
 class SampleOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An order to make one sample; `attempt` tells a remade one from its elder.
+    """An order to generate one sample; `attempt` distinguishes repeated orders.
 
     Attributes
     ----------
     policy_version, staleness_bound_versions : int
-        The trainer's version and the bound when the order was given.
+        The trainer's version and the staleness bound at the time of the order.
     """
 
     trainer: str
@@ -88,19 +88,19 @@
 
     @property
     def oldest_version(self) -> int:
-        """The oldest version that may make any token."""
+        """The oldest version allowed to generate a token."""
         return max(0, self.policy_version - self.staleness_bound_versions)
 
 
 class SampleLabel(msgspec.Struct, frozen=True, kw_only=True):
-    """Which weights made the sample: (version, tokens) in order of generation."""
+    """The weights that generated the sample: (version, tokens) in generation order."""
 
     spans: tuple[tuple[int, int], ...]
     scorer_version: str | None = None
 
     @property
     def oldest_version(self) -> int:
-        """The oldest version that made any token."""
+        """The oldest version that generated a token."""
         return min(version for version, _ in self.spans)
 
 
@@ -119,7 +119,7 @@
 
 
 class Batch(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a draw; without samples it says to draw again."""
+    """The response to a draw; if it has no samples, the trainer draws again."""
 
     step: int
     batch: int
--- a/rackswitch/samples/tests/test_labels.py
+++ b/rackswitch/samples/tests/test_labels.py
@@ -1,4 +1,4 @@
-"""Labels say what the engine said, never what was ordered."""
+"""Labels contain the versions that engines report, not the versions that were ordered."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 @given(VERSIONS)
-def test_label_is_the_engines_record_or_none(versions):
+def test_label_matches_the_reported_versions_or_is_unknown(versions):
     label = make_label(spans_of(versions), len(versions))
     if None in versions:
         assert isinstance(label, LabelUnknown)
@@ -31,26 +31,26 @@
 
 
 @given(VERSIONS, st.integers(1, 3))
-def test_a_gap_in_the_spans_is_no_label(versions, missing):
+def test_spans_that_miss_tokens_give_no_label(versions, missing):
     assert isinstance(make_label(spans_of(versions), len(versions) + missing), LabelUnknown)
 
 
-def test_labels_from_orders_are_false_when_swaps_fail():
-    """Naive: label with the version that was last ordered."""
+def test_labels_from_ordered_versions_are_wrong_when_loads_fail():
+    """Compares with a naive label that uses the last ordered version."""
     rng = random.Random(1)
     actual, ordered, false_labels = 1, 1, 0
     for _ in range(200):
         if rng.random() < 0.2:
             ordered += 1
             actual = ordered if rng.random() < 0.7 else actual
-        truth = [actual] * 5
-        label = make_label(spans_of(truth), 5)
-        assert expand(label) == truth
-        false_labels += [ordered] * 5 != truth
+        actual_versions = [actual] * 5
+        label = make_label(spans_of(actual_versions), 5)
+        assert expand(label) == actual_versions
+        false_labels += [ordered] * 5 != actual_versions
     assert false_labels > 0
 
 
-def test_resuming_is_refused_when_the_oldest_span_would_be_too_old():
+def test_no_resume_when_the_oldest_span_would_be_too_old():
     spans = [VersionSpan(3, 10)]
     assert may_resume(spans, policy_version=3, bound_versions=1)
     assert not may_resume(spans, policy_version=4, bound_versions=1)
