--- a/rackswitch/cli/client.py
+++ b/rackswitch/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls of the administration API."""
+"""Client of the administration API."""
 
 import asyncio
 from dataclasses import dataclass
@@ -13,19 +13,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminAnswer:
-    """An answer of the API; status 0 if there was none."""
+    """A response of the API; status 0 if there was none."""
 
     status: int
     body: Any
 
 
 class AdminClient:
-    """Calls any daemon's administration API.
+    """Client of any daemon's administration API.
 
     Parameters
     ----------
     url : str
-        The balancer's or a daemon's address.
+        Address of the load balancer or of a daemon.
     token : str
         The operator's bearer token.
     """
@@ -39,7 +39,7 @@
     def call(
         self, method: str, path: str, body: Any = None, headers: dict[str, str] | None = None
     ) -> AdminAnswer:
-        """Make one call."""
+        """Send one request and return its response."""
         return asyncio.run(self._call(method, path, body, headers or {}))
 
     async def _call(
--- a/rackswitch/settings/tests/test_settings.py
+++ b/rackswitch/settings/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings faults are one line with file, field, what was found and what is allowed."""
+"""Errors in settings are one line with the file, field, value found and values allowed."""
 
 import json
 from pathlib import Path
@@ -10,7 +10,7 @@
 from rackswitch.daemon.settings import DaemonSettings
 from rackswitch.settings import SettingsFault, describe_settings, load_settings
 
-GOOD = {
+VALID_SETTINGS = {
     "daemon": "d0",
     "zone": "z",
     "kv_url": "http://127.0.0.1:1",
@@ -41,20 +41,20 @@
         ({"daemon": ""}, "$.daemon"),
     ],
 )
-def test_faults_name_the_field(tmp_path, change, expected):
-    fault = load(tmp_path, json.dumps({**GOOD, **change}))
-    assert isinstance(fault, SettingsFault)
-    assert "settings.json" in fault.line
-    assert expected in fault.line
-    assert "\n" not in fault.line
+def test_errors_name_the_field(tmp_path, change, expected):
+    error = load(tmp_path, json.dumps({**VALID_SETTINGS, **change}))
+    assert isinstance(error, SettingsFault)
+    assert "settings.json" in error.line
+    assert expected in error.line
+    assert "\n" not in error.line
 
 
 def test_comments_are_allowed(tmp_path):
-    assert isinstance(load(tmp_path, "// a comment\n" + json.dumps(GOOD)), DaemonSettings)
+    assert isinstance(load(tmp_path, "// a comment\n" + json.dumps(VALID_SETTINGS)), DaemonSettings)
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=str)
-def test_examples_are_fine(path):
+def test_examples_are_valid(path):
     assert isinstance(load_settings(str(path), DaemonSettings), DaemonSettings)
 
 
@@ -63,7 +63,7 @@
 
 
 @given(st.binary(max_size=60))
-def test_any_bytes_end_in_a_fault_or_settings(tmp_path_factory, data):
+def test_any_bytes_give_an_error_or_settings(tmp_path_factory, data):
     loaded = load(tmp_path_factory.mktemp("s"), data)
     assert isinstance(loaded, SettingsFault | DaemonSettings)
 
--- a/rackswitch/usage/__init__.py
+++ b/rackswitch/usage/__init__.py
@@ -1,4 +1,4 @@
-"""Usage: how many of each tenant's requests began in each window of the wall clock."""
+"""Usage: the number of requests per tenant that began in each time window."""
 
 from rackswitch.usage.counts import UsageCounts
 from rackswitch.usage.reports import UsageReport, UsageReports
--- a/rackswitch/usage/counts.py
+++ b/rackswitch/usage/counts.py
@@ -1,4 +1,4 @@
-"""What one daemon has counted."""
+"""Request counts of one daemon."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -8,21 +8,21 @@
 
 __all__ = ["UsageCounts"]
 
-KEPT_WINDOWS = 12
-"""Windows whose counts are kept: at 5 s each a minute, six times the time in which a report is
-wanted. An outage of the service or of the operators' API is over by then."""
+MAX_WINDOWS = 12
+"""Number of windows whose counts are kept, to outlast a short outage of the service or of the
+operators' API."""
 
 
 @dataclass(slots=True)
 class UsageCounts:
-    """One daemon's counts by window and tenant.
+    """Request counts of one daemon by window and tenant.
 
     Parameters
     ----------
     windows : UsageWindows
-        How time is cut.
+        Division of time into windows.
     counted_from_unix_seconds : float
-        Since when this process has counted.
+        Start of counting in this process.
     """
 
     windows: UsageWindows
@@ -30,20 +30,20 @@
     _counts: dict[int, Counter[str]] = field(default_factory=dict)
 
     def began(self, tenant: str, at_unix_seconds: float) -> None:
-        """Count a request that began running at a moment."""
+        """Count a request that began to run at the given time."""
         self.add(self.windows.number_at(at_unix_seconds), {tenant: 1})
 
     def add(self, window: int, counts: Mapping[str, int]) -> None:
-        """Add counts of a window, for instance those of a daemon that stops."""
+        """Add counts of a window, for example from a stopping daemon."""
         self._counts.setdefault(window, Counter()).update(counts)
-        if len(self._counts) > KEPT_WINDOWS:
+        if len(self._counts) > MAX_WINDOWS:
             del self._counts[min(self._counts)]
 
     def of(self, window: int) -> dict[str, int]:
-        """Return a window's counts by tenant."""
+        """Return the counts of a window by tenant."""
         return dict(self._counts.get(window, {}))
 
     def take_since(self, window: int) -> dict[int, dict[str, int]]:
-        """Return the counts of a window and of all later ones, and answer for them no more."""
-        taken = [number for number in self._counts if number >= window]
-        return {number: dict(self._counts.pop(number)) for number in taken}
+        """Remove and return the counts of a window and all later ones."""
+        removed_windows = [number for number in self._counts if number >= window]
+        return {number: dict(self._counts.pop(number)) for number in removed_windows}
--- a/rackswitch/usage/reports.py
+++ b/rackswitch/usage/reports.py
@@ -1,7 +1,7 @@
-"""Which windows' usage is gathered, fixed and sent when.
+"""Collection and delivery of usage reports.
 
-A report has one content for ever: it is fixed in the key-value service before it is first sent, and
-from then on only repeated. So a successor, who may not know what the platform took, sends the same.
+The content of a report never changes: it is stored in the key-value service before it is first
+sent. A successor that does not know which reports the platform accepted sends the same content.
 """
 
 import msgspec
@@ -10,18 +10,17 @@
 
 __all__ = ["UsageReport", "UsageReports"]
 
-MAX_OPEN = 24
-"""Fixed reports that are kept for sending: two minutes of an outage at 5 s a window. Older ones
-are long past their time."""
+MAX_OPEN_REPORTS = 24
+"""Maximum number of undelivered reports; older ones are too late to be accepted."""
 
 
 class UsageReport(msgspec.Struct, frozen=True, array_like=True):
-    """A window's usage as it is reported.
+    """The usage report of a window.
 
     Attributes
     ----------
     counts : dict of str to int
-        Requests by tenant; tenants without any are left out.
+        Number of requests by tenant; tenants without requests are omitted.
     """
 
     window: int
@@ -29,14 +28,14 @@
 
 
 class UsageReports(msgspec.Struct):
-    """The reports of a fleet, as its present reporter knows them.
+    """State of the fleet's usage reports at the current reporter.
 
     Attributes
     ----------
     last_fixed : int
-        The newest window whose content is fixed; 0 if there is none.
+        The newest window whose report is stored; 0 if none.
     open : list of UsageReport
-        Fixed reports that the platform has not surely taken, oldest first.
+        Stored reports without confirmed delivery to the platform, oldest first.
     """
 
     last_fixed: int = 0
@@ -45,30 +44,30 @@
     def next_to_gather(
         self, windows: UsageWindows, settle_seconds: float, now_unix_seconds: float
     ) -> int | None:
-        """Return the window to gather now, or None.
+        """Return the next window to collect counts for, or None.
 
-        Windows that ended before a reporter came are made up for, oldest first, as long as their
-        report can be in time; of those that cannot, none is begun.
+        Windows that ended before this reporter started are collected too, oldest first. Windows
+        whose report would be late are skipped.
 
         Parameters
         ----------
         windows : UsageWindows
-            How time is cut.
+            Division of time into windows.
         settle_seconds : float
-            How long after a window's end its last requests are known to have begun or not.
+            Delay after a window's end until its counts are final.
         now_unix_seconds : float
-            The time of day.
+            Current Unix time.
         """
-        newest = windows.number_at(now_unix_seconds - settle_seconds) - 1
-        in_time = windows.number_at(now_unix_seconds - windows.allowed_late_seconds)
-        first = max(self.last_fixed + 1, in_time)
-        return first if first <= newest else None
+        newest_settled = windows.number_at(now_unix_seconds - settle_seconds) - 1
+        earliest_in_time = windows.number_at(now_unix_seconds - windows.allowed_late_seconds)
+        next_window = max(self.last_fixed + 1, earliest_in_time)
+        return next_window if next_window <= newest_settled else None
 
     def with_fixed(self, report: UsageReport) -> "UsageReports":
-        """Return what is known once a report's content is fixed."""
-        kept = [*self.open, report][-MAX_OPEN:]
-        return UsageReports(report.window, kept)
+        """Return the state after a report has been stored."""
+        open_reports = [*self.open, report][-MAX_OPEN_REPORTS:]
+        return UsageReports(report.window, open_reports)
 
     def taken(self, window: int) -> None:
-        """Note that the platform has a window's report, or will never take it."""
+        """Remove a window's report that the platform accepted or permanently refused."""
         self.open = [report for report in self.open if report.window != window]
--- a/rackswitch/usage/tests/test_usage.py
+++ b/rackswitch/usage/tests/test_usage.py
@@ -1,4 +1,4 @@
-"""Windows, counts, and which report is made when."""
+"""Time windows, counts and the schedule of usage reports."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,36 +7,36 @@
 
 WINDOWS = UsageWindows(5.0, 10.0)
 SETTLE_SECONDS = 1.8
-times = st.floats(min_value=0, max_value=2e9)
+UNIX_TIMES = st.floats(min_value=0, max_value=2e9)
 
 
-@given(times)
-def test_each_moment_lies_in_one_window(at):
+@given(UNIX_TIMES)
+def test_each_time_is_in_one_window(at):
     window = WINDOWS.number_at(at)
     assert WINDOWS.begins_at_unix_seconds(window) <= at < WINDOWS.ends_at_unix_seconds(window)
     assert WINDOWS.ends_at_unix_seconds(window) == WINDOWS.begins_at_unix_seconds(window + 1)
 
 
 @given(st.lists(st.tuples(st.sampled_from("ab"), st.floats(1000, 1020))))
-def test_every_beginning_is_counted_once(begun):
+def test_each_request_is_counted_once(begun):
     counts = UsageCounts(WINDOWS, 0.0)
     for tenant, at in begun:
         counts.began(tenant, at)
-    told = sum(sum(counts.of(window).values()) for window in range(200, 205))
-    assert told == len(begun)
+    counted = sum(sum(counts.of(window).values()) for window in range(200, 205))
+    assert counted == len(begun)
 
 
-def test_what_was_handed_over_is_answered_for_once():
-    leaving, staying = UsageCounts(WINDOWS, 0.0), UsageCounts(WINDOWS, 0.0)
-    leaving.began("a", 1001.0)
-    leaving.began("a", 1006.0)
-    for window, counts in leaving.take_since(200).items():
-        staying.add(window, counts)
-    assert leaving.of(200) == leaving.of(201) == {}
-    assert staying.of(200) == staying.of(201) == {"a": 1}
+def test_handed_over_counts_are_held_by_one_daemon():
+    stopping, remaining = UsageCounts(WINDOWS, 0.0), UsageCounts(WINDOWS, 0.0)
+    stopping.began("a", 1001.0)
+    stopping.began("a", 1006.0)
+    for window, counts in stopping.take_since(200).items():
+        remaining.add(window, counts)
+    assert stopping.of(200) == stopping.of(201) == {}
+    assert remaining.of(200) == remaining.of(201) == {"a": 1}
 
 
-def test_old_counts_are_forgotten():
+def test_old_counts_are_discarded():
     counts = UsageCounts(WINDOWS, 0.0)
     for window in range(100):
         counts.began("a", window * 5.0)
@@ -44,7 +44,7 @@
     assert counts.of(99) == {"a": 1}
 
 
-def test_windows_are_gathered_in_order_once_their_requests_have_begun():
+def test_windows_are_collected_in_order_after_the_settle_time():
     reports = UsageReports(last_fixed=199)
     assert reports.next_to_gather(WINDOWS, SETTLE_SECONDS, 1006.7) is None
     assert reports.next_to_gather(WINDOWS, SETTLE_SECONDS, 1006.9) == 200
@@ -52,7 +52,7 @@
     assert later.next_to_gather(WINDOWS, SETTLE_SECONDS, 1006.9) is None
 
 
-def test_after_an_outage_what_can_be_in_time_is_made_up_for_and_the_rest_left():
+def test_after_an_outage_late_windows_are_skipped():
     reports = UsageReports(last_fixed=190)
     window = reports.next_to_gather(WINDOWS, SETTLE_SECONDS, 1022.0)
     assert window == 202
@@ -60,15 +60,15 @@
     assert WINDOWS.due_at_unix_seconds(window - 1) <= 1022.0
 
 
-@given(st.integers(0, 400), times)
-def test_no_window_is_gathered_twice_or_before_its_end(last_fixed, now):
+@given(st.integers(0, 400), UNIX_TIMES)
+def test_no_window_is_collected_twice_or_before_its_end(last_fixed, now):
     window = UsageReports(last_fixed).next_to_gather(WINDOWS, SETTLE_SECONDS, now)
     if window is not None:
         assert window > last_fixed
         assert WINDOWS.ends_at_unix_seconds(window) + SETTLE_SECONDS <= now + 1e-6
 
 
-def test_reports_are_kept_until_they_are_taken_and_are_bounded():
+def test_undelivered_reports_are_kept_up_to_a_limit():
     reports = UsageReports()
     for window in range(1, 100):
         reports = reports.with_fixed(UsageReport(window, {"a": window}))
--- a/rackswitch/usage/windows.py
+++ b/rackswitch/usage/windows.py
@@ -1,4 +1,4 @@
-"""Windows of the wall clock, numbered from the start of 1970."""
+"""Time windows, numbered from the Unix epoch."""
 
 import math
 from dataclasses import dataclass
@@ -8,31 +8,31 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageWindows:
-    """How time is cut into windows.
+    """Division of Unix time into windows of equal length.
 
     Parameters
     ----------
     length_seconds : float
         Length of each window.
     allowed_late_seconds : float
-        How long after a window's end its report is still in time.
+        Maximum delay of a report after its window's end.
     """
 
     length_seconds: float
     allowed_late_seconds: float
 
     def number_at(self, at_unix_seconds: float) -> int:
-        """Return the number of the window that holds a moment."""
+        """Return the number of the window that contains a time."""
         return math.floor(at_unix_seconds / self.length_seconds)
 
     def begins_at_unix_seconds(self, window: int) -> float:
-        """Return when a window begins."""
+        """Return the start of a window."""
         return window * self.length_seconds
 
     def ends_at_unix_seconds(self, window: int) -> float:
-        """Return when a window ends."""
+        """Return the end of a window."""
         return (window + 1) * self.length_seconds
 
     def due_at_unix_seconds(self, window: int) -> float:
-        """Return until when a window's report is in time."""
+        """Return the deadline of a window's report."""
         return self.ends_at_unix_seconds(window) + self.allowed_late_seconds
--- a/rackswitch/web/__init__.py
+++ b/rackswitch/web/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP plumbing shared by the daemon and the stand-ins.
+"""HTTP server and helpers shared by the daemon, the gateway and the stand-ins.
 
-Only the server is offered here: `handlers` and `problems` load the web framework, which a gateway
-does without (0.1 s of the processor time of its start).
+Only the server is exported here: `handlers` and `problems` import the web framework, which slows
+down the start of a process and which the gateway does not use.
 """
 
 from rackswitch.web.server import *  # noqa: F403
--- a/rackswitch/web/connection_limits.py
+++ b/rackswitch/web/connection_limits.py
@@ -1,4 +1,4 @@
-"""How long callers' connections may take over a request's head, and rest between requests."""
+"""Timeouts on request headers and on idle connections of callers."""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 __all__ = ["BoundedHttpProtocol", "ConnectionLimits"]
 
-LATE_HEAD_ANSWER = (
+HEADER_TIMEOUT_RESPONSE = (
     STATUS_LINE[408]
     + b"content-type: text/plain; charset=utf-8\r\ncontent-length: 33\r\nconnection: close\r\n\r\n"
     + b"The head did not come in in time."
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True)
 class ConnectionLimits:
-    """Bounds on callers' connections, which may change while the server runs.
+    """Timeouts of callers' connections; they may change while the server runs.
 
     Attributes
     ----------
     header_timeout_seconds : float
-        From the first byte of a request to the end of its head.
+        Maximum time from the first byte of a request to the end of its headers.
     idle_timeout_seconds : float
-        How long a connection may rest without a request.
+        Maximum time that a connection may be idle between requests.
     """
 
     header_timeout_seconds: float
@@ -32,65 +32,65 @@
 
 
 class BoundedHttpProtocol(HttpToolsProtocol):
-    """The library's protocol, with the limits in force at each moment.
+    """Uvicorn's HTTP protocol with timeouts that can change at run time.
 
-    The library itself waits for a head without end, and keeps the idle time that it was
-    started with.
+    Uvicorn itself has no timeout on request headers, and its idle timeout is fixed at the
+    start.
 
     Parameters
     ----------
     limits : ConnectionLimits
-        Shared by all connections of a server.
+        Timeouts shared by all connections of a server.
     **options
-        As of the library.
+        Arguments of `HttpToolsProtocol`.
     """
 
     def __init__(self, limits: ConnectionLimits, **options: Any):
         super().__init__(**options)
         self._limits = limits
-        self._head_timer: asyncio.TimerHandle | None = None
+        self._header_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Begin; a connection on which nothing is asked rests like any other."""
+        """Start the idle timeout before the first request."""
         super().connection_made(transport)
         self.timeout_keep_alive_task = self.loop.call_later(
             self._limits.idle_timeout_seconds, self.timeout_keep_alive_handler
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End."""
-        self._stop_head_timer()
+        """Cancel the header timer."""
+        self._cancel_header_timer()
         super().connection_lost(exc)
 
     def on_message_begin(self) -> None:
-        """Note the first byte of a request."""
+        """Start the header timer at the first byte of a request."""
         super().on_message_begin()
-        self._stop_head_timer()
-        self._head_timer = self.loop.call_later(
-            self._limits.header_timeout_seconds, self._head_is_late
+        self._cancel_header_timer()
+        self._header_timer = self.loop.call_later(
+            self._limits.header_timeout_seconds, self._on_header_timeout
         )
 
     def on_headers_complete(self) -> None:
-        """Note that a request's head is whole."""
-        self._stop_head_timer()
+        """Stop the header timer at the end of the headers."""
+        self._cancel_header_timer()
         super().on_headers_complete()
 
     def on_response_complete(self) -> None:
-        """Note the end of an answer, from where the connection rests."""
+        """Apply the current idle timeout at the end of a response."""
         self.timeout_keep_alive = self._limits.idle_timeout_seconds  # type: ignore[assignment]
         super().on_response_complete()
 
-    def _stop_head_timer(self) -> None:
-        if self._head_timer is not None:
-            self._head_timer.cancel()
-            self._head_timer = None
+    def _cancel_header_timer(self) -> None:
+        if self._header_timer is not None:
+            self._header_timer.cancel()
+            self._header_timer = None
 
-    def _head_is_late(self) -> None:
+    def _on_header_timeout(self) -> None:
         if self.transport.is_closing():
             return
         if self.cycle is not None and not self.cycle.response_complete:
-            # The answer to the request before goes first, and the connection ends with it.
+            # The response to the previous request is sent first; the connection closes after it.
             self.cycle.keep_alive = False
             return
-        self.transport.write(LATE_HEAD_ANSWER)
+        self.transport.write(HEADER_TIMEOUT_RESPONSE)
         self.transport.close()
--- a/rackswitch/web/exchange.py
+++ b/rackswitch/web/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP request and its answer, for handlers that pass bytes through unchanged."""
+"""An HTTP request and its response, for handlers that forward bytes unchanged."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -12,23 +12,23 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyTooLarge:
-    """The body is larger than allowed."""
+    """The body exceeds the size limit."""
 
     max_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
 class BodyTooSlow:
-    """The body did not come in time."""
+    """The body was not received before the deadline."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """The caller left before its body was whole."""
+    """The caller disconnected before its body was complete."""
 
 
 class Exchange:
-    """An ASGI request with its answer.
+    """An ASGI request and its response.
 
     Parameters
     ----------
@@ -58,51 +58,51 @@
 
     @property
     def path(self) -> str:
-        """The path as it was sent, without the query."""
+        """The raw path, without the query."""
         return self._scope["raw_path"].decode("latin-1")
 
     @property
     def query(self) -> str:
-        """The query as it was sent, without the question mark."""
+        """The raw query, without the question mark."""
         return self._scope["query_string"].decode("latin-1")
 
     @property
     def target(self) -> str:
-        """Path and query as they were sent."""
+        """The raw path and query."""
         return f"{self.path}?{self.query}" if self.query else self.path
 
     @property
     def headers(self) -> tuple[tuple[str, str], ...]:
-        """The headers in order; names are in lower case."""
+        """The headers in order; ASGI servers give the names in lower case."""
         return tuple(
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in self._scope["headers"]
         )
 
     def header(self, name: str) -> str | None:
-        """Return the first header of a name, or None."""
-        wanted = name.lower().encode("latin-1")
+        """Return the first value of a header, or None."""
+        encoded_name = name.lower().encode("latin-1")
         for key, value in self._scope["headers"]:
-            if key == wanted:
+            if key == encoded_name:
                 return value.decode("latin-1")
         return None
 
     def header_values(self, name: str) -> tuple[str, ...]:
-        """Return the values of all headers of a name, in order."""
-        wanted = name.lower().encode("latin-1")
+        """Return all values of a header, in order."""
+        encoded_name = name.lower().encode("latin-1")
         return tuple(
-            value.decode("latin-1") for key, value in self._scope["headers"] if key == wanted
+            value.decode("latin-1") for key, value in self._scope["headers"] if key == encoded_name
         )
 
     @property
     def header_bytes(self) -> int:
-        """Size of the request's head, without its first line."""
+        """Size of the request's headers, without the request line."""
         return sum(len(name) + len(value) + 4 for name, value in self._scope["headers"])
 
     async def read_body(
         self, max_bytes: int, deadline_seconds: float
     ) -> bytes | BodyTooLarge | BodyTooSlow | CallerGone:
-        """Read the body up to a size, until a deadline (event loop time)."""
+        """Read the body, up to a maximum size and until a deadline (event loop time)."""
         chunks: list[bytes] = []
         size = 0
         try:
@@ -124,7 +124,7 @@
             return BodyTooSlow()
 
     async def wait_gone(self) -> None:
-        """Return when the caller has gone; the body must have been read."""
+        """Wait until the caller disconnects; the body must have been read before."""
         while True:
             message = await self._receive()
             if message["type"] == "http.disconnect":
@@ -133,20 +133,20 @@
     async def respond(
         self, status: int, headers: tuple[tuple[str, str], ...] = (), body: bytes = b""
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         await self._start(status, (*headers, ("content-length", str(len(body)))))
         await self._send({"type": "http.response.body", "body": body})
 
     async def stream(
         self, status: int, headers: tuple[tuple[str, str], ...], pieces: AsyncIterator[bytes]
     ) -> None:
-        """Send an answer as it comes.
+        """Send a response piece by piece.
 
         Raises
         ------
         ConnectionError
-            If the source breaks off; the answer is left without its end then, so that the
-            caller does not take it for whole.
+            If `pieces` fails. The response is left unterminated, so that the caller does not
+            take it for complete.
         """
         await self._start(status, headers)
         async for piece in pieces:
--- a/rackswitch/web/handlers.py
+++ b/rackswitch/web/handlers.py
@@ -1,4 +1,4 @@
-"""Helpers for handlers of a web application."""
+"""Helpers for request handlers of a web application."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -27,23 +27,25 @@
 
 
 def make_application() -> Application:
-    """Return an application with its own router that answers faults with problems."""
+    """Return an application with its own router that reports errors as problem documents."""
     application = Application(router=Router())
 
-    async def on_fault(app: Application, request: Request, error: Exception) -> Response:
-        app.logger.exception("handler failed", exc_info=error)
-        return problem_response(Problem(500, "internal-error", "The daemon failed.", ran="unknown"))
+    async def on_error(app: Application, request: Request, error: Exception) -> Response:
+        app.logger.exception("request handler failed", exc_info=error)
+        return problem_response(
+            Problem(500, "internal-error", "Internal error in the daemon.", ran="unknown")
+        )
 
-    async def on_missing(app: Application, request: Request, error: Exception) -> Response:
-        return problem_response(Problem(404, "not-found", "There is nothing at this path."))
+    async def on_not_found(app: Application, request: Request, error: Exception) -> Response:
+        return problem_response(Problem(404, "not-found", "No resource at this path."))
 
     async def on_abort(app: Application, request: Request, error: Exception) -> Response:
-        # The client went away in the middle of its request; nobody will read this.
-        return problem_response(Problem(400, "bad-request", "The body is not whole."))
+        # The caller disconnected during its request; it does not receive this response.
+        return problem_response(Problem(400, "bad-request", "The body is incomplete."))
 
-    application.exceptions_handlers[Exception] = on_fault
+    application.exceptions_handlers[Exception] = on_error
     application.exceptions_handlers[MessageAborted] = on_abort
-    application.exceptions_handlers[404] = on_missing
+    application.exceptions_handlers[404] = on_not_found
     return application
 
 
@@ -51,10 +53,10 @@
 
 
 def add_route(application: Application, method: str, path: str, handler: Handler) -> None:
-    """Route a path to a bound method.
+    """Route a path to a bound method that takes the request.
 
-    The library marks the function it is given, which a bound method does not allow, and
-    fills parameters by name; here every handler takes the request alone.
+    The framework sets attributes on the handler, which a bound method does not allow, and
+    binds parameters by name; the wrapper avoids both.
     """
 
     async def handle(request: Request) -> Response:
@@ -64,7 +66,7 @@
 
 
 def path_value(request: Request, name: str) -> str:
-    """Return a named part of the request's path."""
+    """Return a route parameter of the request, or an empty string."""
     values = request.route_values or {}
     return values.get(name) or ""
 
@@ -72,17 +74,17 @@
 def json_response(
     value: Any, status: int = 200, headers: list[tuple[bytes, bytes]] | None = None
 ) -> Response:
-    """Return a JSON response of a message."""
+    """Return a response with `value` encoded as JSON."""
     return Response(status, headers, Content(b"application/json", msgspec.json.encode(value)))
 
 
-def watch_disconnect(request: Request, on_gone: Callable[[], None]) -> asyncio.Task[None]:
-    """Call `on_gone` when the client goes away; the body must have been read.
+def watch_disconnect(request: Request, on_disconnect: Callable[[], None]) -> asyncio.Task[None]:
+    """Call `on_disconnect` when the caller disconnects; the body must have been read before.
 
     Returns
     -------
     asyncio.Task
-        To be cancelled when the answer is complete.
+        To be cancelled when the response is complete.
     """
     receive = request.content.receive  # type: ignore[union-attr]
 
@@ -90,20 +92,20 @@
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                on_gone()
+                on_disconnect()
                 return
 
     return asyncio.create_task(wait())
 
 
 class BodyFault(msgspec.Struct, frozen=True):
-    """Why a body cannot be used."""
+    """A body that could not be read or decoded, with the problem to report."""
 
     problem: Problem
 
 
 async def read_body(request: Request, max_bytes: int) -> bytes | BodyFault:
-    """Read a body up to a size."""
+    """Read a body up to a maximum size."""
     chunks: list[bytes] = []
     size = 0
     try:
@@ -111,16 +113,16 @@
             async for chunk in request.stream():  # type: ignore[attr-defined]
                 size += len(chunk)
                 if size > max_bytes:
-                    detail = f"The body is over {max_bytes} bytes."
+                    detail = f"The body exceeds {max_bytes} bytes."
                     return BodyFault(Problem(413, "body-too-large", detail))
                 chunks.append(chunk)
     except TimeoutError:
-        return BodyFault(Problem(408, "body-too-slow", "The body did not come in time."))
+        return BodyFault(Problem(408, "body-too-slow", "The body was not received in time."))
     return b"".join(chunks)
 
 
 async def read_json(request: Request, kind: type[T], max_bytes: int) -> T | BodyFault:
-    """Read a JSON body as a message; a fault names the field."""
+    """Read and decode a JSON body; an error names the invalid field."""
     body = await read_body(request, max_bytes)
     if isinstance(body, BodyFault):
         return body
--- a/rackswitch/web/problems.py
+++ b/rackswitch/web/problems.py
@@ -12,16 +12,16 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """A refusal or failure as told to a client.
+    """A refusal or failure, as reported to the caller.
 
     Attributes
     ----------
     name : str
-        Tail of the problem type.
+        Last part of the problem type URN.
     ran : str
-        "no", "unknown" or "yes": whether the work was begun.
+        "no", "unknown" or "yes": whether the request started to run.
     retry_after_seconds : float or None
-        When to come back, for the ``Retry-After`` header.
+        Delay before a retry, for the ``Retry-After`` header.
     """
 
     status: int
@@ -40,7 +40,7 @@
 
 
 def problem_response(problem: Problem) -> Response:
-    """Return the response that carries a problem."""
+    """Return the response for a problem."""
     document = _Document(
         type=PROBLEM_TYPE_PREFIX + problem.name,
         title=problem.name.replace("-", " "),
--- a/rackswitch/web/server.py
+++ b/rackswitch/web/server.py
@@ -1,4 +1,4 @@
-"""A web server inside the running event loop."""
+"""A web server that runs in the current event loop."""
 
 import asyncio
 import contextlib
@@ -13,18 +13,18 @@
 __all__ = ["WebServer"]
 
 HEADER_TIMEOUT_SECONDS = 10.0
-"""Unless limits are given; heads are a few kilobytes, and a slow one holds a descriptor."""
+"""Default header timeout, which bounds how long a slow request holds a connection."""
 
-LAST_REQUESTS_SECONDS = 0.2
-"""From where nothing new is listened to until open connections are closed: a request that is on its
-way to them, or not read yet, is answered instead of being cut."""
+CLOSE_DELAY_SECONDS = 0.2
+"""Delay between closing the listener and closing open connections, so that requests already sent on
+them are answered."""
 
 IDLE_TIMEOUT_SECONDS = 30.0
-"""Unless limits are given; peers and tools keep a connection for less than that."""
+"""Default idle timeout; longer than the keep-alive time of peers and tools."""
 
 
-class _LoopServer(uvicorn.Server):
-    """A server that leaves signals to the program it runs in."""
+class _EmbeddedServer(uvicorn.Server):
+    """A server that installs no signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -39,11 +39,11 @@
     application : callable
         The ASGI application.
     host, port : str, int
-        Where to listen; port 0 takes a free one.
+        Address to listen on; port 0 selects a free port.
     most_connections : int, optional
-        Connections beyond this number get 503.
+        Maximum number of connections; further ones get status 503.
     limits : ConnectionLimits, optional
-        How long connections may rest and heads may take; may change while the server runs.
+        Header and idle timeouts; they may change while the server runs.
     """
 
     __slots__ = ("_config", "_host", "_port", "_server", "_task")
@@ -74,7 +74,7 @@
             lifespan="auto",
             limit_concurrency=most_connections,
         )
-        self._server = _LoopServer(self._config)
+        self._server = _EmbeddedServer(self._config)
         self._task: asyncio.Task[None] | None = None
 
     @property
@@ -84,41 +84,41 @@
 
     @property
     def port(self) -> int:
-        """The port listened on, once started."""
+        """The port, which is known once the server has started."""
         return self._port
 
     async def start(self) -> None:
-        """Listen; return once connections are taken.
+        """Start the server; return once it accepts connections.
 
         Raises
         ------
         OSError
-            If the address cannot be used.
+            If listening on the address fails.
         """
         self._task = asyncio.create_task(self._server.serve())
         while not self._server.started:
             if self._task.done():
-                raise OSError(f"cannot listen on {self._host}:{self._port}")
+                raise OSError(f"failed to listen on {self._host}:{self._port}")
             await asyncio.sleep(0.005)
         self._port = self._server.servers[0].sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Stop listening and return when the requests in progress are done."""
+        """Stop accepting connections; return when the requests in progress have ended."""
         for server in self._server.servers:
             server.close()
-        await asyncio.sleep(LAST_REQUESTS_SECONDS)
-        await self._end()
+        await asyncio.sleep(CLOSE_DELAY_SECONDS)
+        await self._shut_down()
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         self._server.should_exit = True
         if self._task is not None:
             await self._task
 
     async def crash(self) -> None:
-        """Drop the address and all connections at once, as a killed process would."""
+        """Close the listener and abort all connections at once, as if the process were killed."""
         for server in self._server.servers:
             server.close()
         for connection in list(self._server.server_state.connections):
             connection.transport.abort()
         self._server.force_exit = True
-        await self._end()
+        await self._shut_down()
--- a/rackswitch/web/tests/test_connection_limits.py
+++ b/rackswitch/web/tests/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Limits on heads and resting connections, on raw connections."""
+"""Header and idle timeouts, tested on raw connections."""
 
 import asyncio
 from typing import Any
@@ -16,8 +16,10 @@
         await Exchange(scope, receive, send).respond(200, (), b"ok")
 
 
-async def talk(limits: ConnectionLimits, *sent: bytes, later: ConnectionLimits | None = None):
-    """Send bytes, then read to the end of the connection; return what came."""
+async def exchange_raw(
+    limits: ConnectionLimits, *sent: bytes, changed_limits: ConnectionLimits | None = None
+):
+    """Send bytes, then return everything received until the connection closes."""
     server = WebServer(answer_ok, "127.0.0.1", 0, limits=limits)
     await server.start()
     reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
@@ -26,9 +28,9 @@
         writer.write(data)
         if data.endswith(b"\r\n\r\n"):
             received += await reader.readuntil(b"ok")
-        if later is not None:
-            limits.header_timeout_seconds = later.header_timeout_seconds
-            limits.idle_timeout_seconds = later.idle_timeout_seconds
+        if changed_limits is not None:
+            limits.header_timeout_seconds = changed_limits.header_timeout_seconds
+            limits.idle_timeout_seconds = changed_limits.idle_timeout_seconds
     async with asyncio.timeout(TIMEOUT_SECONDS):
         received += await reader.read()
     writer.close()
@@ -36,30 +38,35 @@
     return received
 
 
-def test_a_head_that_does_not_end_is_refused_and_its_connection_closed():
+def test_incomplete_headers_are_refused_and_the_connection_closed():
     limits = ConnectionLimits(0.1, 60.0)
-    received = asyncio.run(talk(limits, b"GET /a HTTP/1.1\r\nHost: h\r\n"))
+    received = asyncio.run(exchange_raw(limits, b"GET /a HTTP/1.1\r\nHost: h\r\n"))
     assert received.startswith(b"HTTP/1.1 408 ")
     head, _, body = received.partition(b"\r\n\r\n")
     assert f"content-length: {len(body)}".encode() in head
 
 
-def test_a_connection_that_rests_is_closed_without_an_answer():
+def test_idle_connection_is_closed_without_a_response():
     limits = ConnectionLimits(60.0, 0.1)
-    assert asyncio.run(talk(limits)) == b""
-    received = asyncio.run(talk(limits, REQUEST, REQUEST))
+    assert asyncio.run(exchange_raw(limits)) == b""
+    received = asyncio.run(exchange_raw(limits, REQUEST, REQUEST))
     assert received.count(b"HTTP/1.1") == 2
 
 
-def test_a_changed_limit_holds_for_connections_that_are_open():
+def test_changed_limit_applies_to_open_connections():
     received = asyncio.run(
-        talk(ConnectionLimits(60.0, 60.0), REQUEST, REQUEST, later=ConnectionLimits(60.0, 0.1))
+        exchange_raw(
+            ConnectionLimits(60.0, 60.0),
+            REQUEST,
+            REQUEST,
+            changed_limits=ConnectionLimits(60.0, 0.1),
+        )
     )
     assert received.count(b"HTTP/1.1 200") == 2
 
 
-def test_a_late_head_behind_a_whole_request_is_refused_after_its_answer():
+def test_late_headers_after_a_complete_request_are_refused_after_its_response():
     limits = ConnectionLimits(0.1, 60.0)
-    received = asyncio.run(talk(limits, REQUEST, b"GET /b HTTP/1.1\r\n"))
+    received = asyncio.run(exchange_raw(limits, REQUEST, b"GET /b HTTP/1.1\r\n"))
     assert received.count(b"HTTP/1.1 200") == 1
     assert received.count(b"HTTP/1.1 408") == 1
--- a/rackswitch/web/tests/test_planned_stop.py
+++ b/rackswitch/web/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""What a server that stops as planned still answers, on raw connections."""
+"""A planned stop answers requests that are already sent; tested on raw connections."""
 
 import asyncio
 
@@ -7,11 +7,11 @@
 from rackswitch.web import WebServer
 from rackswitch.web.tests.test_connection_limits import REQUEST, TIMEOUT_SECONDS, answer_ok
 
-ON_ITS_WAY_SECONDS = 0.15
+SEND_DELAY_SECONDS = 0.15
 
 
 @pytest.mark.parametrize("used_before", [False, True])
-def test_a_request_on_its_way_as_the_server_stops_is_answered(used_before):
+def test_request_in_transit_during_a_planned_stop_is_answered(used_before):
     async def scenario():
         server = WebServer(answer_ok, "127.0.0.1", 0)
         await server.start()
@@ -20,7 +20,7 @@
             writer.write(REQUEST)
             await reader.readuntil(b"ok")
         stopping = asyncio.create_task(server.stop())
-        await asyncio.sleep(ON_ITS_WAY_SECONDS)
+        await asyncio.sleep(SEND_DELAY_SECONDS)
         writer.write(REQUEST)
         async with asyncio.timeout(TIMEOUT_SECONDS):
             answer = await reader.read()
