--- a/rackswitch/clients/__init__.py
+++ b/rackswitch/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of outside systems, one narrow module each; the decisions import none of them."""
+"""Clients of external systems, one module each; decision modules do not import them."""
--- a/rackswitch/clients/http.py
+++ b/rackswitch/clients/http.py
@@ -1,10 +1,9 @@
-"""The HTTP client sessions that the platform's modules share.
+"""HTTP client sessions shared by the clients.
 
-Two sessions are kept. The pooled one re-uses connections. The single-use one
-opens a connection for each call: a re-used connection may be closed by the
-peer while a request is being written, which leaves it unknown whether the
-request arrived, and a client library may then repeat it by itself. A request
-that must run at most once therefore goes over a new connection.
+The pooled session reuses connections. The single-use session opens a connection
+for each call, for requests that must run at most once: the peer may close a
+reused connection while a request is being written, and the library may then
+repeat a request that has already arrived.
 """
 
 import asyncio
@@ -17,7 +16,7 @@
 __all__ = ["NOT_SENT_ERRORS", "CallFailed", "HttpSessions", "call_json"]
 
 NOT_SENT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-"""Errors after which no byte of the request can have reached the peer."""
+"""Errors raised before any byte of the request is sent."""
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 POOL_SIZE = 512
@@ -49,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """A call that has no effect of its own brought no usable answer."""
+    """A call without side effects got no usable response."""
 
     detail: str
 
@@ -62,25 +61,25 @@
     timeout_seconds: float,
     body: Any = None,
 ) -> T | CallFailed:
-    """Make a call that may be repeated, and read its answer as a message.
+    """Make a call that is safe to repeat, and decode its JSON response.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Connections to use.
+        Session to use.
     method, url : str
-        The call.
+        HTTP method and URL.
     kind : type
-        The message expected with status 200.
+        Type of the response body for status 200.
     timeout_seconds : float
-        Limit on the whole call.
+        Timeout of the complete call.
     body : object, optional
-        Sent as JSON.
+        Request body, sent as JSON.
 
     Returns
     -------
     object or CallFailed
-        The message, or why there is none.
+        The decoded response, or the reason for the failure.
     """
     try:
         async with (
@@ -95,4 +94,4 @@
     try:
         return msgspec.json.decode(content, type=kind)
     except msgspec.DecodeError as error:
-        return CallFailed(f"cannot read the answer: {error}")
+        return CallFailed(f"invalid response body: {error}")
--- a/rackswitch/clients/kv.py
+++ b/rackswitch/clients/kv.py
@@ -1,8 +1,8 @@
 """The key-value service: compare-and-swap, leases and watches.
 
-The client speaks the JSON gateway of the etcd version 3 interface. Every call
-has a time limit, and an answer that does not come leaves the effect unknown;
-this is a value of its own, which callers resolve by reading.
+The client uses the JSON gateway of the etcd version 3 API. Every call has a
+timeout. A write that times out has an unknown effect, which is reported as such;
+the calling code resolves it by reading.
 
 References
 ----------
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KvRead:
-    """What a read found, and the service's revision at that time."""
+    """The entries that a read returned, and the service's revision at that time."""
 
     entries: tuple[KvEntry, ...]
     revision: int
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KvUnavailable:
-    """No answer, or a refusal.
+    """The service did not respond, or refused the call.
 
     Attributes
     ----------
     effect_unknown : bool
-        True if a write may have taken effect, or may still.
+        True if a write may have taken effect or may still do so.
     history_lost : bool
-        True if a watch cannot go on from its revision, so the keys must be read anew.
+        True if a watch cannot continue from its revision; the keys must be read again.
     """
 
     detail: str
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Compare:
-    """A condition: the key's create or mod revision equals a number (0: absent)."""
+    """A condition that a key's create or mod revision has a value (0: absent)."""
 
     key: str
     field: str
@@ -89,10 +89,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """Put `value` under `key`, or delete the key if `value` is None.
+    """Puts `value` at `key`, or deletes the key if `value` is None.
 
-    With `is_prefix` a deletion takes all keys under the prefix. A put with a lease that
-    is gone fails.
+    With `is_prefix`, a deletion removes all keys with the prefix. A put with an expired
+    lease fails.
     """
 
     key: str
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TxnPart:
-    """Operations that happen if all conditions hold; else `read_keys` are read."""
+    """Operations that run if all conditions hold; otherwise `read_keys` are read."""
 
     compares: tuple[Compare, ...]
     operations: tuple[Operation, ...]
@@ -112,12 +112,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TxnPartDone:
-    """Whether a part's conditions held, and the first of its keys found if not.
+    """Whether a part's conditions held and, if not, the first of its `read_keys` that exists.
 
     Attributes
     ----------
     lease_gone : bool
-        True if nothing was done because a put named a lease that is over.
+        True if nothing was done because a put named an expired lease.
     """
 
     succeeded: bool
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGranted:
-    """A lease in the service, with its time to live."""
+    """A lease of the service with its TTL."""
 
     lease_id: int
     life_seconds: float
@@ -136,9 +136,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchNews:
-    """Something changed, or only progress; `deleted` are keys, where the client tells them.
+    """Changes of watched keys, or only a new revision.
 
-    A key stands once, in one of both: several changes of it are told as the last one.
+    `deleted` holds deleted keys if the client reports deletions. Each key occurs once, in
+    `entries` or `deleted`, with its last change.
     """
 
     entries: tuple[KvEntry, ...]
@@ -149,32 +150,34 @@
 def latest_news(
     puts: Iterable[KvEntry], deletions: Iterable[tuple[str, int]], revision: int
 ) -> WatchNews:
-    """Return what is left of changes in any order: the last one of each key.
+    """Merge changes given in any order into the last change of each key.
 
     Parameters
     ----------
     puts : iterable of KvEntry
-        Entries as they were written.
+        Written entries.
     deletions : iterable of (str, int)
-        Keys that went, each with the revision of that.
+        Deleted keys with the revision of the deletion.
     revision : int
         The service's revision after the changes.
     """
     latest: dict[str, KvEntry] = {}
     for entry in puts:
-        known = latest.get(entry.key)
-        if known is None or entry.mod_revision > known.mod_revision:
+        previous = latest.get(entry.key)
+        if previous is None or entry.mod_revision > previous.mod_revision:
             latest[entry.key] = entry
-    gone: dict[str, int] = {}
+    deletion_revisions: dict[str, int] = {}
     for key, deleted_revision in deletions:
-        gone[key] = max(deleted_revision, gone.get(key, 0))
-    entries = tuple(e for e in latest.values() if e.mod_revision > gone.get(e.key, 0))
+        deletion_revisions[key] = max(deleted_revision, deletion_revisions.get(key, 0))
+    entries = tuple(e for e in latest.values() if e.mod_revision > deletion_revisions.get(e.key, 0))
     written = {entry.key for entry in entries}
-    return WatchNews(entries, revision, tuple(key for key in gone if key not in written))
+    return WatchNews(
+        entries, revision, tuple(key for key in deletion_revisions if key not in written)
+    )
 
 
 class KvClient(Protocol):
-    """What the daemon needs of the key-value service."""
+    """Interface to the key-value service."""
 
     calls: int
 
@@ -185,18 +188,18 @@
         keys_only: bool = False,
         may_be_stale: bool = False,
     ) -> KvRead | KvUnavailable:
-        """Read one key, or all under a prefix.
+        """Read one key, or all keys with a prefix.
 
         Parameters
         ----------
         key : str
             The key or prefix.
         is_prefix : bool
-            Whether all keys under a prefix are meant.
+            Whether to read all keys with the prefix `key`.
         keys_only : bool
-            Whether revisions without values are enough.
+            Whether to omit the values.
         may_be_stale : bool
-            Whether the state of some seconds ago is good enough, which costs the service less.
+            Whether a state of some seconds ago is acceptable, which is cheaper for the service.
         """
         ...
 
@@ -205,23 +208,23 @@
         ...
 
     async def txn(self, parts: list[TxnPart]) -> list[TxnPartDone] | KvUnavailable:
-        """Carry out parts in one call, each on its own conditions."""
+        """Execute the parts in one call; each part has its own conditions."""
         ...
 
     async def grant_lease(self, life_seconds: float) -> LeaseGranted | KvUnavailable:
-        """Make a lease."""
+        """Create a lease."""
         ...
 
     async def keep_lease(self, lease_id: int) -> bool | KvUnavailable:
-        """Prolong a lease; False if it is gone."""
+        """Renew a lease; return False if it has expired."""
         ...
 
     async def revoke_lease(self, lease_id: int) -> KvUnavailable | None:
-        """End a lease, which deletes its keys."""
+        """Revoke a lease, which deletes its keys."""
         ...
 
     def watch(self, key: str, from_revision: int) -> AsyncIterator[WatchNews | KvUnavailable]:
-        """Yield changes of a key until the watch breaks, which is the last item."""
+        """Yield changes of a key; the last item reports why the watch ended."""
         ...
 
 
@@ -229,11 +232,11 @@
 
 
 def prefix_end(prefix: str) -> str:
-    """Return the key after all keys with a prefix."""
+    """Return the smallest key greater than all keys with a prefix."""
     return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
 
-def _text(data: str | bytes) -> str:
+def _to_base64(data: str | bytes) -> str:
     return b64encode(data.encode() if isinstance(data, str) else data).decode()
 
 
@@ -261,7 +264,7 @@
     kvs: list[_WireEntry] = []
 
 
-class _WireTxnStep(msgspec.Struct, frozen=True):
+class _WireOperationResponse(msgspec.Struct, frozen=True):
     response_range: _WireRange | None = None
     response_txn: "_WireTxn | None" = None
 
@@ -269,9 +272,9 @@
 class _WireTxn(msgspec.Struct, frozen=True):
     header: _WireHeader = _WireHeader()
     succeeded: bool = False
-    responses: list[_WireTxnStep] = []
+    responses: list[_WireOperationResponse] = []
 
-    def part_done(self, revision: int) -> TxnPartDone:
+    def part_result(self, revision: int) -> TxnPartDone:
         present = None
         for response in self.responses:
             found = response.response_range
@@ -285,12 +288,12 @@
     TTL: float
 
 
-class _WireKeep(msgspec.Struct, frozen=True):
+class _WireKeepAlive(msgspec.Struct, frozen=True):
     TTL: float = 0
 
 
-class _WireKeepAnswer(msgspec.Struct, frozen=True):
-    result: _WireKeep
+class _WireKeepAliveResponse(msgspec.Struct, frozen=True):
+    result: _WireKeepAlive
 
 
 class _WireEvent(msgspec.Struct, frozen=True):
@@ -303,17 +306,17 @@
     events: list[_WireEvent] = []
 
 
-class _WireWatchAnswer(msgspec.Struct, frozen=True):
+class _WireWatchResponse(msgspec.Struct, frozen=True):
     result: _WireWatch
 
 
-class _Nothing(msgspec.Struct):
+class _EmptyResponse(msgspec.Struct):
     pass
 
 
 @KV_CLIENTS.register("etcd-json")
 class EtcdJsonClient:
-    """Client of the etcd version 3 JSON gateway.
+    """Client of the JSON gateway of etcd version 3.
 
     Parameters
     ----------
@@ -337,21 +340,23 @@
         keys_only: bool = False,
         may_be_stale: bool = False,
     ) -> KvRead | KvUnavailable:
-        """Read one key, or all under a prefix; with `keys_only` revisions without values."""
-        body: dict[str, Any] = {"key": _text(key)}
+        """Read one key, or all keys with a prefix; `keys_only` omits the values."""
+        body: dict[str, Any] = {"key": _to_base64(key)}
         if keys_only:
             body["keys_only"] = True
         if may_be_stale:
             body["serializable"] = True
         if is_prefix:
-            body["range_end"] = _text(prefix_end(key))
+            body["range_end"] = _to_base64(prefix_end(key))
         return await self._range(body)
 
     async def read_from(self, prefix: str, after_key: str) -> KvRead | KvUnavailable:
         """Read the keys under a prefix that come after a key (empty: all of them)."""
-        # The smallest key after another one has a zero byte more.
+        # Appending a zero byte gives the next key in order.
         start = after_key + "\0" if after_key else prefix
-        return await self._range({"key": _text(start), "range_end": _text(prefix_end(prefix))})
+        return await self._range(
+            {"key": _to_base64(start), "range_end": _to_base64(prefix_end(prefix))}
+        )
 
     async def _range(self, body: dict[str, Any]) -> KvRead | KvUnavailable:
         answer = await self._call("/v3/kv/range", body, _WireRange)
@@ -360,55 +365,57 @@
         return KvRead(tuple(wire.entry() for wire in answer.kvs), answer.header.revision)
 
     async def txn(self, parts: list[TxnPart]) -> list[TxnPartDone] | KvUnavailable:
-        """Carry out parts in one call, each on its own conditions."""
+        """Execute the parts in one call; each part has its own conditions."""
         bodies = [_txn_body(part) for part in parts]
         if len(bodies) == 1:
             answer = await self._call("/v3/kv/txn", bodies[0], _WireTxn)
             if isinstance(answer, KvUnavailable):
                 return answer
-            return [answer.part_done(answer.header.revision)]
-        nested = {"success": [{"request_txn": body} for body in bodies]}
-        answer = await self._call("/v3/kv/txn", nested, _WireTxn)
+            return [answer.part_result(answer.header.revision)]
+        nested_body = {"success": [{"request_txn": body} for body in bodies]}
+        answer = await self._call("/v3/kv/txn", nested_body, _WireTxn)
         if isinstance(answer, KvUnavailable):
             return answer
         revision = answer.header.revision
-        inner = [step.response_txn or _WireTxn() for step in answer.responses]
-        return [txn.part_done(revision) for txn in inner]
+        nested_txns = [
+            operation_response.response_txn or _WireTxn() for operation_response in answer.responses
+        ]
+        return [txn.part_result(revision) for txn in nested_txns]
 
     async def grant_lease(self, life_seconds: float) -> LeaseGranted | KvUnavailable:
-        """Make a lease."""
+        """Create a lease."""
         answer = await self._call("/v3/lease/grant", {"TTL": life_seconds, "ID": 0}, _WireGrant)
         if isinstance(answer, KvUnavailable):
             return answer
         return LeaseGranted(answer.ID, answer.TTL)
 
     async def keep_lease(self, lease_id: int) -> bool | KvUnavailable:
-        """Prolong a lease; False if it is gone."""
-        answer = await self._call("/v3/lease/keepalive", {"ID": lease_id}, _WireKeepAnswer)
+        """Renew a lease; return False if it has expired."""
+        answer = await self._call("/v3/lease/keepalive", {"ID": lease_id}, _WireKeepAliveResponse)
         if isinstance(answer, KvUnavailable):
             return answer
         return answer.result.TTL > 0
 
     async def revoke_lease(self, lease_id: int) -> KvUnavailable | None:
-        """End a lease, which deletes its keys."""
-        answer = await self._call("/v3/lease/revoke", {"ID": lease_id}, _Nothing)
+        """Revoke a lease, which deletes its keys."""
+        answer = await self._call("/v3/lease/revoke", {"ID": lease_id}, _EmptyResponse)
         return answer if isinstance(answer, KvUnavailable) else None
 
     async def watch(self, key: str, from_revision: int) -> AsyncIterator[WatchNews | KvUnavailable]:
-        """Yield changes of a key until the watch breaks, which is the last item."""
-        request = {"create_request": {"key": _text(key), "start_revision": from_revision}}
+        """Yield changes of a key; the last item reports why the watch ended."""
+        request = {"create_request": {"key": _to_base64(key), "start_revision": from_revision}}
         self.calls += 1
         try:
             async with self._sessions.pooled.post(self._url + "/v3/watch", json=request) as answer:
                 if answer.status != 200:
-                    yield KvUnavailable(f"watch got status {answer.status}", False)
+                    yield KvUnavailable(f"watch request got status {answer.status}", False)
                     return
                 async for line in answer.content:
-                    news = msgspec.json.decode(line, type=_WireWatchAnswer, strict=False).result
-                    entries = (event.kv.entry() for event in news.events if event.type == "PUT")
-                    yield WatchNews(tuple(entries), news.header.revision)
+                    update = msgspec.json.decode(line, type=_WireWatchResponse, strict=False).result
+                    entries = (event.kv.entry() for event in update.events if event.type == "PUT")
+                    yield WatchNews(tuple(entries), update.header.revision)
         except (aiohttp.ClientError, TimeoutError, msgspec.DecodeError, ValueError) as error:
-            yield KvUnavailable(f"watch broke: {type(error).__name__}", False)
+            yield KvUnavailable(f"watch failed: {type(error).__name__}", False)
             return
         yield KvUnavailable("watch ended", False)
 
@@ -428,16 +435,16 @@
         if answer.status != 200:
             return KvUnavailable(f"status {answer.status}", effect_unknown=True)
         try:
-            # The gateway writes 64-bit numbers as strings.
+            # The JSON gateway encodes 64-bit numbers as strings.
             return msgspec.json.decode(content, type=kind, strict=False)
         except msgspec.DecodeError as error:
-            return KvUnavailable(f"cannot read the answer: {error}", effect_unknown=True)
+            return KvUnavailable(f"invalid response body: {error}", effect_unknown=True)
 
 
 def _txn_body(part: TxnPart) -> dict[str, Any]:
     compares = [
         {
-            "key": _text(compare.key),
+            "key": _to_base64(compare.key),
             "target": compare.field.upper(),
             "result": "EQUAL",
             f"{compare.field}_revision": compare.revision,
@@ -449,20 +456,20 @@
         "success": [_operation_body(operation) for operation in part.operations],
     }
     if part.read_keys:
-        body["failure"] = [{"request_range": {"key": _text(key)}} for key in part.read_keys]
+        body["failure"] = [{"request_range": {"key": _to_base64(key)}} for key in part.read_keys]
     return body
 
 
 def _operation_body(operation: Operation) -> dict[str, Any]:
     if operation.value is None:
-        deletion = {"key": _text(operation.key)}
+        deletion = {"key": _to_base64(operation.key)}
         if operation.is_prefix:
-            deletion["range_end"] = _text(prefix_end(operation.key))
+            deletion["range_end"] = _to_base64(prefix_end(operation.key))
         return {"request_delete_range": deletion}
     return {
         "request_put": {
-            "key": _text(operation.key),
-            "value": _text(operation.value),
+            "key": _to_base64(operation.key),
+            "value": _to_base64(operation.value),
             "lease": operation.lease_id,
         }
     }
--- a/rackswitch/clients/plain_service.py
+++ b/rackswitch/clients/plain_service.py
@@ -1,4 +1,4 @@
-"""Plain services: one HTTP call, passed through."""
+"""Client of plain services: one forwarded HTTP call."""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,12 +11,12 @@
 
 REFUSED_STATUSES = (429, 503)
 RAN_HEADER = "rackswitch-ran"
-"""A service that puts ``no`` here says that it did not begin the work."""
+"""Response header; the value ``no`` states that the service did not start the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlainRequest:
-    """A call to pass through."""
+    """A call to forward."""
 
     request_id: str
     method: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlainAnswer:
-    """The service's whole answer."""
+    """The service's complete response."""
 
     status: int
     body: bytes
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlainFailed:
-    """No whole answer; `may_have_run` is False only if the call cannot have begun."""
+    """No complete response; `may_have_run` is False only if the call did not start."""
 
     may_have_run: bool
     detail: str
@@ -51,7 +51,7 @@
     Parameters
     ----------
     sessions : HttpSessions
-        Connections to use; a call that may not be repeated gets a connection of its own.
+        Sessions to use; a call that must not be repeated uses a new connection.
     """
 
     __slots__ = ("_sessions",)
@@ -60,7 +60,7 @@
         self._sessions = sessions
 
     async def call(self, url: str, request: PlainRequest) -> PlainAnswer | PlainFailed:
-        """Make the call once."""
+        """Make the call without retries."""
         session = self._sessions.pooled if request.repeatable else self._sessions.single_use
         headers = {"X-Request-Id": request.request_id, "Content-Type": request.media_type}
         if request.idempotency_key is not None:
--- a/rackswitch/clients/probe.py
+++ b/rackswitch/clients/probe.py
@@ -1,4 +1,4 @@
-"""Whether anything takes connections at an address."""
+"""TCP probe of an address."""
 
 import asyncio
 import contextlib
@@ -9,19 +9,19 @@
 
 
 async def look_at(host: str, port: int, timeout_seconds: float) -> ProbeOutcome:
-    """Try to connect once, and close what was opened.
+    """Try to connect once, and close the connection.
 
     Parameters
     ----------
     host, port : str, int
-        The address.
+        Address to connect to.
     timeout_seconds : float
-        How long the connection may take.
+        Connection timeout.
 
     Returns
     -------
     ProbeOutcome
-        REFUSED only if the machine itself said that nobody listens there.
+        REFUSED only if the VM rejected the connection because the port is closed.
     """
     try:
         async with asyncio.timeout(timeout_seconds):
@@ -32,6 +32,6 @@
         return ProbeOutcome.SILENT
     writer.close()
     with contextlib.suppress(OSError):
-        # Whoever took the connection may reset it as it closes; it was taken all the same.
+        # A reset during the close does not matter: the connection was accepted.
         await writer.wait_closed()
     return ProbeOutcome.ANSWERED
--- a/rackswitch/clients/scorer.py
+++ b/rackswitch/clients/scorer.py
@@ -1,4 +1,4 @@
-"""Services that score samples."""
+"""Client of scoring services."""
 
 from dataclasses import dataclass
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Score:
-    """A score and the version of the scorer that gave it."""
+    """A score and the version of the scorer."""
 
     score: float
     scorer_version: str
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoringFailed:
-    """No score; scoring has no effect, so it may be tried again."""
+    """The scoring failed; it has no side effects and may be retried."""
 
     detail: str
 
@@ -49,7 +49,7 @@
     async def score(
         self, url: str, sample_id: str, prompt: str, text: str
     ) -> Score | ScoringFailed:
-        """Score one sample; an answer about another sample counts as a failure."""
+        """Score one sample; a response for another sample counts as a failure."""
         body = {"sample_id": sample_id, "prompt": prompt, "text": text}
         wire = await call_json(
             self._sessions.pooled, "POST", url + "/score", _WireScore, CALL_TIMEOUT_SECONDS, body
@@ -57,5 +57,5 @@
         if isinstance(wire, CallFailed):
             return ScoringFailed(wire.detail)
         if wire.sample_id != sample_id:
-            return ScoringFailed("the score belongs to another sample")
+            return ScoringFailed("the response is for another sample")
         return Score(wire.score, wire.scorer_version)
--- a/rackswitch/clients/vm_list.py
+++ b/rackswitch/clients/vm_list.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving VMs."""
+"""Client of the platform's VM list, which lags behind the actual state."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VmList:
-    """The daemons' VMs, and the names of targets whose VM is leaving."""
+    """The VMs of daemons, and the names of targets whose VM is leaving."""
 
     daemons: tuple[VmEntry, ...]
     leaving_targets: frozenset[str]
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VmListUnavailable:
-    """The list cannot be read now."""
+    """Reading the VM list failed."""
 
     detail: str
 
--- a/rackswitch/clients/weight_store.py
+++ b/rackswitch/clients/weight_store.py
@@ -1,4 +1,4 @@
-"""The weight store: which versions of a model are published."""
+"""Client of the weight store, which lists published model versions."""
 
 from dataclasses import dataclass
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreUnavailable:
-    """No answer, or a refusal by the store's rate limit."""
+    """The store did not respond, or refused the call by its rate limit."""
 
     detail: str
 
@@ -30,7 +30,7 @@
 
 
 class WeightStoreClient:
-    """Client of the weight store's HTTP interface.
+    """Client of the weight store's HTTP API.
 
     Parameters
     ----------
@@ -47,7 +47,7 @@
         self._sessions = sessions
 
     async def published(self, model: str) -> PublishedVersions | StoreUnavailable:
-        """Read which versions of a model are there."""
+        """Return the newest published version of a model."""
         url = f"{self._url}/models/{model}/versions"
         wire = await call_json(
             self._sessions.pooled, "GET", url, _WireVersions, CALL_TIMEOUT_SECONDS
--- a/rackswitch/clocks/__init__.py
+++ b/rackswitch/clocks/__init__.py
@@ -1,4 +1,4 @@
-"""The clock that all waiting, leases and deadlines go by."""
+"""The clock used for timers, leases and deadlines."""
 
 from rackswitch.clocks.boot_clock import *  # noqa: F403
 from rackswitch.clocks.boot_clock import __all__  # noqa: F401
--- a/rackswitch/clocks/boot_clock.py
+++ b/rackswitch/clocks/boot_clock.py
@@ -1,4 +1,4 @@
-"""Running a program on an event loop whose clock counts a machine's suspension."""
+"""An event loop whose clock includes the time that the VM is suspended."""
 
 import asyncio
 import time
@@ -11,26 +11,25 @@
 
 
 class BootClockLoop(asyncio.SelectorEventLoop):
-    """An event loop that goes by the time since the machine's start.
+    """An event loop that uses the boot-time clock.
 
-    The steady clock, by which loops go otherwise, stands still while a machine is suspended: a
-    daemon that woke held its roles and its jobs for as long as it had slept, and went on with
-    requests that their callers had given up. Waits for input and output still end by the steady
-    clock, so a timer that passed in a suspension fires at the next event or, at the latest, as much
-    later as it had to go: some 0.1 s in a gateway, whose keepers look that often.
+    The default monotonic clock stops while the VM is suspended, so leases and deadlines would not
+    expire during a suspension. The selector still waits by the monotonic clock: a timer that
+    expires during a suspension fires at the next event, or at the latest after the selector's
+    remaining timeout.
     """
 
     def time(self) -> float:
-        """Return the time since the machine's start, in seconds."""
+        """Return the time since the VM's boot, in seconds."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def run_on_boot_clock(work: Coroutine[Any, Any, T]) -> T:
-    """Run a program to its end, as `asyncio.run` does."""
+def run_on_boot_clock(coroutine: Coroutine[Any, Any, T]) -> T:
+    """Run a coroutine like `asyncio.run`, on a `BootClockLoop`."""
     with asyncio.Runner(loop_factory=BootClockLoop) as runner:
-        return runner.run(work)
+        return runner.run(coroutine)
 
 
 def suspended_seconds() -> float:
-    """Return how long the machine has been suspended since its start, all together."""
+    """Return the total time that the VM has been suspended since its boot."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) - time.clock_gettime(time.CLOCK_MONOTONIC)
--- a/rackswitch/clocks/tests/test_boot_clock.py
+++ b/rackswitch/clocks/tests/test_boot_clock.py
@@ -1,7 +1,4 @@
-"""A machine that is suspended for seconds, as its programs see it.
-
-The steady clock stands still meanwhile, the clock since the machine's start does not.
-"""
+"""Deadlines that pass while the VM is suspended expire when it resumes."""
 
 import asyncio
 import time
@@ -15,23 +12,23 @@
 
 
 @pytest.fixture
-def machine():
-    with suspendable_machine() as machine:
-        yield machine
+def vm():
+    with suspendable_machine() as vm:
+        yield vm
 
 
-def test_what_waits_for_a_deadline_that_passed_meanwhile_wakes_at_once(machine):
+def test_deadline_that_passes_during_a_suspension_expires_at_once(vm):
     async def scenario():
-        began = time.monotonic()
-        machine_time = asyncio.get_running_loop().time()
+        started_seconds = time.monotonic()
+        loop_seconds = asyncio.get_running_loop().time()
         asyncio.get_running_loop().call_later(
-            0.02, setattr, machine, "suspended_seconds", SUSPENDED_SECONDS
+            0.02, setattr, vm, "suspended_seconds", SUSPENDED_SECONDS
         )
         with pytest.raises(TimeoutError):
-            async with asyncio.timeout_at(machine_time + SUSPENDED_SECONDS - 1.0):
-                # Anything that wakes the loop, as a connection's bytes do.
+            async with asyncio.timeout_at(loop_seconds + SUSPENDED_SECONDS - 1.0):
+                # Wakes the loop, as received bytes do.
                 while True:
                     await asyncio.sleep(0.01)
-        assert time.monotonic() - began < 1.0
+        assert time.monotonic() - started_seconds < 1.0
 
     run_on_boot_clock(scenario())
--- a/rackswitch/outcomes/core.py
+++ b/rackswitch/outcomes/core.py
@@ -1,4 +1,4 @@
-"""What can become of a request; errors are values, not exceptions."""
+"""Possible outcomes of a request; errors are values, not exceptions."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -16,18 +16,18 @@
 
 
 class BrokenInvariant(Exception):
-    """A state that the program's design rules out; it stops the process."""
+    """A violated invariant, which stops the process."""
 
 
 def check_invariant(condition: bool, text: str) -> None:
-    """Stop the process when a designed-in property does not hold.
+    """Raise an error that stops the process if an invariant does not hold.
 
     Parameters
     ----------
     condition : bool
-        The property.
+        Whether the invariant holds.
     text : str
-        What was expected, for the log.
+        Description of the invariant, for the log.
 
     Raises
     ------
@@ -39,7 +39,7 @@
 
 
 class NotRunReason(Enum):
-    """Why a request did not run; each value is the tail of a problem type."""
+    """Why a request did not run; each value is the last part of a problem type URN."""
 
     BAD_REQUEST = "bad-request"
     UNAUTHORIZED = "unauthorized"
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The request ran and its whole answer is here."""
+    """The request ran and its complete response was received."""
 
     status: int
     body: bytes
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """No target has begun the request, over all attempts."""
+    """No target started the request in any attempt."""
 
     reason: NotRunReason
     detail: str
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MayHaveRun:
-    """The request reached a target, or may have, and its end is not known."""
+    """The request may have reached a target, and its result is unknown."""
 
     detail: str
     retry_at_seconds: float | None = None
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RanAndFailed:
-    """A target ran the request and answered with a failure of its own."""
+    """A target ran the request and returned an error response."""
 
     status: int
     body: bytes
--- a/rackswitch/peers/__init__.py
+++ b/rackswitch/peers/__init__.py
@@ -1,5 +1,5 @@
 """Messages and calls between daemons; the generated modules are committed.
 
-To generate them again: ``python -m grpc_tools.protoc`` with the `grpclib`
-plugin on ``peers.proto`` (see CONTRIBUTING.md).
+To regenerate them, run ``python -m grpc_tools.protoc`` with the `grpclib` plugin
+(see CONTRIBUTING.md).
 """
--- a/rackswitch/peers/links.py
+++ b/rackswitch/peers/links.py
@@ -17,13 +17,13 @@
 SECRET_METADATA = "rackswitch-fleet-secret"
 PEER_ERRORS = (GRPCError, StreamTerminatedError, OSError, TimeoutError, asyncio.IncompleteReadError)
 
-LIBRARY_PACKAGES = ("grpclib", "h2")
+GRPC_PACKAGES = ("grpclib", "h2")
 
 T = TypeVar("T")
 
 
 class PeerUnreachable:
-    """No answer from the peer in time."""
+    """The peer did not respond in time, or the call failed."""
 
     __slots__ = ("detail",)
 
@@ -32,12 +32,12 @@
 
 
 class PeerLinks:
-    """Channels to peers, the least recently used of which are closed.
+    """A least-recently-used cache of channels to peers.
 
     Parameters
     ----------
     secret : str
-        The fleet's secret, by which daemons know each other; empty if there is none.
+        Shared secret that authenticates daemons of the fleet; empty if there is none.
     """
 
     __slots__ = ("_channels", "_secret", "blocked", "calls", "max_channels")
@@ -48,7 +48,7 @@
         self.calls = 0
         self.max_channels = MAX_CHANNELS
         self.blocked: set[str] = set()
-        """Peers that tests have cut off."""
+        """Peers that tests make unreachable."""
 
     async def call(
         self,
@@ -58,12 +58,12 @@
         timeout_seconds: float,
         stub_kind: Callable[[Channel], Any] = PeersStub,
     ) -> T | PeerUnreachable:
-        """Call a method of a peer once; `stub_kind` is the service it belongs to."""
+        """Call a method of a peer without retries; `stub_kind` is the stub of its service."""
         if peer.daemon in self.blocked:
             return PeerUnreachable("cut off")
         self.calls += 1
         stub = stub_kind(self._channel(peer.host, peer.peer_port))
-        # An empty value is no valid metadata.
+        # Metadata values must not be empty.
         metadata = {SECRET_METADATA: self._secret} if self._secret else {}
         try:
             async with asyncio.timeout(timeout_seconds):
@@ -71,9 +71,9 @@
         except PEER_ERRORS as error:
             return PeerUnreachable(f"{type(error).__name__}: {error}")
         except AttributeError as error:
-            if not _is_of_the_library(error.obj):
+            if not _belongs_to_grpc_library(error.obj):
                 raise
-            return PeerUnreachable(f"the connection ended as the call began: {error}")
+            return PeerUnreachable(f"connection closed at the start of the call: {error}")
 
     def _channel(self, host: str, port: int) -> Channel:
         key = (host, port)
@@ -94,10 +94,10 @@
         self._channels.clear()
 
 
-def _is_of_the_library(subject: object) -> bool:
-    """Return whether an object is one of the library's.
+def _belongs_to_grpc_library(obj: object) -> bool:
+    """Return whether an object belongs to the gRPC library.
 
-    The library takes a connection apart when it ends, and a call that begins at that moment misses
-    the parts.
+    A call that starts while the library closes its connection raises AttributeError on the
+    library's objects.
     """
-    return type(subject).__module__.partition(".")[0] in LIBRARY_PACKAGES
+    return type(obj).__module__.partition(".")[0] in GRPC_PACKAGES
--- a/rackswitch/peers/tests/test_links.py
+++ b/rackswitch/peers/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Calls of peers whose connections end at an awkward moment."""
+"""Calls to peers whose connection closes at the start of the call."""
 
 import asyncio
 from unittest.mock import patch
@@ -14,13 +14,13 @@
 TIMEOUT_SECONDS = 1.0
 
 
-async def _never_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def _never_respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     await reader.read()
     writer.close()
 
 
-async def _call_one_that_never_answers(method) -> object:
-    server = await asyncio.start_server(_never_answer, "127.0.0.1", 0)
+async def _call_unresponsive_peer(method) -> object:
+    server = await asyncio.start_server(_never_respond, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     links = PeerLinks("")
     peer = MemberUpdate("d1", host, port, "z", 1, MemberState.ALIVE)
@@ -32,20 +32,20 @@
         server.close()
 
 
-def test_a_connection_that_ends_as_a_call_begins_is_a_peer_without_an_answer():
-    # Found by a soak (seed 45): the library's error ended a duty, and with it the daemon.
+def test_connection_closed_at_the_start_of_a_call_gives_peer_unreachable():
+    # Guards against the library's AttributeError, which would stop the daemon.
     connect = Channel.__connect__
 
-    async def connect_and_lose(channel: Channel):
+    async def connect_and_close(channel: Channel):
         protocol = await connect(channel)
         protocol.connection_lost(None)
         return protocol
 
-    with patch.object(Channel, "__connect__", connect_and_lose):
-        reply = asyncio.run(_call_one_that_never_answers(lambda stub: stub.YieldJob))
+    with patch.object(Channel, "__connect__", connect_and_close):
+        reply = asyncio.run(_call_unresponsive_peer(lambda stub: stub.YieldJob))
     assert isinstance(reply, PeerUnreachable)
 
 
-def test_a_method_that_is_not_there_is_no_matter_of_the_connection():
+def test_missing_method_raises_attribute_error():
     with pytest.raises(AttributeError):
-        asyncio.run(_call_one_that_never_answers(lambda stub: stub.NoSuchMethod))
+        asyncio.run(_call_unresponsive_peer(lambda stub: stub.NoSuchMethod))
--- a/rackswitch/registry/core.py
+++ b/rackswitch/registry/core.py
@@ -1,4 +1,4 @@
-"""A named set of interchangeable implementations."""
+"""Registry of interchangeable implementations by name."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
@@ -9,7 +9,7 @@
 
 
 class UnknownNameError(KeyError):
-    """A name that no implementation was registered under."""
+    """No implementation is registered under the name."""
 
     def __str__(self) -> str:
         return str(self.args[0])
@@ -21,7 +21,7 @@
     Parameters
     ----------
     subject : str
-        What the entries are, for error texts.
+        What the entries are, for error messages.
     """
 
     __slots__ = ("_entries", "_subject")
@@ -31,29 +31,29 @@
         self._entries: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Return a decorator that files its argument under `name`.
+        """Return a decorator that registers its argument under `name`.
 
         Raises
         ------
         ValueError
-            If the name is taken.
+            If the name is already registered.
         """
 
         def decorate(entry: T) -> T:
             if name in self._entries:
-                raise ValueError(f"{self._subject} {name!r} is registered already")
+                raise ValueError(f"{self._subject} {name!r} is already registered")
             self._entries[name] = entry
             return entry
 
         return decorate
 
     def get(self, name: str) -> T:
-        """Return the entry called `name`.
+        """Return the entry registered under `name`.
 
         Raises
         ------
         UnknownNameError
-            If there is none; the text lists the known names.
+            If there is none; the message lists the known names.
         """
         if name not in self._entries:
             known = ", ".join(self.names())
