--- a/rackswitch/samples/ledger.py
+++ b/rackswitch/samples/ledger.py
@@ -136,7 +136,7 @@
         ----------
         draw : Draw
             The trainer's request.
-        at_least : int
+        min_samples : int
             Minimum number of samples in a new batch, unless fewer remain in the step.
 
         Notes
--- a/rackswitch/table/view.py
+++ b/rackswitch/table/view.py
@@ -74,7 +74,7 @@
 
     Parameters
     ----------
-    live : iterable of (daemon, zone)
+    live_daemons : iterable of (daemon, zone)
         The daemons considered live. If daemons disagree on this set, the service gets
         more calls; the table stays correct.
     per_zone : int
--- a/rackswitch/web/server.py
+++ b/rackswitch/web/server.py
@@ -40,7 +40,7 @@
         The ASGI application.
     host, port : str, int
         Address to listen on; port 0 selects a free port.
-    most_connections : int, optional
+    max_connections : int, optional
         Maximum number of connections; further ones get status 503.
     limits : ConnectionLimits, optional
         Header and idle timeouts; they may change while the server runs.
@@ -53,7 +53,7 @@
         application: Any,
         host: str,
         port: int,
-        most_connections: int | None = None,
+        max_connections: int | None = None,
         limits: ConnectionLimits | None = None,
     ):
         self._host = host
@@ -72,7 +72,7 @@
             http=functools.partial(BoundedHttpProtocol, limits),  # type: ignore[arg-type]
             ws="none",
             lifespan="auto",
-            limit_concurrency=most_connections,
+            limit_concurrency=max_connections,
         )
         self._server = _EmbeddedServer(self._config)
         self._task: asyncio.Task[None] | None = None
