--- a/rackswitch/daemon/__init__.py
+++ b/rackswitch/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: the decisions of the other subpackages, joined to the outside."""
+"""The daemon: connects the logic of the other subpackages to the network and the store."""
--- a/rackswitch/daemon/access.py
+++ b/rackswitch/daemon/access.py
@@ -1,4 +1,4 @@
-"""Who a request comes from, and what they may do."""
+"""Authenticate callers, trainers and operators by bearer token."""
 
 import hashlib
 import hmac
@@ -26,14 +26,14 @@
     return _find(view, request, TrainerRow)
 
 
-def find_operator(view: TableView, request: Request, own_sha256: str) -> OperatorRow | None:
+def find_operator(view: TableView, request: Request, bootstrap_sha256: str) -> OperatorRow | None:
     """Return the operator whose token the request carries, or None.
 
-    The token of the settings always works, since a new table holds no operators.
+    The token in the settings is always accepted, since a new table has no operators.
     """
     digest = _token_digest(request)
-    if digest is not None and hmac.compare_digest(digest, own_sha256):
-        return OperatorRow(name=BOOTSTRAP_OPERATOR, token_sha256=own_sha256, role="admin")
+    if digest is not None and hmac.compare_digest(digest, bootstrap_sha256):
+        return OperatorRow(name=BOOTSTRAP_OPERATOR, token_sha256=bootstrap_sha256, role="admin")
     return _find(view, request, OperatorRow)
 
 
@@ -42,14 +42,14 @@
     if digest is None:
         return None
     found = None
-    # All rows are compared, so that the time taken does not tell which one matched.
+    # Compare all rows, so that the response time does not reveal which row matched.
     for row in view.rows(kind):
-        if any(hmac.compare_digest(digest, own) for own in _digests(row)):
+        if any(hmac.compare_digest(digest, row_digest) for row_digest in _row_digests(row)):
             found = row
     return found
 
 
-def _digests(row: TenantRow | TrainerRow | OperatorRow) -> tuple[str, ...]:
+def _row_digests(row: TenantRow | TrainerRow | OperatorRow) -> tuple[str, ...]:
     return row.key_sha256 if isinstance(row, TenantRow) else (row.token_sha256,)
 
 
--- a/rackswitch/daemon/admin_edge.py
+++ b/rackswitch/daemon/admin_handler.py
@@ -1,4 +1,4 @@
-"""The administration API."""
+"""HTTP handlers of the administration API."""
 
 import asyncio
 import itertools
@@ -33,17 +33,17 @@
 from rackswitch.web.handlers import BodyFault, json_response, path_value, read_body, read_json
 from rackswitch.web.problems import Problem, problem_response
 
-__all__ = ["AdminEdge"]
+__all__ = ["AdminHandler"]
 
 EDITING_ROLES = ("edit", "admin")
 STATUS_TIMEOUT_SECONDS = 1.0
-STATUS_WIDTH = 32
+MAX_CONCURRENT_STATUS_CALLS = 32
 EDIT_ID_HEADER = b"idempotency-key"
-HIDDEN = "(hidden)"
+REDACTED = "(hidden)"
 
 
 class EditBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Changes that are to be accepted together."""
+    """Body of an edit: changes that are applied all or none."""
 
     changes: tuple[RowChange, ...]
     edit_id: str | None = None
@@ -51,7 +51,7 @@
 
 
 class DaemonStatus(msgspec.Struct):
-    """What one daemon has in force."""
+    """State and table revision of one daemon."""
 
     daemon: str
     zone: str
@@ -60,19 +60,19 @@
     confirmation_age_seconds: float | None
 
 
-class AdminEdge:
-    """Lets operators read and change the table.
+class AdminHandler:
+    """Handlers with which operators read and change the table.
 
     Parameters
     ----------
     context : DaemonContext
         The daemon.
     table : TableKeeper
-        Writes edits.
+        Applies edits.
     heartbeats : Heartbeats
-        Asks peers for their revision.
+        Builds the message that asks peers for their revision.
     roles : RoleManager
-        Roles held here.
+        The roles that this daemon holds.
     """
 
     __slots__ = ("_context", "_counter", "_heartbeats", "_roles", "_table")
@@ -96,7 +96,7 @@
         if isinstance(operator, Problem):
             return problem_response(operator)
         document = self._context.view.document
-        rows = {key: _shown(stored) for key, stored in document.rows.items()}
+        rows = {key: _redacted(stored) for key, stored in document.rows.items()}
         return json_response({"revision": document.revision, "rows": rows})
 
     async def get_row(self, request: Request) -> Response:
@@ -107,7 +107,7 @@
         stored = self._context.view.document.rows.get(_key(request))
         if stored is None:
             return problem_response(Problem(404, "not-found", f"No row {_key(request)}."))
-        return json_response(_shown(stored), headers=[(b"etag", _etag(stored.revision))])
+        return json_response(_redacted(stored), headers=[(b"etag", _etag(stored.revision))])
 
     async def put_row(self, request: Request) -> Response:
         """``PUT /admin/v1/rows/{kind}/{name}``, conditional by ``If-Match``."""
@@ -125,27 +125,27 @@
         return await self._edit_one(request, RowChange(remove=_key(request)))
 
     async def edit(self, request: Request) -> Response:
-        """``POST /admin/v1/edits``: several changes, all or nothing."""
+        """``POST /admin/v1/edits``: several changes, applied all or none."""
         body = await read_json(request, EditBody, self._context.settings.most_body_bytes)
         if isinstance(body, BodyFault):
             return problem_response(body.problem)
         return await self._submit(request, body.changes, body.edit_id, body.dry_run)
 
     async def history(self, request: Request) -> Response:
-        """``GET /admin/v1/history``: who changed what, newest last."""
+        """``GET /admin/v1/history``: the recorded edits, newest last."""
         operator = self._operator(request)
         if isinstance(operator, Problem):
             return problem_response(operator)
         return json_response({"edits": self._context.view.document.edits})
 
     async def status(self, request: Request) -> Response:
-        """``GET /admin/v1/status``: the revision that each daemon has in force."""
+        """``GET /admin/v1/status``: the table revision of each daemon."""
         operator = self._operator(request)
         if isinstance(operator, Problem):
             return problem_response(operator)
-        gate = asyncio.Semaphore(STATUS_WIDTH)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_STATUS_CALLS)
         members = [member.update.daemon for member in self._context.membership.members.values()]
-        others = await asyncio.gather(*(self._status_of(name, gate) for name in members))
+        peers = await asyncio.gather(*(self._peer_status(name, semaphore) for name in members))
         own = DaemonStatus(
             daemon=self._context.settings.daemon,
             zone=self._context.settings.zone,
@@ -154,14 +154,14 @@
             confirmation_age_seconds=self._table.confirmation_age_seconds(),
         )
         roles = [role for role in self._roles.roles if self._roles.may_act(role)]
-        daemons = sorted([own, *others], key=lambda status: status.daemon)
+        daemons = sorted([own, *peers], key=lambda status: status.daemon)
         return json_response({"daemons": daemons, "roles_here": sorted(roles)})
 
-    async def _status_of(self, daemon: str, gate: asyncio.Semaphore) -> DaemonStatus:
+    async def _peer_status(self, daemon: str, semaphore: asyncio.Semaphore) -> DaemonStatus:
         peer = self._context.membership.address(daemon)
         if peer is None:
             return DaemonStatus(daemon, "", "unknown", None, None)
-        async with gate:
+        async with semaphore:
             reply = await self._context.links.call(
                 peer,
                 lambda stub: stub.Heartbeat,
@@ -186,7 +186,7 @@
         return operator
 
     async def _edit_one(self, request: Request, change: RowChange) -> Response:
-        condition = _condition(request)
+        condition = _required_revision(request)
         if isinstance(condition, Problem):
             return problem_response(condition)
         conditional = msgspec.structs.replace(change, if_revision=condition)
@@ -203,14 +203,14 @@
         if isinstance(operator, Problem):
             return problem_response(operator)
         header = (request.get_first_header(EDIT_ID_HEADER) or b"").decode("latin-1")
-        given_id = edit_id or header
+        supplied_id = edit_id or header
         edit = Edit(
-            edit_id=f"{operator.name}/{given_id or self._new_edit_id()}",
+            edit_id=f"{operator.name}/{supplied_id or self._new_edit_id()}",
             operator=operator.name,
             at_unix_seconds=time.time(),
             changes=changes,
         )
-        result = await self._table.submit(edit, dry_run, may_be_retry=bool(given_id))
+        result = await self._table.submit(edit, dry_run, may_be_retry=bool(supplied_id))
         return _edit_response(result)
 
     def _new_edit_id(self) -> str:
@@ -225,12 +225,12 @@
             headers=[(b"etag", _etag(result.revision))],
         )
     if isinstance(result, EditConflict):
-        present = None if result.present is None else _shown(result.present)
+        present = None if result.present is None else _redacted(result.present)
         body = {
             "type": "urn:rackswitch:problem:conflict",
             "title": "conflict",
             "status": 412,
-            "detail": f"Row {result.key} is not as the edit expects.",
+            "detail": f"Row {result.key} does not have the revision that the edit requires.",
             "present": present,
         }
         return json_response(body, 412)
@@ -246,13 +246,13 @@
     raise TypeError(result)
 
 
-def _shown(stored: StoredRow) -> dict[str, Any]:
-    """Return a row as operators see it, without token hashes."""
+def _redacted(stored: StoredRow) -> dict[str, Any]:
+    """Return a row as operators see it, with token hashes hidden."""
     row = msgspec.to_builtins(stored.row)
     if "token_sha256" in row:
-        row["token_sha256"] = HIDDEN
+        row["token_sha256"] = REDACTED
     if "key_sha256" in row:
-        row["key_sha256"] = [HIDDEN] * len(row["key_sha256"])
+        row["key_sha256"] = [REDACTED] * len(row["key_sha256"])
     return {"revision": stored.revision, "row": row}
 
 
@@ -264,8 +264,8 @@
     return f'"{revision}"'.encode()
 
 
-def _condition(request: Request) -> int | None | Problem:
-    """Return the revision that the row must have: 0 for absent, None for any."""
+def _required_revision(request: Request) -> int | None | Problem:
+    """Return the revision that the row must have: 0 for no row, None for any revision."""
     if request.get_first_header(b"if-none-match") == b"*":
         return 0
     header = request.get_first_header(b"if-match")
--- a/rackswitch/daemon/caller_edge.py
+++ b/rackswitch/daemon/caller_handler.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for callers."""
+"""HTTP handlers for callers."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,17 +10,17 @@
 from loguru import logger
 
 from rackswitch.daemon.access import find_tenant
-from rackswitch.daemon.caller_answers import (
+from rackswitch.daemon.caller_responses import (
     chunk_body,
+    complete_body,
     outcome_label,
     outcome_problem,
     server_sent_event,
-    whole_body,
 )
-from rackswitch.daemon.completions import CompletionCall, CompletionFront
+from rackswitch.daemon.completions import CompletionCall, CompletionDispatcher
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.daemon.limit_keeper import LimitKeeper
-from rackswitch.daemon.service_calls import ServiceCall, ServiceFront
+from rackswitch.daemon.service_calls import ServiceCall, ServiceDispatcher
 from rackswitch.outcomes import (
     Completed,
     NotRun,
@@ -52,7 +52,7 @@
 
 
 class CompletionBody(msgspec.Struct, forbid_unknown_fields=True):
-    """The fields of a completion request that are served."""
+    """The supported fields of a completion request."""
 
     model: str
     prompt: str
@@ -64,7 +64,7 @@
 
 
 class CallerHandler:
-    """Turns callers' HTTP requests into calls, and outcomes into answers.
+    """Turns callers' HTTP requests into calls, and outcomes into responses.
 
     Parameters
     ----------
@@ -73,7 +73,7 @@
     completions : CompletionFront
         Serves completions.
     services : ServiceFront
-        Serves calls of plain services.
+        Serves calls to plain services.
     limits : LimitKeeper
         The tenants' limits.
     """
@@ -83,8 +83,8 @@
     def __init__(
         self,
         context: DaemonContext,
-        completions: CompletionFront,
-        services: ServiceFront,
+        completions: CompletionDispatcher,
+        services: ServiceDispatcher,
         limits: LimitKeeper,
     ):
         self._context = context
@@ -96,18 +96,18 @@
         """``POST /v1/completions``."""
         arrived_seconds = self._context.now_seconds()
         body = await read_json(request, CompletionBody, self._context.settings.most_body_bytes)
-        entered = self._enter(request)
-        if isinstance(entered, NotRun):
-            return self._refuse(entered)
+        admitted = self._admit(request)
+        if isinstance(admitted, NotRun):
+            return self._refusal_response(admitted)
         if isinstance(body, BodyFault):
-            return self._leave(entered, problem_response(body.problem), "bad_request")
-        route = self._route(entered, body.model)
+            return self._finish(admitted, problem_response(body.problem), "bad_request")
+        route = self._route(admitted, body.model)
         deadline = self._deadline_seconds(request, arrived_seconds)
         for fault in (route, deadline):
             if isinstance(fault, NotRun):
-                return self._leave(entered, self._refuse(fault), "not_run")
+                return self._finish(admitted, self._refusal_response(fault), "not_run")
         call = CompletionCall(
-            tenant=entered,
+            tenant=admitted,
             route=route,  # type: ignore[arg-type]
             prompt=body.prompt,
             max_tokens=body.max_tokens,
@@ -117,7 +117,7 @@
         )
         if body.stream:
             return await self._stream(request, call)
-        watcher = _cancel_when_gone(request)
+        watcher = _cancel_on_disconnect(request)
         try:
             return await self._collect(call)
         finally:
@@ -127,20 +127,20 @@
         """``ANY /v1/services/{service}/{path}``."""
         arrived_seconds = self._context.now_seconds()
         body = await read_body(request, self._context.settings.most_body_bytes)
-        entered = self._enter(request)
-        if isinstance(entered, NotRun):
-            return self._refuse(entered)
+        admitted = self._admit(request)
+        if isinstance(admitted, NotRun):
+            return self._refusal_response(admitted)
         if isinstance(body, BodyFault):
-            return self._leave(entered, problem_response(body.problem), "bad_request")
-        call = self._service_call(request, entered, body, arrived_seconds)
+            return self._finish(admitted, problem_response(body.problem), "bad_request")
+        call = self._service_call(request, admitted, body, arrived_seconds)
         if isinstance(call, NotRun):
-            return self._leave(entered, self._refuse(call), "not_run")
+            return self._finish(admitted, self._refusal_response(call), "not_run")
         outcome = await self._services.call(call)
-        response = self._answer(outcome)
-        return self._leave(entered, response, outcome_label(outcome), arrived_seconds)
+        response = self._response(outcome)
+        return self._finish(admitted, response, outcome_label(outcome), arrived_seconds)
 
-    def _enter(self, request: Request) -> TenantRow | NotRun:
-        """Check who asks and whether they may now; counts the request in."""
+    def _admit(self, request: Request) -> TenantRow | NotRun:
+        """Authenticate the caller, check its limits and count the request as in flight."""
         now_seconds = self._context.now_seconds()
         if self._context.stopping:
             return NotRun(NotRunReason.STOPPING, "this daemon is stopping", now_seconds + 1.0)
@@ -153,23 +153,23 @@
         tenant = find_tenant(self._context.view, request)
         if tenant is None:
             return NotRun(NotRunReason.UNAUTHORIZED, "unknown bearer token")
-        refusal = self._limits.try_enter(tenant)
+        refusal = self._limits.try_acquire(tenant)
         if refusal is not None:
             self._context.telemetry.request_ended(tenant.name, tenant.rank, "not_run", 0.0)
             return refusal
         self._context.in_flight.begin()
         return tenant
 
-    def _leave(
+    def _finish(
         self,
         tenant: TenantRow,
         response: Response,
         outcome: str,
         arrived_seconds: float | None = None,
     ) -> Response:
-        """Count a request out and record its end."""
+        """Release the request's slot and record its end."""
         self._context.in_flight.end()
-        self._limits.leave(tenant)
+        self._limits.release(tenant)
         now_seconds = self._context.now_seconds()
         elapsed_seconds = 0.0 if arrived_seconds is None else now_seconds - arrived_seconds
         self._context.telemetry.request_ended(tenant.name, tenant.rank, outcome, elapsed_seconds)
@@ -208,11 +208,13 @@
         if len(key) > MAX_KEY_CHARACTERS:
             detail = f"`idempotency-key` is over {MAX_KEY_CHARACTERS} characters"
             return NotRun(NotRunReason.BAD_REQUEST, detail)
-        says = (request.get_first_header(REPEATABLE_HEADER) or b"").lower()
-        if says not in (b"", b"yes", b"no"):
+        repeatable_text = (request.get_first_header(REPEATABLE_HEADER) or b"").lower()
+        if repeatable_text not in (b"", b"yes", b"no"):
             return NotRun(NotRunReason.BAD_REQUEST, "`rackswitch-repeatable` must be yes or no")
-        # Only methods that are safe by their definition may be repeated unasked.
-        repeatable = says == b"yes" or (says == b"" and request.method in ("GET", "HEAD"))
+        # Without the header, only safe HTTP methods are repeatable.
+        repeatable = repeatable_text == b"yes" or (
+            repeatable_text == b"" and request.method in ("GET", "HEAD")
+        )
         query = request.url.query
         path = path_value(request, "path") + (f"?{query.decode()}" if query else "")
         return ServiceCall(
@@ -241,20 +243,23 @@
                     else:
                         outcome = item
             if outcome is not None:
-                response, label = self._answer(outcome), outcome_label(outcome)
+                response, label = self._response(outcome), outcome_label(outcome)
             else:
-                response, label = json_response(whole_body(call, chunks)), "completed"
+                response, label = json_response(complete_body(call, chunks)), "completed"
         finally:
             self._context.telemetry.tokens_passed(call.tenant.name, len(chunks))
-            self._leave(call.tenant, response, label, call.arrived_seconds)
+            self._finish(call.tenant, response, label, call.arrived_seconds)
         return response
 
     async def _stream(self, request: Request, call: CompletionCall) -> Response:
         source = self._completions.stream(call)
-        first = await self._first_item(request, call, source)
-        if not isinstance(first, StreamChunk):
-            return self._leave(
-                call.tenant, self._answer(first), outcome_label(first), call.arrived_seconds
+        first_item = await self._first_item(request, call, source)
+        if not isinstance(first_item, StreamChunk):
+            return self._finish(
+                call.tenant,
+                self._response(first_item),
+                outcome_label(first_item),
+                call.arrived_seconds,
             )
         watcher: asyncio.Task[None] | None = None
 
@@ -262,7 +267,7 @@
             label = "cancelled"
             tokens = 0
             try:
-                item: StreamChunk | Outcome = first
+                item: StreamChunk | Outcome = first_item
                 while isinstance(item, StreamChunk):
                     yield server_sent_event(chunk_body(call, item))
                     tokens += len(item.token_ids)
@@ -278,42 +283,42 @@
                     watcher.cancel()
                 await source.aclose()
                 self._context.telemetry.tokens_passed(call.tenant.name, tokens)
-                self._leave(call.tenant, Response(200), label, call.arrived_seconds)
+                self._finish(call.tenant, Response(200), label, call.arrived_seconds)
 
-        watcher = _cancel_when_gone(request)
+        watcher = _cancel_on_disconnect(request)
         return Response(200, content=StreamedContent(SSE, events))
 
     async def _first_item(
         self, request: Request, call: CompletionCall, source: AsyncIterator[StreamChunk | Outcome]
     ) -> StreamChunk | Outcome:
-        watcher = _cancel_when_gone(request)
+        watcher = _cancel_on_disconnect(request)
         try:
             return await anext(source)
         except asyncio.CancelledError:
-            self._leave(call.tenant, Response(499), "cancelled", call.arrived_seconds)
+            self._finish(call.tenant, Response(499), "cancelled", call.arrived_seconds)
             raise
         finally:
             watcher.cancel()
 
     def _error_event(self, outcome: Outcome) -> dict[str, Any]:
         problem = outcome_problem(outcome, self._context.now_seconds())
-        # Some of the answer has been passed on, whatever the last attempt said.
+        # Part of the answer has already been sent, whatever the outcome of the last attempt.
         return {"error": msgspec.structs.replace(problem, ran="yes")}
 
-    def _answer(self, outcome: Outcome) -> Response:
+    def _response(self, outcome: Outcome) -> Response:
         if isinstance(outcome, Completed | RanAndFailed):
             headers = [(b"rackswitch-ran", b"yes")]
             content = Content(outcome.media_type.encode("latin-1"), outcome.body)
             return Response(outcome.status, headers, content)
         return problem_response(outcome_problem(outcome, self._context.now_seconds()))
 
-    def _refuse(self, refusal: NotRun) -> Response:
+    def _refusal_response(self, refusal: NotRun) -> Response:
         logger.debug("refused", reason=refusal.reason.value)
         return problem_response(outcome_problem(refusal, self._context.now_seconds()))
 
 
-def _cancel_when_gone(request: Request) -> asyncio.Task[None]:
-    """Cancel the present task, and with it the engine's work, when the client goes away."""
+def _cancel_on_disconnect(request: Request) -> asyncio.Task[None]:
+    """Cancel the current task, and with it the engine's work, when the caller disconnects."""
     task = asyncio.current_task()
 
     def cancel() -> None:
--- a/rackswitch/daemon/caller_answers.py
+++ b/rackswitch/daemon/caller_responses.py
@@ -1,4 +1,4 @@
-"""The form of answers to callers: problems, events and bodies."""
+"""Responses to callers: problems, server-sent events and bodies."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 from rackswitch.requests import StreamChunk
 from rackswitch.web.problems import Problem
 
-__all__ = ["chunk_body", "outcome_label", "outcome_problem", "server_sent_event", "whole_body"]
+__all__ = ["chunk_body", "complete_body", "outcome_label", "outcome_problem", "server_sent_event"]
 
 STATUS_OF_REASON = {
     NotRunReason.BAD_REQUEST: 400,
@@ -26,7 +26,7 @@
 
 
 def outcome_problem(outcome: Outcome, now_seconds: float) -> Problem:
-    """Return the problem that tells a caller of an outcome without an answer."""
+    """Return the problem that reports an outcome without an answer to the caller."""
     if isinstance(outcome, NotRun):
         status = STATUS_OF_REASON[outcome.reason]
         retry = _retry_after(outcome.retry_at_seconds, now_seconds)
@@ -42,7 +42,7 @@
 
 
 def outcome_label(outcome: Outcome) -> str:
-    """Return an outcome's name for metrics."""
+    """Return the metric label of an outcome."""
     if isinstance(outcome, Completed):
         return "completed"
     if isinstance(outcome, NotRun):
@@ -51,7 +51,7 @@
 
 
 def server_sent_event(body: dict[str, Any]) -> bytes:
-    """Return one event of a stream."""
+    """Encode one server-sent event."""
     return b"data: " + msgspec.json.encode(body) + b"\n\n"
 
 
@@ -75,8 +75,8 @@
     }
 
 
-def whole_body(call: CompletionCall, chunks: list[StreamChunk]) -> dict[str, Any]:
-    """Return a whole answer in the form of the OpenAI completions interface."""
+def complete_body(call: CompletionCall, chunks: list[StreamChunk]) -> dict[str, Any]:
+    """Return a complete answer in the form of the OpenAI completions interface."""
     last = chunks[-1]
     choice = {
         "index": 0,
--- a/rackswitch/daemon/claim_keeper.py
+++ b/rackswitch/daemon/claim_keeper.py
@@ -1,4 +1,4 @@
-"""Claims in the key-value service, many to one write."""
+"""Claims on idempotency keys in the key-value service, written in batches."""
 
 import asyncio
 import itertools
@@ -31,28 +31,28 @@
 __all__ = ["ClaimFound", "ClaimKeeper", "ClaimsUnavailable"]
 
 MAX_PARTS = 64
-RETRY_SECONDS = 0.1
-SETTLE_TRIES = 600
-SETTLE_RETRY_SECONDS = 1.0
-ENDED_PERIODS = 3
-"""Claims of the period this many before the present one are of no more use."""
+RETRY_DELAY_SECONDS = 0.1
+MAX_SETTLE_ATTEMPTS = 600
+SETTLE_RETRY_DELAY_SECONDS = 1.0
+RETAINED_PERIODS = 3
+"""A claim bucket is deleted this many periods after its own."""
 
-MAX_KEPT_ANSWER_BYTES = 64_000
-PROBE_SECONDS = 0.25
-"""Between looks whether a service that was away answers again."""
+MAX_STORED_ANSWER_BYTES = 64_000
+PROBE_INTERVAL_SECONDS = 0.25
+"""Between probes of an unreachable key-value service."""
 
 PROBE_KEY = "table"
-"""Any key does; this one is small and always read."""
+"""Key that a probe reads; any key would do."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimFound:
-    """What the claim in the service means for this attempt.
+    """The claim stored in the service and what it means for this attempt.
 
     Attributes
     ----------
     entry : KvEntry or None
-        The claim's key as this attempt wrote it, to be replaced by the answer.
+        The entry that this attempt wrote; the answer replaces it.
     """
 
     decision: ClaimDecision
@@ -62,21 +62,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimsUnavailable:
-    """The service did not settle the claim in time; nothing may be run."""
+    """The service did not confirm the claim in time, so the request must not run."""
 
 
 @dataclass(slots=True)
-class _Pending:
+class _PendingWrite:
     key: str
     part: TxnPart
     done: asyncio.Future[TxnPartDone | KvUnavailable]
 
 
 class ClaimKeeper:
-    """Makes, answers and releases claims.
+    """Makes and releases claims, and stores answers in them.
 
-    While one write is on its way the claims that arrive are collected, and go together
-    in the next; each has its own condition in it.
+    Claims that arrive while a write is in progress are batched into the next write, each
+    with its own condition.
 
     Parameters
     ----------
@@ -85,62 +85,62 @@
     """
 
     __slots__ = (
-        "_cleaned",
+        "_cleaned_bucket",
         "_context",
         "_counter",
         "_flushing",
-        "_is_away",
+        "_is_unreachable",
         "_pending",
-        "_start",
+        "_start_id",
         "writes",
     )
 
     def __init__(self, context: DaemonContext):
         self._context = context
-        self._pending: deque[_Pending] = deque()
+        self._pending: deque[_PendingWrite] = deque()
         self._flushing = False
-        self._is_away = False
-        self._cleaned = 0
+        self._is_unreachable = False
+        self._cleaned_bucket = 0
         self._counter = itertools.count()
-        self._start = context.rng.randrange(1 << 60)
+        self._start_id = context.rng.randrange(1 << 60)
         self.writes = 0
 
     def new_owner(self) -> str:
-        """Return an identity for one attempt at claiming, never used before."""
-        return f"{self._context.settings.daemon}/{self._start:x}/{next(self._counter)}"
+        """Return a unique owner for one attempt at a claim."""
+        return f"{self._context.settings.daemon}/{self._start_id:x}/{next(self._counter)}"
 
     def keys(self, tenant: str, idempotency_key: str) -> tuple[str, str, str]:
-        """Return the keys under which a request's claim may stand now."""
+        """Return the keys under which a request's claim may be stored now."""
         bucket = claim_bucket(time.time(), self._context.settings.claim_life_seconds)
         return claim_keys(tenant, idempotency_key, bucket)
 
     async def clean(self, fence: Compare) -> None:
-        """Delete the claims of periods that have ended, under the fence of the role."""
+        """Delete expired claims, under the fence of the cleaning role."""
         bucket = claim_bucket(time.time(), self._context.settings.claim_life_seconds)
-        if bucket <= self._cleaned:
+        if bucket <= self._cleaned_bucket:
             return
-        ended = bucket_prefix(bucket - ENDED_PERIODS)
-        part = TxnPart((fence,), (Operation(ended, None, is_prefix=True),))
+        expired_prefix = bucket_prefix(bucket - RETAINED_PERIODS)
+        part = TxnPart((fence,), (Operation(expired_prefix, None, is_prefix=True),))
         done = await self._context.kv.txn([part])
         if not isinstance(done, KvUnavailable) and done[0].succeeded:
-            self._cleaned = bucket
+            self._cleaned_bucket = bucket
 
     async def claim(
-        self, keys: tuple[str, str, str], claim: Claim, give_up_seconds: float
+        self, keys: tuple[str, str, str], claim: Claim, deadline_seconds: float
     ) -> ClaimFound | ClaimsUnavailable:
-        """Make a claim if there is none; return what stands in the service.
+        """Make a claim if there is none; return the claim stored in the service.
 
-        An unanswered write is simply tried again: it is conditional on the key's absence,
-        and the owner in the value tells whether an earlier try made it. While the service
-        is known to be away nothing is tried, so that the caller is told at once.
+        An unanswered write is retried: it is conditional on the key's absence, and the owner
+        in the value identifies a claim that an earlier attempt made. While the service is
+        known to be unreachable, the claim fails immediately.
         """
-        if self._is_away:
+        if self._is_unreachable:
             return ClaimsUnavailable()
         replaces: KvEntry | None = None
-        while self._context.now_seconds() < give_up_seconds:
+        while self._context.now_seconds() < deadline_seconds:
             done = await self._write(keys, claim, replaces)
             if isinstance(done, KvUnavailable):
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_DELAY_SECONDS)
                 continue
             if done.succeeded:
                 key = keys[0] if replaces is None else replaces.key
@@ -166,34 +166,34 @@
         media_type: str,
         body: bytes,
     ) -> None:
-        """Write the answer into a claim, for later duplicates of the request."""
-        kept = body if len(body) <= MAX_KEPT_ANSWER_BYTES else b""
+        """Store the answer in a claim, for later duplicates of the request."""
+        stored_body = body if len(body) <= MAX_STORED_ANSWER_BYTES else b""
         answered = msgspec.structs.replace(
             found.claim,
             state=ClaimState.ANSWERED,
             status=status,
-            media_type=media_type if kept == body else "",
-            body=kept,
+            media_type=media_type if stored_body == body else "",
+            body=stored_body,
         )
         await self._settle(keys, answered, found.entry)
 
     async def release(
         self, keys: tuple[str, str, str], claim: Claim, entry: KvEntry | None = None
     ) -> None:
-        """Give a claim up without having run the request.
+        """Release a claim whose request was not run.
 
-        The claim is overwritten, not deleted: a try of this daemon that is still on its
-        way cannot make the claim again.
+        The claim is overwritten, not deleted, so that a delayed write of this daemon cannot
+        make it again.
         """
         await self._settle(keys, msgspec.structs.replace(claim, state=ClaimState.RELEASED), entry)
 
     async def _settle(
         self, keys: tuple[str, str, str], settled: Claim, replaces: KvEntry | None
     ) -> None:
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_SETTLE_ATTEMPTS):
             done = await self._write(keys, settled, replaces)
             if isinstance(done, KvUnavailable):
-                await asyncio.sleep(SETTLE_RETRY_SECONDS)
+                await asyncio.sleep(SETTLE_RETRY_DELAY_SECONDS)
                 continue
             if done.succeeded:
                 return
@@ -208,10 +208,10 @@
     async def _write(
         self, keys: tuple[str, str, str], claim: Claim, replaces: KvEntry | None
     ) -> TxnPartDone | KvUnavailable:
-        """Write a claim where there is none, or in place of a known one."""
+        """Create a claim, or replace a known one."""
         if replaces is None:
             key = keys[0]
-            compares = tuple(Compare(each, "create", 0) for each in keys)
+            compares = tuple(Compare(claim_key, "create", 0) for claim_key in keys)
         else:
             key = replaces.key
             compares = (Compare(key, "mod", replaces.mod_revision),)
@@ -219,7 +219,7 @@
         future: asyncio.Future[TxnPartDone | KvUnavailable] = (
             asyncio.get_running_loop().create_future()
         )
-        self._pending.append(_Pending(key, part, future))
+        self._pending.append(_PendingWrite(key, part, future))
         if not self._flushing:
             self._flushing = True
             self._context.spawn(self._flush())
@@ -230,41 +230,41 @@
             while self._pending:
                 batch = self._take_batch()
                 self.writes += 1
-                done = await self._context.kv.txn([each.part for each in batch])
-                self._note_contact(done)
-                for index, each in enumerate(batch):
-                    if not each.done.done():
-                        each.done.set_result(
+                done = await self._context.kv.txn([pending.part for pending in batch])
+                self._record_contact(done)
+                for index, pending in enumerate(batch):
+                    if not pending.done.done():
+                        pending.done.set_result(
                             done if isinstance(done, KvUnavailable) else done[index]
                         )
         finally:
             self._flushing = False
 
-    def _note_contact(self, answer: object) -> None:
+    def _record_contact(self, answer: object) -> None:
         unanswered = isinstance(answer, KvUnavailable) and answer.effect_unknown
-        if unanswered and not self._is_away:
-            self._is_away = True
+        if unanswered and not self._is_unreachable:
+            self._is_unreachable = True
             logger.warning("claims: the key-value service does not answer")
-            self._context.spawn(self._wait_back())
+            self._context.spawn(self._wait_until_reachable())
 
-    async def _wait_back(self) -> None:
-        """Ask until the service answers again."""
+    async def _wait_until_reachable(self) -> None:
+        """Probe the service until it answers again."""
         while isinstance(await self._context.kv.read(PROBE_KEY), KvUnavailable):
-            await asyncio.sleep(PROBE_SECONDS)
-        self._is_away = False
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS)
+        self._is_unreachable = False
         logger.info("claims: the key-value service answers again")
 
-    def _take_batch(self) -> list[_Pending]:
-        """Take pending parts of different keys; the service takes a key once a write."""
-        batch: list[_Pending] = []
+    def _take_batch(self) -> list[_PendingWrite]:
+        """Take pending writes of distinct keys; a transaction may write each key only once."""
+        batch: list[_PendingWrite] = []
         keys: set[str] = set()
-        left: deque[_Pending] = deque()
+        deferred: deque[_PendingWrite] = deque()
         while self._pending and len(batch) < MAX_PARTS:
-            each = self._pending.popleft()
-            if each.key in keys:
-                left.append(each)
+            pending = self._pending.popleft()
+            if pending.key in keys:
+                deferred.append(pending)
                 continue
-            keys.add(each.key)
-            batch.append(each)
-        self._pending.extendleft(reversed(left))
+            keys.add(pending.key)
+            batch.append(pending)
+        self._pending.extendleft(reversed(deferred))
         return batch
--- a/rackswitch/daemon/completions.py
+++ b/rackswitch/daemon/completions.py
@@ -1,4 +1,4 @@
-"""Serving callers' completions from engines."""
+"""Serve callers' completions from engines."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -20,17 +20,17 @@
 from rackswitch.routing import RoutedRequest, admit, estimated_wait_seconds
 from rackswitch.table import RouteChoice, RouteRow, TargetRow, TenantRow
 
-__all__ = ["CompletionCall", "CompletionFront"]
+__all__ = ["CompletionCall", "CompletionDispatcher"]
 
 RETRY_AFTER_SECONDS = 1.0
 MIN_TIMEOUT_SECONDS = 1.5
-PATIENCE_FACTOR = 3.0
-"""How many times the estimated wait an engine may take before another one is tried."""
+FIRST_CHUNK_TIMEOUT_FACTOR = 3.0
+"""Timeout for the first chunk, as a multiple of the estimated wait."""
 
 
 @dataclass(frozen=True, slots=True)
 class CompletionCall:
-    """A caller's completion request, checked."""
+    """A validated completion request of a caller."""
 
     tenant: TenantRow
     route: RouteRow
@@ -43,15 +43,15 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """What a caller's stream has brought so far, over all attempts."""
+    """What a caller's stream has received so far, over all attempts."""
 
     token_ids: list[int]
     choice: RouteChoice
     finished: bool = False
 
 
-class CompletionFront:
-    """Routes completions and tells the truth about what became of them.
+class CompletionDispatcher:
+    """Routes completions to engines and reports their outcomes.
 
     Parameters
     ----------
@@ -74,7 +74,7 @@
     async def stream(self, call: CompletionCall) -> AsyncGenerator[StreamChunk | Outcome, None]:
         """Run a completion; yield its chunks, and an outcome in place of the rest if it fails.
 
-        A stream that breaks goes on at another engine from the tokens already passed on.
+        An interrupted stream resumes at another engine, after the tokens already sent.
         """
         log = AttemptLog(repeatable=True)
         progress = _Progress([], self._chooser.route_choice(call.route))
@@ -82,7 +82,7 @@
         while True:
             chosen = self._choose(call, progress, log)
             if isinstance(chosen, NotRun):
-                yield self._final(log, chosen)
+                yield self._final_outcome(log, chosen)
                 return
             log.begin()
             async with aclosing(self._attempt(call, chosen, progress, log)) as attempt:
@@ -102,16 +102,18 @@
         if not candidates:
             return NotRun(
                 NotRunReason.NO_TARGET,
-                "no engine may serve this",
+                "no engine available for this route",
                 now_seconds + RETRY_AFTER_SECONDS,
             )
-        routed = self._routed(call, progress)
+        routed = self._routed_request(call, progress)
         row, target = self._chooser.pick(routed, candidates)
         refusal = admit(routed, target, call.deadline_seconds, call.tenant.rank)
         return refusal if refusal is not None else (row, target)
 
-    def _routed(self, call: CompletionCall, progress: _Progress) -> RoutedRequest:
-        return self._chooser.routed(call.prompt, float(call.max_tokens - len(progress.token_ids)))
+    def _routed_request(self, call: CompletionCall, progress: _Progress) -> RoutedRequest:
+        return self._chooser.routed_request(
+            call.prompt, float(call.max_tokens - len(progress.token_ids))
+        )
 
     async def _attempt(
         self,
@@ -121,16 +123,16 @@
         log: AttemptLog,
     ) -> AsyncGenerator[StreamChunk, None]:
         row, target = chosen
-        routed = self._routed(call, progress)
+        routed = self._routed_request(call, progress)
         request = self._engine_request(call, chosen, routed, progress)
         check = StreamCheck(request.request_id)
-        first_seconds = 0.0
+        first_chunk_seconds = 0.0
         end = AttemptEnd(row.name, True, "the stream ended before its last chunk")
         target.begin(routed.cost_tokens, routed.prefixes)
         stream = self._targets.client(row.protocol).stream(row.url, request)
         try:
             async for item in stream:
-                first_seconds = first_seconds or self._context.now_seconds()
+                first_chunk_seconds = first_chunk_seconds or self._context.now_seconds()
                 checked = self._check_item(row, item, check, progress)
                 if isinstance(checked, AttemptEnd):
                     end = checked
@@ -139,8 +141,10 @@
                 progress.token_ids.extend(checked.token_ids)
                 progress.finished = check.finished
                 if check.finished:
-                    # Before the last chunk is passed on: the reader stops there.
-                    target.succeeded(check.tokens, self._context.now_seconds() - first_seconds)
+                    # Recorded before the last chunk is yielded, because the reader stops there.
+                    target.succeeded(
+                        check.tokens, self._context.now_seconds() - first_chunk_seconds
+                    )
                 yield checked
         finally:
             target.end(routed.cost_tokens)
@@ -158,7 +162,7 @@
     ) -> EngineRequest:
         row, target = chosen
         wait_seconds = estimated_wait_seconds(routed, target)
-        patience_seconds = max(MIN_TIMEOUT_SECONDS, PATIENCE_FACTOR * wait_seconds)
+        timeout_seconds = max(MIN_TIMEOUT_SECONDS, FIRST_CHUNK_TIMEOUT_FACTOR * wait_seconds)
         return EngineRequest(
             request_id=self._chooser.new_attempt_id(),
             model=row.serves,
@@ -167,7 +171,7 @@
             seed=call.seed,
             priority=call.tenant.rank,
             deadline_seconds=call.deadline_seconds,
-            first_chunk_deadline_seconds=routed.now_seconds + patience_seconds,
+            first_chunk_deadline_seconds=routed.now_seconds + timeout_seconds,
             resume_token_ids=tuple(progress.token_ids),
         )
 
@@ -178,7 +182,7 @@
         check: StreamCheck,
         progress: _Progress,
     ) -> AttemptEnd | StreamChunk:
-        """Return the item if it may be passed on, else how the attempt ends."""
+        """Return the chunk if it may be sent to the caller, else the end of the attempt."""
         if isinstance(item, StreamBroken):
             return AttemptEnd(row.name, item.may_have_run, item.detail)
         if not version_allowed(progress.choice, item.version):
@@ -189,7 +193,7 @@
             return AttemptEnd(row.name, True, fault.detail)
         return item
 
-    def _final(self, log: AttemptLog, refusal: NotRun) -> Outcome:
+    def _final_outcome(self, log: AttemptLog, refusal: NotRun) -> Outcome:
         """Return the refusal, unless an earlier attempt may have run."""
         if log.may_have_run:
             return MayHaveRun(refusal.detail, refusal.retry_at_seconds)
--- a/rackswitch/daemon/context.py
+++ b/rackswitch/daemon/context.py
@@ -1,4 +1,4 @@
-"""What the daemon's parts share."""
+"""State shared by the components of a daemon."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 class InFlight:
-    """Counts work that a planned stop has to wait for."""
+    """Counts work that a planned stop waits for."""
 
     __slots__ = ("_idle", "count")
 
@@ -37,18 +37,18 @@
         self.end()
 
     def begin(self) -> None:
-        """Count one piece of work in."""
+        """Count the start of a unit of work."""
         self.count += 1
         self._idle.clear()
 
     def end(self) -> None:
-        """Count one piece of work out."""
+        """Count the end of a unit of work."""
         self.count -= 1
         if self.count == 0:
             self._idle.set()
 
     async def wait_idle(self, timeout_seconds: float) -> bool:
-        """Wait until nothing is in flight; return whether that came in time."""
+        """Wait until nothing is in flight; return False after the timeout."""
         try:
             async with asyncio.timeout(timeout_seconds):
                 await self._idle.wait()
@@ -59,12 +59,14 @@
 
 @dataclass(slots=True)
 class DaemonContext:
-    """State and connections that several parts of one daemon use.
+    """State and connections that the components of one daemon share.
 
     Attributes
     ----------
     stopping : bool
-        Whether a planned stop has begun: no new work, no roles.
+        Whether a planned stop has begun; the daemon then takes no new work and no roles.
+    broken : BrokenInvariant or None
+        The violated invariant that ends the daemon, if any.
     in_flight : InFlight
         Requests, samples and claims that a planned stop waits for.
     """
@@ -85,28 +87,28 @@
     _duties: dict[str, asyncio.Task[Any]] = field(default_factory=dict)
 
     def now_seconds(self) -> float:
-        """Return the monotonic clock."""
+        """Return the current time of the monotonic clock."""
         return asyncio.get_running_loop().time()
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Run something in the background until it ends or the daemon does."""
+        """Run a coroutine in the background; it is cancelled when the daemon stops."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
     def spawn_duty(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Run something that the daemon cannot do without; its failure ends the daemon."""
+        """Run a background task that the daemon needs; its failure ends the daemon."""
         task = self.spawn(work)
         self._duties[getattr(work, "__qualname__", task.get_name())] = task
-        task.add_done_callback(self._duty_ended)
+        task.add_done_callback(self._on_duty_done)
         return task
 
-    def _duty_ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_duty_done(self, task: asyncio.Task[Any]) -> None:
         if not task.cancelled() and task.exception() is not None and self.broken is None:
-            self.broken = BrokenInvariant(f"a duty ended: {task.exception()!r}")
+            self.broken = BrokenInvariant(f"background duty failed: {task.exception()!r}")
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if task.cancelled():
             return
@@ -119,15 +121,15 @@
 
     @property
     def has_tasks(self) -> bool:
-        """Whether any background work is under way."""
+        """Whether any background task is running."""
         return bool(self._tasks)
 
     def duty_states(self) -> list[str]:
-        """Return a line for each duty: where it waits, or how it ended (for diagnosis)."""
+        """Return a diagnostic line for each duty: where it waits, or how it ended."""
         return [f"{name}: {_task_state(task)}" for name, task in self._duties.items()]
 
     async def cancel_all(self) -> None:
-        """End all background work."""
+        """Cancel all background tasks and wait for their end."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -139,10 +141,10 @@
         return "cancelled"
     if task.done():
         return f"ended: {task.exception()!r}"
-    # The innermost coroutine is the last of the chain that each one awaits.
-    places: list[str] = []
-    waiting: Any = task.get_coro()
-    while (frame := getattr(waiting, "cr_frame", None)) is not None:
-        places.append(f"{frame.f_code.co_qualname}:{frame.f_lineno}")
-        waiting = waiting.cr_await
-    return " < ".join(reversed(places)) + f" < {waiting!r}"[:120]
+    # Follow the chain of awaited coroutines to the innermost one.
+    frames: list[str] = []
+    awaited: Any = task.get_coro()
+    while (frame := getattr(awaited, "cr_frame", None)) is not None:
+        frames.append(f"{frame.f_code.co_qualname}:{frame.f_lineno}")
+        awaited = awaited.cr_await
+    return " < ".join(reversed(frames)) + f" < {awaited!r}"[:120]
--- a/rackswitch/daemon/core.py
+++ b/rackswitch/daemon/core.py
@@ -1,4 +1,4 @@
-"""One daemon, put together from its parts."""
+"""The daemon, assembled from its components."""
 
 import asyncio
 import random
@@ -12,10 +12,10 @@
 from rackswitch.clients.vm_list import VmListClient
 from rackswitch.clients.weight_store import WeightStoreClient
 from rackswitch.daemon.access import find_operator
-from rackswitch.daemon.admin_edge import AdminEdge
-from rackswitch.daemon.caller_edge import CallerHandler
+from rackswitch.daemon.admin_handler import AdminHandler
+from rackswitch.daemon.caller_handler import CallerHandler
 from rackswitch.daemon.claim_keeper import ClaimKeeper
-from rackswitch.daemon.completions import CompletionFront
+from rackswitch.daemon.completions import CompletionDispatcher
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.daemon.heartbeats import Heartbeats
 from rackswitch.daemon.ledger_keeper import LedgerKeeper
@@ -25,12 +25,12 @@
 from rackswitch.daemon.roles import RoleManager
 from rackswitch.daemon.rollout_keeper import RolloutKeeper, rollout_role
 from rackswitch.daemon.sample_runner import SampleRunner
-from rackswitch.daemon.service_calls import ServiceFront
+from rackswitch.daemon.service_calls import ServiceDispatcher
 from rackswitch.daemon.settings import DaemonSettings
 from rackswitch.daemon.table_keeper import TableKeeper
 from rackswitch.daemon.target_choice import TargetChooser
 from rackswitch.daemon.target_keeper import TargetKeeper
-from rackswitch.daemon.trainer_edge import TrainerEdge
+from rackswitch.daemon.trainer_handler import TrainerHandler
 from rackswitch.membership import Membership, MemberState, MemberUpdate
 from rackswitch.peers.links import PeerLinks
 from rackswitch.table import DaemonRow, ModelRow, TableView, TrainerRow, choose_watchers
@@ -43,22 +43,22 @@
 __all__ = ["Daemon"]
 
 CLAIM_CLEANING_ROLE = "claim-cleaning"
-CLAIM_CLEANING_SECONDS = 30.0
-METHODS_PASSED_THROUGH = ("GET", "POST", "PUT", "PATCH", "DELETE")
+CLAIM_CLEANING_INTERVAL_SECONDS = 30.0
+FORWARDED_METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE")
 STOP_TIMEOUT_SECONDS = 120.0
 BALANCER_NOTICE_SECONDS = 0.3
-"""How long a stopping daemon still answers, so that the balancer sees it not ready."""
+"""How long a stopping daemon still serves, so that the load balancer sees it not ready."""
 
 
 class Daemon:
-    """A daemon: every role of the service, on one VM.
+    """One daemon of the service, on one VM.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Its settings.
+        The daemon's settings.
     log_descriptor : int or None
-        Where its decisions are logged; None for nowhere, as many daemons in one process.
+        File descriptor of the decision log; None writes no log.
     """
 
     def __init__(self, settings: DaemonSettings, log_descriptor: int | None = None):
@@ -86,11 +86,11 @@
         self.heartbeats = Heartbeats(
             self.context,
             VmListClient(settings.vm_list_url, sessions),
-            self.table.heard,
+            self.table.record_peer_revision,
             self.table.confirmation_age_seconds,
             self._is_watcher,
         )
-        self.roles = RoleManager(self.context, self._wanted_roles)
+        self.roles = RoleManager(self.context, self._required_roles)
         self.limits = LimitKeeper(self.context, self.heartbeats)
         self.targets = TargetKeeper(self.context, lambda: set(self.heartbeats.leaving_targets))
         self.claims = ClaimKeeper(self.context)
@@ -99,10 +99,10 @@
         self.ledgers = LedgerKeeper(self.context, self.roles, self.runner)
         store = WeightStoreClient(settings.weight_store_url, sessions)
         self.rollouts = RolloutKeeper(self.context, self.roles, self.targets, store)
-        completions = CompletionFront(self.context, self.targets, chooser)
+        completions = CompletionDispatcher(self.context, self.targets, chooser)
         plain = PlainServiceClient(sessions)
-        services = ServiceFront(self.context, chooser, self.claims, plain)
-        self.caller_edge = CallerHandler(self.context, completions, services, self.limits)
+        services = ServiceDispatcher(self.context, chooser, self.claims, plain)
+        self.caller_handler = CallerHandler(self.context, completions, services, self.limits)
         self._peers = PeersService(
             self.context,
             self.heartbeats,
@@ -125,14 +125,14 @@
         return self.context.membership.own.peer_port
 
     async def start(self) -> None:
-        """Listen, learn the table, and begin all duties."""
+        """Start the listeners, fetch the table and start all duties."""
         peer_port = await self._peers.start(self.settings.host, self.settings.peer_port)
         own = self.context.membership.own
         self.context.membership.own = MemberUpdate(
             own.daemon, own.host, peer_port, own.zone, own.incarnation, own.state
         )
         await self._server.start()
-        await self.heartbeats.learn_vm_list()
+        await self.heartbeats.refresh_vm_list()
         await self.table.boot()
         await self.targets.poll()
         for duty in (
@@ -150,21 +150,21 @@
         self.context.log.write(Started(zone=self.settings.zone))
 
     async def stop(self) -> None:
-        """Stop as planned: hand over the roles, finish what is in flight, then end."""
+        """Stop as planned: release the roles, finish requests in flight, then close."""
         self.context.log.write(Stopping(requests_in_flight=self.context.in_flight.count))
         self.context.stopping = True
         self.context.membership.leave()
         await self.roles.tend()
         await self.heartbeats.announce()
         await asyncio.sleep(BALANCER_NOTICE_SECONDS)
-        whole = await self.context.in_flight.wait_idle(STOP_TIMEOUT_SECONDS)
+        is_drained = await self.context.in_flight.wait_idle(STOP_TIMEOUT_SECONDS)
         await self._server.stop()
-        self.context.log.write(Stopped(whole=whole))
+        self.context.log.write(Stopped(whole=is_drained))
         await self._close()
         self.context.log.pump()
 
     async def crash(self) -> None:
-        """End at once, as a killed process would (for tests)."""
+        """Stop at once, as a killed process would (for tests)."""
         await self.context.cancel_all()
         await self._server.crash()
         await self._close()
@@ -178,7 +178,7 @@
 
     async def _clean_claims(self) -> None:
         while True:
-            await asyncio.sleep(CLAIM_CLEANING_SECONDS)
+            await asyncio.sleep(CLAIM_CLEANING_INTERVAL_SECONDS)
             if self.roles.may_act(CLAIM_CLEANING_ROLE):
                 await self.claims.clean(self.roles.fence(CLAIM_CLEANING_ROLE))
 
@@ -189,7 +189,7 @@
         live = self.context.membership.live_zones()
         return self.settings.daemon in choose_watchers(live, self.settings.watchers_per_zone)
 
-    def _wanted_roles(self) -> list[str]:
+    def _required_roles(self) -> list[str]:
         view = self.context.view
         roles = [ledger_role(trainer.name) for trainer in view.rows(TrainerRow)]
         roles.append(CLAIM_CLEANING_ROLE)
@@ -204,12 +204,12 @@
 
     def _application(self):
         application = make_application()
-        trainers = TrainerEdge(self.context, self.ledgers)
-        admin = AdminEdge(self.context, self.table, self.heartbeats, self.roles)
-        add_route(application, "POST", "/v1/completions", self.caller_edge.completions)
-        for method in METHODS_PASSED_THROUGH:
+        trainers = TrainerHandler(self.context, self.ledgers)
+        admin = AdminHandler(self.context, self.table, self.heartbeats, self.roles)
+        add_route(application, "POST", "/v1/completions", self.caller_handler.completions)
+        for method in FORWARDED_METHODS:
             path = "/v1/services/{service}/{path:path}"
-            add_route(application, method, path, self.caller_edge.service)
+            add_route(application, method, path, self.caller_handler.service)
         add_route(application, "POST", "/v1/trainers/{trainer}/plans", trainers.plan)
         add_route(application, "POST", "/v1/trainers/{trainer}/draws", trainers.draw)
         add_route(application, "GET", "/admin/v1/table", admin.table)
@@ -234,7 +234,7 @@
         return json_response(body, 200 if ready else 503)
 
     async def _on_metrics(self, request: Request) -> Response:
-        # The metrics show every tenant, so they are for operators only.
+        # The metrics name every tenant, so only operators may read them.
         token = self.settings.operator_token_sha256
         if find_operator(self.context.view, request, token) is None:
             return problem_response(Problem(401, "unauthorized", "Unknown bearer token."))
--- a/rackswitch/daemon/heartbeats.py
+++ b/rackswitch/daemon/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between daemons and the news that rides on them."""
+"""Heartbeats between daemons and the updates that they carry."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -11,21 +11,21 @@
 from rackswitch.peers import peers_pb2 as pb
 from rackswitch.peers.links import PeerUnreachable
 
-__all__ = ["Heartbeats", "HungerNews"]
+__all__ = ["Heartbeats", "LimitShortage"]
 
 HEARTBEAT_TIMEOUT_SHARE = 0.5
-HELPERS = 3
+MAX_HELPERS = 3
 ANNOUNCE_FANOUT = 3
-MAX_HUNGERS = 8
-HUNGER_LIFE_SECONDS = 3.0
+MAX_SHORTAGES_PER_MESSAGE = 8
+SHORTAGE_TTL_SECONDS = 3.0
 LEAVING_PER_MESSAGE = 8
-VM_LIST_SECONDS = 1.0
-VM_LIST_REPAIR_SECONDS = 30.0
+VM_LIST_INTERVAL_SECONDS = 1.0
+VM_LIST_FALLBACK_INTERVAL_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
-class HungerNews:
-    """A daemon misses units of a limit; good until a deadline."""
+class LimitShortage:
+    """A daemon lacks units of a limit; the statement expires at a deadline."""
 
     daemon: str
     limit: str
@@ -36,51 +36,51 @@
 
 @dataclass(slots=True)
 class Heartbeats:
-    """Sends heartbeats, answers them, and keeps the soft state that they spread.
+    """Sends and answers heartbeats, and stores the soft state that they spread.
 
     Attributes
     ----------
     leaving_targets : dict
-        Targets whose VM the platform reports as leaving, with how often each is still
-        to be passed on.
-    heard_table : callable
-        Told of the table revision that a peer has, and how old its confirmation is.
+        Targets whose VM the platform reports as leaving, each with the number of messages
+        in which it is still sent.
+    on_peer_revision : callable
+        Called with a peer's table revision and the age of its confirmation.
     is_watcher : callable
-        Whether this daemon reads the platform's lists on behalf of its zone.
+        Returns whether this daemon polls the platform's VM list on behalf of its zone.
     """
 
     context: DaemonContext
     vm_list: VmListClient
-    heard_table: Callable[[MemberUpdate, int, float], Coroutine[Any, Any, None]]
+    on_peer_revision: Callable[[MemberUpdate, int, float], Coroutine[Any, Any, None]]
     confirmation_age_seconds: Callable[[], float]
     is_watcher: Callable[[], bool]
-    hungers: dict[tuple[str, str], HungerNews] = field(default_factory=dict)
+    shortages: dict[tuple[str, str], LimitShortage] = field(default_factory=dict)
     leaving_targets: dict[str, int] = field(default_factory=dict)
-    heard_sequences: dict[tuple[str, str], int] = field(default_factory=dict)
-    next_vm_list_seconds: float = 0.0
+    newest_sequences: dict[tuple[str, str], int] = field(default_factory=dict)
+    next_vm_list_read_seconds: float = 0.0
 
     async def run(self) -> None:
-        """Send one heartbeat a period."""
-        period_seconds = self.context.settings.heartbeat_seconds
+        """Send a heartbeat in each interval and poll the VM list."""
+        interval_seconds = self.context.settings.heartbeat_seconds
         while True:
-            await asyncio.sleep(period_seconds * (0.9 + 0.2 * self.context.rng.random()))
-            self.context.spawn(self.beat())
+            await asyncio.sleep(interval_seconds * (0.9 + 0.2 * self.context.rng.random()))
+            self.context.spawn(self.send_heartbeat())
             await self._read_vm_list()
 
-    async def beat(self) -> None:
-        """Send one heartbeat, directly and if need be through others."""
+    async def send_heartbeat(self) -> None:
+        """Send one heartbeat, directly or, if that fails, through other daemons."""
         membership = self.context.membership
         membership.tick(self.context.now_seconds())
         target = membership.next_target()
         if target is None:
             return
-        if await self.send(target) or await self._ask_helpers(target):
+        if await self.send(target) or await self._probe_through_helpers(target):
             membership.answered(target, self.context.now_seconds())
         else:
             membership.unanswered(target, self.context.now_seconds())
 
     async def announce(self) -> None:
-        """Tell some peers at once that there is news."""
+        """Send updates to some peers without waiting for the next heartbeat."""
         live = [
             name for name in self.context.membership.live() if name != self.context.settings.daemon
         ]
@@ -89,7 +89,7 @@
             self.context.spawn(self.send(name))
 
     async def send(self, daemon: str) -> bool:
-        """Exchange news with one peer; return whether it answered."""
+        """Exchange heartbeats with one peer; return whether it answered."""
         peer = self.context.membership.address(daemon)
         if peer is None:
             return False
@@ -99,12 +99,12 @@
         )
         if isinstance(reply, PeerUnreachable):
             return False
-        self._learn(reply)
-        await self.heard_table(peer, reply.table_revision, reply.confirmation_age_seconds)
+        self._merge_message(reply)
+        await self.on_peer_revision(peer, reply.table_revision, reply.confirmation_age_seconds)
         return True
 
     def message(self) -> pb.HeartbeatRequest:
-        """Return this daemon's news."""
+        """Return this daemon's heartbeat."""
         now_seconds = self.context.now_seconds()
         message = pb.HeartbeatRequest(
             daemon=self.context.settings.daemon,
@@ -112,20 +112,20 @@
             confirmation_age_seconds=self.confirmation_age_seconds(),
             updates=[_to_wire(update) for update in self.context.membership.updates_to_send()],
         )
-        for news in self._fresh_hungers(now_seconds):
+        for shortage in self._unexpired_shortages(now_seconds):
             message.hungers.add(
-                daemon=news.daemon,
-                limit=news.limit,
-                missing_units=news.missing_units,
-                sequence=news.sequence,
+                daemon=shortage.daemon,
+                limit=shortage.limit,
+                missing_units=shortage.missing_units,
+                sequence=shortage.sequence,
             )
         for name in self._leaving_to_send():
             message.leaving_targets.append(name)
         return message
 
     def reply(self, request: pb.HeartbeatRequest) -> pb.HeartbeatReply:
-        """Take in a peer's heartbeat and answer with this daemon's news."""
-        self._learn(request)
+        """Merge a peer's heartbeat and return this daemon's reply."""
+        self._merge_message(request)
         own = self.message()
         return pb.HeartbeatReply(
             daemon=own.daemon,
@@ -135,45 +135,45 @@
             hungers=own.hungers,
         )
 
-    def note_hunger(self, news: HungerNews) -> None:
-        """Keep the newest word of a daemon about a limit; old news does not come back."""
-        key = (news.daemon, news.limit)
-        if self.heard_sequences.get(key, 0) < news.sequence:
-            self.heard_sequences[key] = news.sequence
-            self.hungers[key] = news
+    def record_shortage(self, shortage: LimitShortage) -> None:
+        """Store a daemon's shortage of a limit, unless a newer one was received before."""
+        key = (shortage.daemon, shortage.limit)
+        if self.newest_sequences.get(key, 0) < shortage.sequence:
+            self.newest_sequences[key] = shortage.sequence
+            self.shortages[key] = shortage
 
-    def note_leaving(self, target: str) -> None:
-        """Spread the news that a target's VM is leaving, the first time at once."""
+    def record_leaving_target(self, target: str) -> None:
+        """Spread that a target's VM is leaving; the first time, notify peers at once."""
         if target not in self.leaving_targets:
             members = len(self.context.membership.members) + 2
             self.leaving_targets[target] = 3 * members.bit_length()
             self.context.spawn(self.announce())
 
-    def _learn(self, message: pb.HeartbeatRequest | pb.HeartbeatReply) -> None:
+    def _merge_message(self, message: pb.HeartbeatRequest | pb.HeartbeatReply) -> None:
         now_seconds = self.context.now_seconds()
         for update in message.updates:
             self.context.membership.merge(_from_wire(update), now_seconds)
-        for hunger in message.hungers:
-            deadline_seconds = now_seconds + HUNGER_LIFE_SECONDS
-            self.note_hunger(
-                HungerNews(
-                    hunger.daemon,
-                    hunger.limit,
-                    hunger.missing_units,
-                    hunger.sequence,
+        for received in message.hungers:
+            deadline_seconds = now_seconds + SHORTAGE_TTL_SECONDS
+            self.record_shortage(
+                LimitShortage(
+                    received.daemon,
+                    received.limit,
+                    received.missing_units,
+                    received.sequence,
                     deadline_seconds,
                 )
             )
         if isinstance(message, pb.HeartbeatRequest):
             for name in message.leaving_targets:
-                self.note_leaving(name)
+                self.record_leaving_target(name)
 
-    def _fresh_hungers(self, now_seconds: float) -> list[HungerNews]:
-        for key, news in list(self.hungers.items()):
-            if now_seconds >= news.deadline_seconds:
-                del self.hungers[key]
-        newest = sorted(self.hungers.values(), key=lambda news: -news.deadline_seconds)
-        return newest[:MAX_HUNGERS]
+    def _unexpired_shortages(self, now_seconds: float) -> list[LimitShortage]:
+        for key, shortage in list(self.shortages.items()):
+            if now_seconds >= shortage.deadline_seconds:
+                del self.shortages[key]
+        newest = sorted(self.shortages.values(), key=lambda shortage: -shortage.deadline_seconds)
+        return newest[:MAX_SHORTAGES_PER_MESSAGE]
 
     def _leaving_to_send(self) -> list[str]:
         pending = [name for name, sends in self.leaving_targets.items() if sends > 0]
@@ -182,12 +182,14 @@
             self.leaving_targets[name] -= 1
         return chosen
 
-    async def _ask_helpers(self, target: str) -> bool:
-        helpers = self.context.membership.helpers(target, HELPERS)
-        answers = await asyncio.gather(*(self._ask_helper(name, target) for name in helpers))
+    async def _probe_through_helpers(self, target: str) -> bool:
+        helpers = self.context.membership.helpers(target, MAX_HELPERS)
+        answers = await asyncio.gather(
+            *(self._probe_through_helper(name, target) for name in helpers)
+        )
         return any(answers)
 
-    async def _ask_helper(self, helper: str, target: str) -> bool:
+    async def _probe_through_helper(self, helper: str, target: str) -> bool:
         peer = self.context.membership.address(helper)
         if peer is None:
             return False
@@ -201,20 +203,22 @@
 
     async def _read_vm_list(self) -> None:
         now_seconds = self.context.now_seconds()
-        if now_seconds < self.next_vm_list_seconds:
+        if now_seconds < self.next_vm_list_read_seconds:
             return
-        seconds = VM_LIST_SECONDS if self.is_watcher() else VM_LIST_REPAIR_SECONDS
-        self.next_vm_list_seconds = now_seconds + seconds
-        await self.learn_vm_list()
+        interval_seconds = (
+            VM_LIST_INTERVAL_SECONDS if self.is_watcher() else VM_LIST_FALLBACK_INTERVAL_SECONDS
+        )
+        self.next_vm_list_read_seconds = now_seconds + interval_seconds
+        await self.refresh_vm_list()
 
-    async def learn_vm_list(self) -> bool:
-        """Read the platform's list; return whether it answered."""
+    async def refresh_vm_list(self) -> bool:
+        """Read the platform's VM list; return whether the platform answered."""
         listed = await self.vm_list.read()
         if not isinstance(listed, VmList):
             return False
         self.context.membership.learn_vms(list(listed.daemons), self.context.now_seconds())
         for name in listed.leaving_targets:
-            self.note_leaving(name)
+            self.record_leaving_target(name)
         for name in [name for name in self.leaving_targets if name not in listed.leaving_targets]:
             if self.leaving_targets[name] == 0:
                 del self.leaving_targets[name]
--- a/rackswitch/daemon/ledger_keeper.py
+++ b/rackswitch/daemon/ledger_keeper.py
@@ -1,4 +1,4 @@
-"""The ledgers that this daemon holds, and the way to those held elsewhere."""
+"""The ledgers held by this daemon, and calls to ledgers held by others."""
 
 import asyncio
 import contextlib
@@ -41,18 +41,17 @@
 __all__ = ["LedgerKeeper"]
 
 TICK_SECONDS = 0.2
-RETRY_SECONDS = 0.05
+RETRY_DELAY_SECONDS = 0.05
 FORWARD_TIMEOUT_SECONDS = 35.0
 RUN_TIMEOUT_SECONDS = 150.0
-PEER_LOOK_SECONDS = 0.5
-"""Between looks at whether a daemon that runs a sample still lives; a death is known after
-several heartbeats of a second."""
+PEER_CHECK_INTERVAL_SECONDS = 0.5
+"""Between checks whether a daemon that runs a sample is still alive."""
 
 T = TypeVar("T")
 
 
 class LedgerKeeper:
-    """Serves trainers, from the ledgers held here or through their holders.
+    """Serves trainers from the ledgers held here, and forwards other calls to their holders.
 
     Parameters
     ----------
@@ -61,10 +60,19 @@
     roles : RoleManager
         Leases.
     runner : SampleRunner
-        Makes samples on this daemon.
+        Generates samples on this daemon.
     """
 
-    __slots__ = ("_context", "_held", "_holders", "_roles", "_runner", "_store", "_turn", "_wake")
+    __slots__ = (
+        "_context",
+        "_held",
+        "_holders",
+        "_roles",
+        "_runner",
+        "_store",
+        "_round_robin",
+        "_wake",
+    )
 
     def __init__(self, context: DaemonContext, roles: RoleManager, runner: SampleRunner):
         self._context = context
@@ -73,30 +81,30 @@
         self._runner = runner
         self._held: dict[str, HeldLedger] = {}
         self._holders: dict[str, str] = {}
-        self._turn = itertools.count()
+        self._round_robin = itertools.count()
         self._wake = asyncio.Event()
 
     async def run(self) -> None:
-        """Load and drop ledgers as roles come and go, and start their work."""
+        """Load and drop ledgers as roles change, and start their sample orders."""
         while True:
-            # Not `wait_for`: it can lose a cancellation that comes with the event.
+            # `asyncio.wait_for` can lose a cancellation that arrives together with the event.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(TICK_SECONDS):
                     await self._wake.wait()
             self._wake.clear()
             for trainer in list(self._context.view.rows(TrainerRow)):
-                await self._tend(trainer)
+                await self._update_ledger(trainer)
 
     def held_fencings(self) -> dict[str, int]:
-        """Return the ledgers held here, with the fencing number that each was loaded under."""
+        """Return the trainers whose ledgers are held here, with their fencing numbers."""
         return {trainer: held.fencing for trainer, held in self._held.items()}
 
     async def call(self, trainer: str, operation: str, body: bytes) -> LedgerAnswer:
-        """Carry out a trainer's call wherever its ledger is held."""
+        """Execute a trainer's call on the daemon that holds its ledger."""
         answer = await self.call_here(trainer, operation, body)
         if answer.status != NOT_HELD_HERE:
             return answer
-        for daemon in await self._likely_holders(trainer):
+        for daemon in await self._candidate_holders(trainer):
             answer = await self._forward(daemon, trainer, operation, body)
             if answer.status != NOT_HELD_HERE:
                 self._holders[trainer] = daemon
@@ -105,7 +113,7 @@
         return ledger_problem(503, "ledger-moving", "No daemon holds this trainer's ledger now.")
 
     async def call_here(self, trainer: str, operation: str, body: bytes) -> LedgerAnswer:
-        """Carry out a trainer's call if its ledger is held here."""
+        """Execute a trainer's call if its ledger is held here."""
         held = self._held.get(trainer)
         if held is None or not self._store.may_act(trainer, held):
             return LedgerAnswer(NOT_HELD_HERE, b"")
@@ -113,17 +121,17 @@
             return await self._plan(trainer, held, msgspec.json.decode(body, type=StepPlan))
         return await self._draw(trainer, held, msgspec.json.decode(body, type=Draw))
 
-    async def _likely_holders(self, trainer: str) -> list[str]:
-        """Return daemons to ask: the last known holder, the likely ones, the one on record."""
+    async def _candidate_holders(self, trainer: str) -> list[str]:
+        """Return daemons that may hold the ledger: last known, on record, then by rank."""
         own = self._context.settings.daemon
         role = ledger_role(trainer)
-        likely = [self._holders[trainer]] if trainer in self._holders else []
-        likely += rank_candidates(role, self._context.membership.live())[:2]
+        candidates = [self._holders[trainer]] if trainer in self._holders else []
+        candidates += rank_candidates(role, self._context.membership.live())[:2]
         if trainer not in self._holders:
             read = await self._context.kv.read(ROLE_PREFIX + role)
             if isinstance(read, KvRead) and read.entries:
-                likely.insert(0, read.entries[0].value.decode().split(" ")[0])
-        return [daemon for daemon in dict.fromkeys(likely) if daemon != own]
+                candidates.insert(0, read.entries[0].value.decode().split(" ")[0])
+        return [daemon for daemon in dict.fromkeys(candidates) if daemon != own]
 
     async def _forward(
         self, daemon: str, trainer: str, operation: str, body: bytes
@@ -139,23 +147,23 @@
             return LedgerAnswer(NOT_HELD_HERE, b"")
         return LedgerAnswer(reply.status, reply.body)
 
-    async def _tend(self, trainer: TrainerRow) -> None:
+    async def _update_ledger(self, trainer: TrainerRow) -> None:
         held = self._held.get(trainer.name)
         if held is not None and not self._store.may_act(trainer.name, held):
             del self._held[trainer.name]
-            held.news.set()
+            held.changed.set()
             held = None
         if held is None:
             if self._roles.may_act(ledger_role(trainer.name)):
                 await self._take_over(trainer)
             return
         held.ledger.set_rules(trainer.staleness_bound_versions, 0)
-        room = int(trainer.concurrency) - len(held.ledger.running)
-        if room <= 0 or self._context.stopping:
+        free_slots = int(trainer.concurrency) - len(held.ledger.running)
+        if free_slots <= 0 or self._context.stopping:
             return
-        orders = held.ledger.next_orders(room, trainer.idle_weight, trainer.staleness_weight)
+        orders = held.ledger.next_orders(free_slots, trainer.idle_weight, trainer.staleness_weight)
         for order in orders:
-            self._context.spawn(self._carry_out(held, order))
+            self._context.spawn(self._run_order(held, order))
 
     async def _take_over(self, trainer: TrainerRow) -> None:
         held = await self._store.load(trainer)
@@ -163,9 +171,9 @@
             self._held[trainer.name] = held
             self._context.log.write(LedgerLoaded(trainer=trainer.name, fencing=held.fencing))
 
-    async def _carry_out(self, held: HeldLedger, order: SampleOrder) -> None:
+    async def _run_order(self, held: HeldLedger, order: SampleOrder) -> None:
         began_seconds = self._context.now_seconds()
-        result = await self._run_somewhere(order)
+        result = await self._run_on_fleet(order)
         self._context.log.write(
             SampleEnded(
                 trainer=order.trainer,
@@ -180,14 +188,14 @@
             held.ledger.finished(result)
         else:
             held.ledger.failed(order, result.unlabelled)
-            await asyncio.sleep(RETRY_SECONDS)
-        held.news.set()
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
+        held.changed.set()
         self._wake.set()
 
-    async def _run_somewhere(self, order: SampleOrder) -> Sample | SampleFailed:
-        """Run an order on the fleet's daemons in turn, so that no one process does all."""
+    async def _run_on_fleet(self, order: SampleOrder) -> Sample | SampleFailed:
+        """Run an order on one of the fleet's daemons, chosen round-robin."""
         live = self._context.membership.live() or [self._context.settings.daemon]
-        daemon = live[next(self._turn) % len(live)]
+        daemon = live[next(self._round_robin) % len(live)]
         peer = self._context.membership.address(daemon)
         if daemon == self._context.settings.daemon or peer is None:
             return await self._runner.run(order)
@@ -195,24 +203,24 @@
         call = self._context.links.call(
             peer, lambda stub: stub.RunSample, message, RUN_TIMEOUT_SECONDS
         )
-        reply = await self._unless_gone(peer, call)
+        reply = await self._call_while_alive(peer, call)
         if isinstance(reply, PeerUnreachable):
             return SampleFailed(reply.detail)
         if reply.sample in (b"", b"unlabelled"):
             return SampleFailed("failed at a peer", unlabelled=reply.sample == b"unlabelled")
         return msgspec.json.decode(reply.sample, type=Sample)
 
-    async def _unless_gone(
+    async def _call_while_alive(
         self, peer: MemberUpdate, call: Coroutine[Any, Any, T | PeerUnreachable]
     ) -> T | PeerUnreachable:
-        """Wait for a long call to another daemon; give it up once that daemon is dead.
+        """Wait for a long call to a peer; cancel it once the peer is dead.
 
-        A daemon that lost its power, or was cut off, closes no connection.
+        A peer that lost power or its network does not close the connection.
         """
         work = asyncio.create_task(call)
         try:
             while not work.done():
-                await asyncio.wait((work,), timeout=PEER_LOOK_SECONDS)
+                await asyncio.wait((work,), timeout=PEER_CHECK_INTERVAL_SECONDS)
                 if not work.done() and self._context.membership.is_gone(peer):
                     return PeerUnreachable(f"{peer.daemon} is dead")
             return work.result()
@@ -231,30 +239,32 @@
     async def _draw(self, trainer: str, held: HeldLedger, draw: Draw) -> LedgerAnswer:
         deadline_seconds = self._context.now_seconds() + draw.wait_seconds
         while True:
-            held.news.clear()
-            late = self._context.now_seconds() >= deadline_seconds
-            answer = await self._try_draw(trainer, held, draw, 1 if late else draw.most_samples)
+            held.changed.clear()
+            is_past_deadline = self._context.now_seconds() >= deadline_seconds
+            answer = await self._try_draw(
+                trainer, held, draw, 1 if is_past_deadline else draw.most_samples
+            )
             if answer is not None:
                 return answer
-            if late:
+            if is_past_deadline:
                 return self._batch(held, draw, draw.acknowledged_batch, False, ())
             timeout_seconds = max(0.0, deadline_seconds - self._context.now_seconds())
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(timeout_seconds):
-                    await held.news.wait()
+                    await held.changed.wait()
 
     async def _try_draw(
-        self, trainer: str, held: HeldLedger, draw: Draw, at_least: int
+        self, trainer: str, held: HeldLedger, draw: Draw, min_samples: int
     ) -> LedgerAnswer | None:
         async with held.lock:
             while True:
                 if not self._store.may_act(trainer, held):
                     return LedgerAnswer(NOT_HELD_HERE, b"")
-                if not self._may_trust_table():
+                if not self._is_table_usable():
                     detail = "The holder's table is not confirmed, so the bound may have changed."
                     return ledger_problem(503, "table-unconfirmed", detail)
                 self._refresh_rules(trainer, held)
-                decision = held.ledger.draw(draw, at_least)
+                decision = held.ledger.draw(draw, min_samples)
                 if isinstance(decision, DrawRefused):
                     return ledger_problem(409, "draw-refused", decision.detail)
                 if isinstance(decision, DrawComplete):
@@ -268,8 +278,8 @@
                 if failure is not None:
                     return failure
 
-    def _may_trust_table(self) -> bool:
-        """Return whether the staleness bound in force here is known to be the newest."""
+    def _is_table_usable(self) -> bool:
+        """Return whether the local staleness bound may be used."""
         if self._context.settings.freshness.trainers != "refuse":
             return True
         return self._context.view.is_confirmed(self._context.now_seconds())
--- a/rackswitch/daemon/ledger_store.py
+++ b/rackswitch/daemon/ledger_store.py
@@ -1,4 +1,4 @@
-"""A trainer's ledger in the key-value service: its record and its plans."""
+"""Storage of a trainer's ledger in the key-value service: its record and plans."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -21,31 +21,33 @@
 
 
 def ledger_role(trainer: str) -> str:
-    """Return the role whose holder keeps a trainer's ledger."""
+    """Return the role whose holder manages a trainer's ledger."""
     return f"ledger/{trainer}"
 
 
 @dataclass(slots=True)
 class HeldLedger:
-    """A ledger on the daemon that holds its role.
+    """A ledger in memory, on the daemon that holds its role.
 
     Attributes
     ----------
     fencing : int
         The fencing number under which it was loaded.
     mod_revision : int
-        Revision of the record in the service, as last known.
+        Last known revision of the record in the service.
+    changed : asyncio.Event
+        Set when draws that wait should check the ledger again.
     """
 
     ledger: SampleLedger
     fencing: int
     mod_revision: int
-    news: asyncio.Event = field(default_factory=asyncio.Event)
+    changed: asyncio.Event = field(default_factory=asyncio.Event)
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
 
 class LedgerStore:
-    """Reads and writes ledgers; writes only under the fence of the ledger's role.
+    """Reads ledgers, and writes them under the fence of the ledger's role.
 
     Parameters
     ----------
@@ -67,13 +69,13 @@
         return self._roles.may_act(role) and self._roles.fencing(role) == held.fencing
 
     async def load(self, trainer: TrainerRow) -> HeldLedger | None:
-        """Take over a ledger from its record and plans; None if they cannot be read."""
+        """Load a ledger from its record and plans; None if the service does not answer."""
         fencing = self._roles.fencing(ledger_role(trainer.name))
         record_read = await self._context.kv.read(_record_key(trainer.name))
         plans_read = await self._context.kv.read(_plans_prefix(trainer.name), is_prefix=True)
         if isinstance(record_read, KvUnavailable) or isinstance(plans_read, KvUnavailable):
             return None
-        record, mod_revision = _record_of(record_read)
+        record, mod_revision = _decode_record(record_read)
         ledger = SampleLedger(trainer.name, trainer.model, record, trainer.scorer)
         ledger.set_rules(trainer.staleness_bound_versions, 0)
         for entry in plans_read.entries:
@@ -81,16 +83,16 @@
         return HeldLedger(ledger, fencing, mod_revision)
 
     async def put_plan(self, trainer: str, plan: StepPlan) -> LedgerAnswer:
-        """Keep a step's plan; keeping it again is harmless."""
+        """Store a step's plan; the operation is idempotent."""
         encoded = msgspec.json.encode(plan)
         if len(encoded) > MAX_PLAN_BYTES:
-            detail = f"A plan holds at most {MAX_PLAN_BYTES} bytes."
+            detail = f"The encoded plan may have at most {MAX_PLAN_BYTES} bytes."
             return ledger_problem(413, "plan-too-large", detail)
         key = f"{_plans_prefix(trainer)}{plan.step:012d}"
         fence = self._roles.fence(ledger_role(trainer))
         done = await self._context.kv.txn([TxnPart((fence,), (Operation(key, encoded),))])
         if isinstance(done, KvUnavailable):
-            return ledger_problem(503, "store-unavailable", "The plan is not known to be kept.")
+            return ledger_problem(503, "store-unavailable", "The plan may not have been stored.")
         if not done[0].succeeded:
             self._roles.lose(ledger_role(trainer))
             return LedgerAnswer(NOT_HELD_HERE, b"")
@@ -99,7 +101,7 @@
     async def write(
         self, trainer: str, held: HeldLedger, record: LedgerRecord
     ) -> LedgerAnswer | None:
-        """Write the record under the lease's fence; None once it is known to be in force."""
+        """Write the record under the role's fence; return None once it is known to be stored."""
         key = _record_key(trainer)
         operations = [Operation(key, msgspec.json.encode(record))]
         if record.step > held.ledger.record.step and record.step >= 2:
@@ -114,7 +116,7 @@
         )
         done = await self._context.kv.txn([part])
         if isinstance(done, KvUnavailable) and not done.effect_unknown:
-            return ledger_problem(503, "store-unavailable", "The hand-over cannot be recorded now.")
+            return ledger_problem(503, "store-unavailable", "The hand-over could not be stored.")
         if not isinstance(done, KvUnavailable) and done[0].succeeded:
             held.mod_revision = done[0].revision
             held.ledger.written(record)
@@ -122,20 +124,20 @@
         read = await self._context.kv.read(key)
         if isinstance(read, KvUnavailable):
             return ledger_problem(
-                503, "store-unavailable", "The hand-over is not known to be kept."
+                503, "store-unavailable", "The hand-over may not have been stored."
             )
-        # The role is read after the record: if it is still this holder's, then so is the
-        # record, written in this try or in an earlier one that went unanswered.
+        # The role is read after the record. If this daemon still holds the role, it wrote the
+        # record too, in this attempt or in an earlier one that went unanswered.
         if not await self._still_holds(trainer, held):
             return LedgerAnswer(NOT_HELD_HERE, b"")
-        present, mod_revision = _record_of(read)
+        present, mod_revision = _decode_record(read)
         if mod_revision < held.mod_revision:
             return ledger_problem(
-                503, "store-unavailable", "The service answered with an old state."
+                503, "store-unavailable", "The service returned an outdated record."
             )
         held.mod_revision = mod_revision
         if present == held.ledger.record:
-            return ledger_problem(503, "store-unavailable", "The hand-over was not recorded.")
+            return ledger_problem(503, "store-unavailable", "The hand-over was not stored.")
         held.ledger.written(present)
         return None
 
@@ -158,7 +160,7 @@
     return f"plans/{trainer}/"
 
 
-def _record_of(read: KvRead) -> tuple[LedgerRecord, int]:
+def _decode_record(read: KvRead) -> tuple[LedgerRecord, int]:
     if not read.entries:
         return LedgerRecord(), 0
     entry = read.entries[0]
@@ -166,6 +168,6 @@
 
 
 def ledger_problem(status: int, name: str, detail: str) -> LedgerAnswer:
-    """Return a refusal, with when to come back."""
+    """Return a refusal with the delay before a retry."""
     problem = Problem(status, name, detail, "no", RETRY_AFTER_SECONDS)
     return LedgerAnswer(status, msgspec.json.encode(problem))
--- a/rackswitch/daemon/main.py
+++ b/rackswitch/daemon/main.py
@@ -17,7 +17,7 @@
 
 EXIT_BAD_SETTINGS = 2
 EXIT_BROKEN = 3
-CHECK_SECONDS = 0.2
+CHECK_INTERVAL_SECONDS = 0.2
 
 
 async def _run(settings: DaemonSettings) -> int:
@@ -31,7 +31,7 @@
         if daemon.context.broken is not None:
             logger.critical("stopping on a broken invariant")
             return EXIT_BROKEN
-        await asyncio.sleep(CHECK_SECONDS)
+        await asyncio.sleep(CHECK_INTERVAL_SECONDS)
     await daemon.stop()
     return 0
 
@@ -53,5 +53,5 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the command-line program."""
     fire.Fire(run)
--- a/rackswitch/daemon/peers.py
+++ b/rackswitch/daemon/peers.py
@@ -1,4 +1,4 @@
-"""The calls that other daemons make to this one."""
+"""The gRPC service for the other daemons of the fleet."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 
 
 class LedgerAnswer(msgspec.Struct, frozen=True):
-    """A ledger's answer to a trainer's call; status 421 means: not held here."""
+    """The result of a trainer's call on a ledger; status 421 means "not held here"."""
 
     status: int
     body: bytes
@@ -42,13 +42,13 @@
     context : DaemonContext
         The daemon.
     heartbeats : Heartbeats
-        Soft state.
+        Receives heartbeats.
     limits : LimitKeeper
-        Loans.
+        Receives loans.
     call_ledger : callable
-        Carries out a trainer's call on a ledger held here.
+        Executes a trainer's call on a ledger held here.
     run_sample : callable
-        Makes one sample from an encoded order; empty if that failed.
+        Generates one sample from an encoded order; returns empty bytes on failure.
     """
 
     def __init__(
@@ -68,15 +68,15 @@
         self._closed = False
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; return the port."""
+        """Start listening; return the port."""
         await self._server.start(host, port)
-        # grpclib does not say which port it was given when asked for a free one.
+        # grpclib does not report the port that it was given for port 0.
         sockets = self._server._server.sockets  # type: ignore[union-attr]
         return int(sockets[0].getsockname()[1])
 
     async def stop(self) -> None:
         """Stop listening; calls still in progress are cancelled."""
-        # Connections that peers keep open outlive the listening socket.
+        # Open connections of peers outlive the listening socket, so `_receive` refuses their calls.
         self._closed = True
         self._server.close()
         with contextlib.suppress(TimeoutError):
@@ -84,12 +84,12 @@
                 await self._server.wait_closed()
 
     async def _receive(self, stream: Stream[RequestT, Any]) -> RequestT:
-        """Return the request of a daemon that knows the fleet's secret.
+        """Check the fleet secret and return the request.
 
         Raises
         ------
         GRPCError
-            If the secret is wrong or there is no request.
+            If the secret is wrong, there is no request, or this daemon is closed or cut off.
         """
         metadata: Mapping[str, Any] = stream.metadata or {}
         given = str(metadata.get(SECRET_METADATA, ""))
@@ -110,7 +110,7 @@
         peer = self._context.membership.address(request.daemon)
         if peer is not None:
             self._context.spawn(
-                self._heartbeats.heard_table(
+                self._heartbeats.on_peer_revision(
                     peer, request.table_revision, request.confirmation_age_seconds
                 )
             )
@@ -118,13 +118,13 @@
     async def HeartbeatFor(
         self, stream: Stream[pb.HeartbeatForRequest, pb.HeartbeatForReply]
     ) -> None:
-        """Try a third daemon on behalf of the caller."""
+        """Send a heartbeat to another daemon on behalf of the requesting one."""
         request = await self._receive(stream)
         answered = await self._heartbeats.send(request.daemon)
         await stream.send_message(pb.HeartbeatForReply(answered=answered))
 
     async def FetchTable(self, stream: Stream[pb.FetchTableRequest, pb.FetchTableReply]) -> None:
-        """Send what the caller misses of the table in force, or the whole of it."""
+        """Send the table changes that the peer lacks, or the complete table."""
         request = await self._receive(stream)
         view = self._context.view
         reply = pb.FetchTableReply(revision=view.revision)
@@ -137,19 +137,19 @@
         await stream.send_message(reply)
 
     async def CallLedger(self, stream: Stream[pb.CallLedgerRequest, pb.CallLedgerReply]) -> None:
-        """Carry out a trainer's call on a ledger that is held here."""
+        """Execute a trainer's call on a ledger that is held here."""
         request = await self._receive(stream)
         answer = await self._call_ledger(request.trainer, request.operation, request.body)
         await stream.send_message(pb.CallLedgerReply(status=answer.status, body=answer.body))
 
     async def RunSample(self, stream: Stream[pb.RunSampleRequest, pb.RunSampleReply]) -> None:
-        """Make one sample."""
+        """Generate one sample."""
         request = await self._receive(stream)
         sample = await self._run_sample(request.order)
         await stream.send_message(pb.RunSampleReply(sample=sample))
 
     async def Lend(self, stream: Stream[pb.LendRequest, pb.LendReply]) -> None:
-        """Take a loan."""
+        """Accept a loan."""
         request = await self._receive(stream)
         taken = self._limits.borrow(
             request.lender, request.limit, request.loan, request.units, request.hunger_sequence
--- a/rackswitch/daemon/roles.py
+++ b/rackswitch/daemon/roles.py
@@ -1,4 +1,4 @@
-"""Takes, keeps and gives back the roles that need a single holder."""
+"""Acquire, renew and release leases on roles that need a single holder."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,21 +29,21 @@
     context : DaemonContext
         The daemon.
     wanted_roles : callable
-        Returns the names of the roles that the table in force calls for.
+        Returns the names of the roles that the current table requires.
     preferred : callable
         Returns the daemon that should take a role if it is vacant, or None.
     prefix : str
-        Where the roles' keys lie.
+        Key prefix of the roles in the key-value service.
     vacant_seconds : callable
-        Returns how long a role has been vacant as far as this daemon knows, None if it has a
-        holder. Where nothing tells that, two daemons look at each role now and then.
+        Returns how long a role is known to have been vacant, None if it has a holder. By
+        default this is always 0, and two daemons check each role periodically.
     """
 
     __slots__ = (
         "_context",
         "_preferred",
         "_prefix",
-        "_settled_leases",
+        "_settled_lease_ids",
         "_vacant_seconds",
         "_wanted_roles",
         "roles",
@@ -59,15 +59,15 @@
     ):
         self._prefix = prefix
         self._vacant_seconds = vacant_seconds
-        # Granted to this process, or ended by it: not to be ended (again).
-        self._settled_leases: set[int] = set()
+        # Leases granted to this process or already revoked by it; never revoked as a predecessor's.
+        self._settled_lease_ids: set[int] = set()
         self._context = context
         self._wanted_roles = wanted_roles
         self._preferred = preferred
         self.roles: dict[str, RoleLease] = {}
 
     def may_act(self, role: str) -> bool:
-        """Return whether this daemon may cause an effect in the role at this moment."""
+        """Return whether this daemon holds the role and may act in it now."""
         lease = self.roles.get(role)
         return lease is not None and lease.may_act(self._context.now_seconds())
 
@@ -77,32 +77,32 @@
         return lease.held.fencing if lease is not None and lease.held is not None else 0
 
     def fence(self, role: str) -> Compare:
-        """Return the condition under which the service takes this holder's writes."""
+        """Return the condition under which the service accepts this holder's writes."""
         return Compare(self._prefix + role, "create", self.fencing(role))
 
     def lose(self, role: str) -> None:
-        """Note that the service no longer knows this daemon as the holder."""
+        """Record that the service no longer lists this daemon as the holder."""
         lease = self.roles.get(role)
         if lease is not None:
-            self._lost(lease, "a write under its fence was not taken")
+            self._record_loss(lease, "a write under its fence was not taken")
 
     async def run(self) -> None:
-        """Tend all roles, one step each a tick."""
+        """Update all roles periodically."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
             await self.tend()
 
     async def end_predecessors_lease(self, holder: bytes) -> None:
-        """End the lease that a role's value names, if an earlier process here took it."""
+        """Revoke the lease in a role's value if an earlier process of this daemon acquired it."""
         daemon, lease_id = decode_holder(holder)
         if daemon != self._context.settings.daemon or not lease_id:
             return
-        if lease_id not in self._settled_leases:
-            self._settled_leases.add(lease_id)
+        if lease_id not in self._settled_lease_ids:
+            self._settled_lease_ids.add(lease_id)
             await self._context.kv.revoke_lease(lease_id)
 
     async def tend(self) -> None:
-        """Take the next step of each role."""
+        """Take the next action of each role: acquire, renew or release."""
         live = self._context.membership.live()
         for role in self._wanted_roles():
             if role not in self.roles:
@@ -113,7 +113,7 @@
             now_seconds = self._context.now_seconds()
             candidates = live
             if self._preferred(lease.role) == self._context.settings.daemon:
-                # Whoever is preferred tries, whatever its place among the candidates.
+                # The preferred daemon tries regardless of its rank among the candidates.
                 candidates = [self._context.settings.daemon]
             vacant_seconds = self._vacant_seconds(lease.role) if lease.held is None else 0.0
             if vacant_seconds is None:
@@ -122,10 +122,10 @@
                 now_seconds, candidates, self._context.stopping, vacant_seconds
             )
             if action is not LeaseAction.NOTHING:
-                steps.append(self._step(lease, action))
+                steps.append(self._take_action(lease, action))
         await asyncio.gather(*steps)
 
-    async def _step(self, lease: RoleLease, action: LeaseAction) -> None:
+    async def _take_action(self, lease: RoleLease, action: LeaseAction) -> None:
         if action is LeaseAction.ACQUIRE:
             await self._acquire(lease)
         elif action is LeaseAction.RENEW:
@@ -144,16 +144,16 @@
             return
         if not lease.may_take(self._context.now_seconds(), self._preferred(lease.role)):
             return
-        asked_at_seconds = self._context.now_seconds()
+        requested_at_seconds = self._context.now_seconds()
         granted = await self._context.kv.grant_lease(lease.life_seconds)
         if isinstance(granted, KvUnavailable):
             lease.unanswered(self._context.now_seconds(), self._context.rng.random())
             return
-        self._settled_leases.add(granted.lease_id)
-        await self._create_key(lease, key, granted, asked_at_seconds)
+        self._settled_lease_ids.add(granted.lease_id)
+        await self._create_key(lease, key, granted, requested_at_seconds)
 
     async def _create_key(
-        self, lease: RoleLease, key: str, granted: LeaseGranted, asked_at_seconds: float
+        self, lease: RoleLease, key: str, granted: LeaseGranted, requested_at_seconds: float
     ) -> None:
         value = encode_holder(lease.daemon, granted.lease_id)
         part = TxnPart(
@@ -167,7 +167,7 @@
         read = await self._context.kv.read(key)
         if isinstance(read, KvRead) and read.entries and read.entries[0].value == value:
             fencing = read.entries[0].create_revision
-            lease.acquired(asked_at_seconds, granted.lease_id, fencing)
+            lease.acquired(requested_at_seconds, granted.lease_id, fencing)
             self._context.log.write(RoleAcquired(role=lease.role, fencing=fencing))
             return
         lease.lost(self._context.now_seconds(), self._context.rng.random())
@@ -175,23 +175,23 @@
     async def _renew(self, lease: RoleLease) -> None:
         if lease.held is None:
             return
-        asked_at_seconds = self._context.now_seconds()
-        kept = await self._context.kv.keep_lease(lease.held.lease_id)
-        if kept is True:
-            lease.renewed(asked_at_seconds)
-        elif kept is False:
-            self._lost(lease, "the service ended the lease")
+        requested_at_seconds = self._context.now_seconds()
+        is_renewed = await self._context.kv.keep_lease(lease.held.lease_id)
+        if is_renewed is True:
+            lease.renewed(requested_at_seconds)
+        elif is_renewed is False:
+            self._record_loss(lease, "the service ended the lease")
         else:
             self._unanswered(lease)
 
     async def _release(self, lease: RoleLease) -> None:
         held = lease.held
-        self._lost(lease, "released")
+        self._record_loss(lease, "released")
         if held is not None:
             await self._context.kv.revoke_lease(held.lease_id)
 
-    def _lost(self, lease: RoleLease, reason: str) -> None:
-        """Note that a role is not held any more."""
+    def _record_loss(self, lease: RoleLease, reason: str) -> None:
+        """Record that a role is no longer held."""
         if lease.held is not None:
             self._context.log.write(
                 RoleLost(role=lease.role, fencing=lease.held.fencing, reason=reason)
@@ -199,7 +199,7 @@
         lease.lost(self._context.now_seconds(), self._context.rng.random())
 
     def _unanswered(self, lease: RoleLease) -> None:
-        """Note that a renewal went unanswered; the role is lost once its deadline is past."""
+        """Record that a renewal went unanswered; the role is lost after its deadline."""
         held = lease.held
         lease.unanswered(self._context.now_seconds(), self._context.rng.random())
         if held is not None and lease.held is None:
--- a/rackswitch/daemon/rollout_keeper.py
+++ b/rackswitch/daemon/rollout_keeper.py
@@ -1,4 +1,4 @@
-"""Carries out roll-outs in the partitions that this daemon holds."""
+"""Carry out roll-outs in the partitions that this daemon holds."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -22,30 +22,30 @@
 __all__ = ["RolloutKeeper", "rollout_role"]
 
 TICK_SECONDS = 0.25
-STORE_SECONDS = 0.5
-REPAIR_SECONDS = 5.0
-"""How often engines that have the desired version are read again."""
+STORE_POLL_INTERVAL_SECONDS = 0.5
+CONVERGED_CHECK_INTERVAL_SECONDS = 5.0
+"""Between checks of a partition whose engines all have the desired version."""
 
 
 def rollout_role(model: str, partition: int) -> str:
-    """Return the role whose holder orders the engines of one partition of a model."""
+    """Return the role whose holder sends load orders to one partition of a model's engines."""
     return f"rollout/{model}/{partition}"
 
 
 @dataclass(slots=True)
 class _Partition:
-    """A held partition; it is looked at often only while it has not converged."""
+    """A held partition; it is checked less often once it has converged."""
 
     state: RolloutState = field(default_factory=RolloutState)
     desired: int = 0
-    next_look_seconds: float = 0.0
+    next_check_seconds: float = 0.0
 
     def is_due(self, desired: int, now_seconds: float) -> bool:
-        return desired != self.desired or now_seconds >= self.next_look_seconds
+        return desired != self.desired or now_seconds >= self.next_check_seconds
 
 
 class RolloutKeeper:
-    """Compares engines with the version they should have, and orders loads.
+    """Compares the engines' versions with the desired one, and sends load orders.
 
     Parameters
     ----------
@@ -56,7 +56,7 @@
     targets : TargetKeeper
         Engine clients.
     store : WeightStoreClient
-        Which versions are published.
+        Lists the published versions.
     """
 
     __slots__ = (
@@ -85,14 +85,14 @@
         self._partitions: dict[str, _Partition] = {}
 
     async def run(self) -> None:
-        """Tend the held partitions."""
+        """Update the held partitions periodically."""
         while True:
             await asyncio.sleep(TICK_SECONDS * (0.9 + 0.2 * self._context.rng.random()))
             await asyncio.gather(
-                *(self._tend_model(model) for model in self._context.view.rows(ModelRow))
+                *(self._update_model(model) for model in self._context.view.rows(ModelRow))
             )
 
-    async def _tend_model(self, model: ModelRow) -> None:
+    async def _update_model(self, model: ModelRow) -> None:
         count = self._context.settings.rollout_partitions
         held = [
             number
@@ -106,29 +106,31 @@
         if desired == 0:
             return
         for number in held:
-            await self._tend_partition(model, number, desired)
+            await self._update_partition(model, number, desired)
 
     async def _read_store(self, model: str) -> None:
         now_seconds = self._context.now_seconds()
         if now_seconds < self._next_store_seconds.get(model, 0.0):
             return
-        self._next_store_seconds[model] = now_seconds + STORE_SECONDS
+        self._next_store_seconds[model] = now_seconds + STORE_POLL_INTERVAL_SECONDS
         published = await self._store.published(model)
         if isinstance(published, PublishedVersions):
             self._latest[model] = max(self._latest.get(model, 0), published.latest)
 
-    async def _tend_partition(self, model: ModelRow, number: int, desired: int) -> None:
+    async def _update_partition(self, model: ModelRow, number: int, desired: int) -> None:
         role = rollout_role(model.name, number)
         partition = self._partitions.setdefault(role, _Partition())
         if not partition.is_due(desired, self._context.now_seconds()):
             return
         partition.desired = desired
         rows = self._rows(model.name, number)
-        views = await asyncio.gather(*(self._look(row) for row in rows))
+        views = await asyncio.gather(*(self._read_engine(row) for row in rows))
         engines = [view for view in views if view is not None]
         now_seconds = self._context.now_seconds()
         converged = all(view is not None and view.version == desired for view in views)
-        partition.next_look_seconds = now_seconds + (REPAIR_SECONDS if converged else 0.0)
+        partition.next_check_seconds = now_seconds + (
+            CONVERGED_CHECK_INTERVAL_SECONDS if converged else 0.0
+        )
         orders = plan_load_orders(
             desired,
             model.unavailable_share,
@@ -141,7 +143,7 @@
         for order in orders:
             partition.state.ordered(order)
             row = by_name[order.engine]
-            self._context.spawn(self._send(role, partition.state, model.name, row, order))
+            self._context.spawn(self._send_order(role, partition.state, model.name, row, order))
 
     def _rows(self, model: str, number: int) -> list[TargetRow]:
         count = self._context.settings.rollout_partitions
@@ -159,18 +161,18 @@
             if choice.serves == model
         ]
 
-    async def _look(self, row: TargetRow) -> EngineView | None:
-        """Read an engine's real state; an engine that does not answer gets no order."""
+    async def _read_engine(self, row: TargetRow) -> EngineView | None:
+        """Read an engine's state; None if it does not answer, so that it gets no order."""
         info = await self._targets.client(row.protocol).info(row.url)
         if not isinstance(info, EngineInfo):
             return None
         return EngineView(row.name, info.version, info.loading, info.queued_tokens)
 
-    async def _send(
+    async def _send_order(
         self, role: str, state: RolloutState, model: str, row: TargetRow, order: LoadOrder
     ) -> None:
-        # The lease is checked after the last wait, right before the effect; engines that
-        # ignore the fencing number are read again each tick and set right if need be.
+        # Check the lease immediately before the order. Engines may ignore the fencing number;
+        # later checks correct a wrong version.
         if not self._roles.may_act(role):
             state.ended(row.name, False, self._context.now_seconds())
             return
--- a/rackswitch/daemon/sample_runner.py
+++ b/rackswitch/daemon/sample_runner.py
@@ -1,4 +1,4 @@
-"""Makes samples: generation over one or more engines, the label, the score."""
+"""Make samples: generation on one or more engines, label and score."""
 
 import msgspec
 from loguru import logger
@@ -22,23 +22,23 @@
 __all__ = ["SampleFailed", "SampleRunner"]
 
 SAMPLE_PRIORITY = 100
-"""Behind every caller class (0 to 9)."""
+"""Lower priority than every caller rank (0 to 9)."""
 
 SAMPLE_TIMEOUT_SECONDS = 120.0
 FIRST_CHUNK_TIMEOUT_SECONDS = 20.0
 MAX_ATTEMPTS = 4
-SCORING_TRIES = 3
+MAX_SCORING_ATTEMPTS = 3
 
 
 class SampleFailed(msgspec.Struct, frozen=True):
-    """No sample; `unlabelled` if its label could not be proved."""
+    """The order produced no sample; `unlabelled` if its label could not be determined."""
 
     detail: str
     unlabelled: bool = False
 
 
-class _Partial:
-    """A sample in the making."""
+class _PartialSample:
+    """The part of a sample that has been generated so far."""
 
     __slots__ = ("finished", "spans", "text", "token_ids")
 
@@ -50,14 +50,14 @@
 
 
 class SampleRunner:
-    """Carries out sample orders on this daemon.
+    """Executes sample orders on this daemon.
 
     Parameters
     ----------
     context : DaemonContext
         The daemon.
     targets : TargetKeeper
-        What is known of targets.
+        The known targets.
     chooser : TargetChooser
         Picks engines.
     """
@@ -73,14 +73,14 @@
     async def run(self, order: SampleOrder) -> Sample | SampleFailed:
         """Make one sample.
 
-        A stream that breaks is resumed at another engine, with the spans of both in the
-        label, unless its oldest span would be too old by then; it is begun anew then, and
-        also if an engine could not name its version. Whether the whole is fresh enough is
-        the ledger's decision.
+        An interrupted stream resumes at another engine, and the label contains the version
+        spans of both. Generation restarts if the oldest span would be too old, or if an
+        engine did not report its version. The ledger decides whether the complete sample is
+        fresh enough.
         """
-        partial = _Partial()
+        partial = _PartialSample()
         choice = RouteChoice(serves=order.model, oldest_version=order.oldest_version)
-        detail = "no engine may make this sample"
+        detail = "no engine available for this sample"
         for _ in range(MAX_ATTEMPTS):
             candidates = self._targets.allowed(choice)
             if not candidates:
@@ -89,11 +89,11 @@
             if partial.finished:
                 return await self._complete(order, partial)
             if not may_resume(partial.spans, order.policy_version, order.staleness_bound_versions):
-                partial = _Partial()
+                partial = _PartialSample()
         return SampleFailed(detail)
 
     async def run_encoded(self, encoded: bytes) -> bytes:
-        """Make a sample for another daemon; empty bytes stand for a failure."""
+        """Make a sample for another daemon; return empty bytes on failure."""
         if self._context.stopping:
             return b""
         with self._context.in_flight:
@@ -107,10 +107,10 @@
         order: SampleOrder,
         candidates: list[Candidate],
         choice: RouteChoice,
-        partial: _Partial,
+        partial: _PartialSample,
     ) -> str:
         remaining_tokens = float(order.max_tokens - len(partial.token_ids))
-        routed = self._chooser.routed(order.prompt, remaining_tokens)
+        routed = self._chooser.routed_request(order.prompt, remaining_tokens)
         row, target = self._chooser.pick(routed, candidates)
         now_seconds = self._context.now_seconds()
         request = EngineRequest(
@@ -125,7 +125,7 @@
             resume_token_ids=tuple(partial.token_ids),
         )
         check = StreamCheck(request.request_id)
-        first_seconds = 0.0
+        first_chunk_seconds = 0.0
         detail = "the stream ended before its last chunk"
         target.begin(routed.cost_tokens, routed.prefixes)
         stream = self._targets.client(row.protocol).stream(row.url, request)
@@ -134,7 +134,7 @@
                 if isinstance(item, StreamBroken):
                     detail = item.detail
                     break
-                first_seconds = first_seconds or self._context.now_seconds()
+                first_chunk_seconds = first_chunk_seconds or self._context.now_seconds()
                 target.saw_chunk(item, self._context.now_seconds())
                 if not version_allowed(choice, item.version):
                     detail = f"version {item.version} is too old for this sample"
@@ -151,15 +151,17 @@
         partial.spans.extend(check.spans)
         partial.finished = check.finished
         if check.finished:
-            target.succeeded(check.tokens, self._context.now_seconds() - first_seconds)
+            target.succeeded(check.tokens, self._context.now_seconds() - first_chunk_seconds)
         else:
             target.failed(self._context.now_seconds())
         return detail
 
-    async def _complete(self, order: SampleOrder, partial: _Partial) -> Sample | SampleFailed:
+    async def _complete(self, order: SampleOrder, partial: _PartialSample) -> Sample | SampleFailed:
         label = make_label(partial.spans, len(partial.token_ids))
         if isinstance(label, LabelUnknown):
-            logger.warning("sample without a label: {}", label.detail, trainer=order.trainer)
+            logger.warning(
+                "discarded a sample without a label: {}", label.detail, trainer=order.trainer
+            )
             return SampleFailed(label.detail, unlabelled=True)
         text = "".join(partial.text)
         score: Score | None = None
@@ -183,7 +185,7 @@
     async def _score(self, order: SampleOrder, text: str) -> Score | None:
         sample_id = f"{order.trainer}/{order.step}/{order.index}/{order.attempt}"
         scorers = self._targets.usable(order.scorer or "")
-        for number in range(SCORING_TRIES):
+        for number in range(MAX_SCORING_ATTEMPTS):
             if not scorers:
                 return None
             row, _ = scorers[(order.index + number) % len(scorers)]
--- a/rackswitch/daemon/service_calls.py
+++ b/rackswitch/daemon/service_calls.py
@@ -1,4 +1,4 @@
-"""Serving callers of plain services, at most once where that is asked."""
+"""Serve calls to plain services, at most once if they are not repeatable."""
 
 import asyncio
 from dataclasses import dataclass
@@ -26,23 +26,22 @@
 from rackswitch.routing import RoutedRequest
 from rackswitch.table import RouteRow, TenantRow
 
-__all__ = ["ServiceCall", "ServiceFront"]
+__all__ = ["ServiceCall", "ServiceDispatcher"]
 
 CLAIM_TIMEOUT_SECONDS = 2.0
 IN_DOUBT_RETRY_SECONDS = 1.0
 DUPLICATE_TIMEOUT_SECONDS = 2.0
-"""How long a second copy waits for the first one's answer; plain calls take some 50 ms, and
-a first copy whose daemon died never answers."""
+"""How long a duplicate request waits for the answer of the original."""
 
-DUPLICATE_LOOK_SECONDS = 0.05
-"""Between two looks for that answer, about a plain call's usual time."""
+DUPLICATE_POLL_INTERVAL_SECONDS = 0.05
+"""Between polls for the answer of the original."""
 
 PLAIN_COST_TOKENS = 20.0
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """A caller's call of a plain service, checked."""
+    """A validated call to a plain service."""
 
     tenant: TenantRow
     route: RouteRow
@@ -56,8 +55,8 @@
     arrived_seconds: float
 
 
-class ServiceFront:
-    """Routes calls of plain services and tells the truth about what became of them.
+class ServiceDispatcher:
+    """Routes calls to plain services and reports their outcomes.
 
     Parameters
     ----------
@@ -66,7 +65,7 @@
     chooser : TargetChooser
         Picks targets.
     claims : ClaimKeeper
-        For calls that may not be repeated.
+        Claims for calls that are not repeatable.
     plain : PlainServiceClient
         Makes the calls.
     """
@@ -87,7 +86,7 @@
         self._budget = RetryBudget()
 
     async def call(self, call: ServiceCall) -> Outcome:
-        """Make a call of a plain service; at most once if it may not be repeated."""
+        """Call a plain service, at most once if the call is not repeatable."""
         if call.repeatable:
             return await self._call_targets(call)
         if call.idempotency_key is None:
@@ -95,42 +94,44 @@
         digest = request_digest(f"{call.route.name}/{call.path}", call.method, call.body)
         claim = Claim(owner=self._claims.new_owner(), digest=digest)
         keys = self._claims.keys(call.tenant.name, call.idempotency_key)
-        patience_seconds = self._context.now_seconds() + CLAIM_TIMEOUT_SECONDS
-        found = await self._claims.claim(keys, claim, min(call.deadline_seconds, patience_seconds))
+        claim_deadline_seconds = self._context.now_seconds() + CLAIM_TIMEOUT_SECONDS
+        found = await self._claims.claim(
+            keys, claim, min(call.deadline_seconds, claim_deadline_seconds)
+        )
         if not isinstance(found, ClaimFound):
             retry_at_seconds = self._context.now_seconds() + IN_DOUBT_RETRY_SECONDS
             detail = "the key-value service does not answer"
             return NotRun(NotRunReason.CLAIMS_UNAVAILABLE, detail, retry_at_seconds)
         if found.decision is ClaimDecision.IN_DOUBT:
-            found = await self._wait_for_first(keys, claim, found, call.deadline_seconds)
+            found = await self._wait_for_original(keys, claim, found, call.deadline_seconds)
         if found.decision is not ClaimDecision.RUN:
             return self._answer_duplicate(found)
         outcome = await self._call_targets(call)
         self._context.spawn(self._close_claim(keys, found, outcome))
         return outcome
 
-    async def _wait_for_first(
+    async def _wait_for_original(
         self,
         keys: tuple[str, str, str],
         claim: Claim,
         found: ClaimFound,
         deadline_seconds: float,
     ) -> ClaimFound:
-        """Wait a while for the first request with this key, which may be under way.
+        """Wait for the original request with this key, which may still be running.
 
-        Should it end without having run, its claim is released and this request gets it.
+        If it ends without having run, its claim is released and this request takes it over.
         """
-        patience_seconds = self._context.now_seconds() + DUPLICATE_TIMEOUT_SECONDS
-        until_seconds = min(deadline_seconds, patience_seconds)
+        duplicate_deadline_seconds = self._context.now_seconds() + DUPLICATE_TIMEOUT_SECONDS
+        wait_until_seconds = min(deadline_seconds, duplicate_deadline_seconds)
         while (
             found.decision is ClaimDecision.IN_DOUBT
-            and self._context.now_seconds() + DUPLICATE_LOOK_SECONDS < until_seconds
+            and self._context.now_seconds() + DUPLICATE_POLL_INTERVAL_SECONDS < wait_until_seconds
         ):
-            await asyncio.sleep(DUPLICATE_LOOK_SECONDS)
-            looked = await self._claims.claim(keys, claim, until_seconds)
-            if not isinstance(looked, ClaimFound):
+            await asyncio.sleep(DUPLICATE_POLL_INTERVAL_SECONDS)
+            latest = await self._claims.claim(keys, claim, wait_until_seconds)
+            if not isinstance(latest, ClaimFound):
                 break
-            found = looked
+            found = latest
         return found
 
     async def _close_claim(
@@ -185,8 +186,8 @@
                 return _plain_outcome(answer)
             target.failed(self._context.now_seconds())
             log.note(AttemptEnd(row.name, answer.may_have_run, answer.detail))
-            late = self._context.now_seconds() >= call.deadline_seconds
-            if late or not log.may_begin() or not self._budget.try_spend():
+            is_past_deadline = self._context.now_seconds() >= call.deadline_seconds
+            if is_past_deadline or not log.may_begin() or not self._budget.try_spend():
                 return log.give_up(self._context.now_seconds())
 
 
--- a/rackswitch/daemon/settings.py
+++ b/rackswitch/daemon/settings.py
@@ -12,11 +12,11 @@
 
 Seconds = Annotated[float, msgspec.Meta(gt=0)]
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
-ON_UNCONFIRMED = ("serve", "refuse")
+UNCONFIRMED_TABLE_POLICIES = ("serve", "refuse")
 
 
 class FreshnessSettings(Settings, frozen=True, kw_only=True):
-    """What a daemon does that cannot confirm its table with anybody."""
+    """How a daemon behaves while no source confirms its table."""
 
     bound_seconds: Annotated[
         Seconds, msgspec.Meta(description="How long a confirmation of the table is trusted.")
@@ -31,15 +31,15 @@
     ] = "refuse"
 
     def contradiction(self) -> str | None:
-        """Return what contradicts what, or None."""
+        """Return a message about settings that contradict each other, or None."""
         for name, value in (("callers", self.callers), ("trainers", self.trainers)):
-            if value not in ON_UNCONFIRMED:
-                return f"`$.{name}` is {value!r}; allowed: {', '.join(ON_UNCONFIRMED)}"
+            if value not in UNCONFIRMED_TABLE_POLICIES:
+                return f"`$.{name}` is {value!r}; allowed: {', '.join(UNCONFIRMED_TABLE_POLICIES)}"
         return None
 
 
 class DaemonSettings(Settings, frozen=True, kw_only=True):
-    """Settings of one daemon."""
+    """All settings of one daemon."""
 
     daemon: Annotated[str, msgspec.Meta(description="This daemon's name.", min_length=1)]
     zone: Annotated[str, msgspec.Meta(description="Its availability zone.", min_length=1)]
@@ -92,7 +92,7 @@
     seed: Annotated[int, msgspec.Meta(description="Seed of random choices; 0 takes any.")] = 0
 
     def contradiction(self) -> str | None:
-        """Return what contradicts what, or None."""
+        """Return a message about settings that contradict each other, or None."""
         if self.routing_policy not in POLICIES.names():
             known = ", ".join(POLICIES.names())
             return f"`$.routing_policy` is {self.routing_policy!r}; allowed: {known}"
--- a/rackswitch/daemon/table_keeper.py
+++ b/rackswitch/daemon/table_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the table in force current, and writes accepted edits."""
+"""Keep the local table current and apply edits."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -29,37 +29,37 @@
 
 TABLE_KEY = "table"
 EDIT_TIMEOUT_SECONDS = 4.0
-EDIT_RETRY_SECONDS = 0.1
+EDIT_RETRY_DELAY_SECONDS = 0.1
 PEER_TIMEOUT_SECONDS = 1.0
-WATCH_RETRY_SECONDS = 0.5
+WATCH_RETRY_DELAY_SECONDS = 0.5
 TICK_SECONDS = 0.2
 
 
 class EditUnknown(msgspec.Struct, frozen=True):
-    """The edit may have been accepted; asking again with the same identity tells."""
+    """The edit may have been accepted; a retry with the same edit ID finds out."""
 
 
 class EditUnavailable(msgspec.Struct, frozen=True):
-    """The edit was not accepted, since the service did not answer."""
+    """The edit was not accepted because the key-value service did not answer."""
 
 
 EditResult = EditDone | EditConflict | EditInvalid | EditUnknown | EditUnavailable
 
 
 class TableKeeper:
-    """The daemon's side of the table.
+    """Maintains this daemon's copy of the table.
 
     Parameters
     ----------
     context : DaemonContext
         The daemon.
     announce : callable
-        Tells some peers at once that the table has changed.
+        Notifies some peers at once that the table has changed.
     """
 
     __slots__ = (
         "_announce",
-        "_boot_done",
+        "_is_booted",
         "_context",
         "_edit_lock",
         "_fetching",
@@ -72,7 +72,7 @@
     def __init__(self, context: DaemonContext, announce: Callable[[], Awaitable[None]]):
         self._context = context
         self._announce = announce
-        self._boot_done = False
+        self._is_booted = False
         self._edit_lock = asyncio.Lock()
         self._fetching: set[str] = set()
         self._read_mod_revision = 0
@@ -82,23 +82,23 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether a table is in force that no reachable source is known to exceed."""
-        return self._boot_done and self._context.view.revision > 0
+        """Whether the daemon has a table and compared it with a source at the start."""
+        return self._is_booted and self._context.view.revision > 0
 
     async def boot(self) -> None:
-        """Learn the newest table from the service and from every peer that answers."""
+        """Fetch the newest table from the service and from every peer that answers."""
         peers = [member.update for member in self._context.membership.members.values()]
         read = self.read_service()
         answers = await asyncio.gather(read, *(self.fetch_from(peer) for peer in peers))
-        # A daemon that heard from nobody cannot know that its table is the newest.
-        self._boot_done = any(answers)
+        # Without any answer, the daemon cannot know whether its table is the newest.
+        self._is_booted = any(answers)
 
     async def run(self) -> None:
-        """Watch and confirm while this daemon is one of the watchers."""
+        """Watch and confirm the table while this daemon is one of the watchers."""
         next_confirm_seconds = 0.0
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            if not self._boot_done:
+            if not self._is_booted:
                 await self.boot()
                 continue
             now_seconds = self._context.now_seconds()
@@ -107,8 +107,8 @@
                     self._watch_task = self._context.spawn(self._watch())
                 if now_seconds >= next_confirm_seconds:
                     jitter = 0.9 + 0.2 * self._context.rng.random()
-                    period_seconds = self._context.settings.confirm_seconds * jitter
-                    next_confirm_seconds = now_seconds + period_seconds
+                    interval_seconds = self._context.settings.confirm_seconds * jitter
+                    next_confirm_seconds = now_seconds + interval_seconds
                     await self.read_service()
             elif self._watch_task is not None:
                 self._watch_task.cancel()
@@ -120,12 +120,12 @@
         return self._context.settings.daemon in chosen
 
     async def _watch(self) -> None:
-        async for news in self._context.kv.watch(TABLE_KEY, 1):
-            if not isinstance(news, WatchNews):
-                await asyncio.sleep(WATCH_RETRY_SECONDS)
+        async for update in self._context.kv.watch(TABLE_KEY, 1):
+            if not isinstance(update, WatchNews):
+                await asyncio.sleep(WATCH_RETRY_DELAY_SECONDS)
                 return
-            for entry in news.entries:
-                await self._take(msgspec.json.decode(entry.value, type=TableDocument))
+            for entry in update.entries:
+                await self._install(msgspec.json.decode(entry.value, type=TableDocument))
 
     async def read_service(self) -> bool:
         """Confirm the table with the service, or read it if it has changed.
@@ -135,25 +135,25 @@
         bool
             Whether the service answered.
         """
-        asked_at_seconds = self._context.now_seconds()
+        requested_at_seconds = self._context.now_seconds()
         bound_seconds = self._context.settings.freshness.bound_seconds
-        until_seconds = asked_at_seconds + bound_seconds
+        valid_until_seconds = requested_at_seconds + bound_seconds
         if await self._is_unchanged():
-            self._context.view.confirm(self._read_revision, until_seconds)
+            self._context.view.confirm(self._read_revision, valid_until_seconds)
             return True
         read = await self._context.kv.read(TABLE_KEY)
         if not isinstance(read, KvRead):
             return False
-        document = _document_of(read)
+        document = _decode_document(read)
         if read.entries:
             self._read_mod_revision = read.entries[0].mod_revision
             self._read_revision = document.revision
-        await self._take(document)
-        self._context.view.confirm(document.revision, until_seconds)
+        await self._install(document)
+        self._context.view.confirm(document.revision, valid_until_seconds)
         return True
 
     async def _is_unchanged(self) -> bool:
-        """Ask for the key's revision alone, which spares the value's way every time."""
+        """Compare the key's revision alone, without transferring the value."""
         if self._read_mod_revision == 0:
             return False
         read = await self._context.kv.read(TABLE_KEY, keys_only=True)
@@ -162,13 +162,15 @@
         return read.entries[0].mod_revision == self._read_mod_revision
 
     def confirmation_age_seconds(self) -> float:
-        """Return how old the confirmation of the table in force is; may be infinite."""
+        """Return the age of the current table's confirmation; may be infinite."""
         bound_seconds = self._context.settings.freshness.bound_seconds
-        until_seconds = self._context.view.confirmed_until_seconds
-        return bound_seconds - (until_seconds - self._context.now_seconds())
+        valid_until_seconds = self._context.view.confirmed_until_seconds
+        return bound_seconds - (valid_until_seconds - self._context.now_seconds())
 
-    async def heard(self, peer: MemberUpdate, revision: int, age_seconds: float) -> None:
-        """Take in what a peer's heartbeat says about its table."""
+    async def record_peer_revision(
+        self, peer: MemberUpdate, revision: int, age_seconds: float
+    ) -> None:
+        """Record the table revision in a peer's heartbeat; fetch the table if it is newer."""
         view = self._context.view
         if revision > view.revision:
             await self.fetch_from(peer)
@@ -192,11 +194,11 @@
         if reply.delta:
             delta = msgspec.json.decode(reply.delta, type=TableDelta)
             newer = apply_delta(self._context.view.document, delta, REMEMBERED_EDITS)
-            # None: another peer's table came in meanwhile; the next heartbeat tells.
+            # None if another table was installed meanwhile; the next heartbeat checks again.
             if newer is not None:
-                await self._take(newer)
+                await self._install(newer)
         elif reply.document:
-            await self._take(msgspec.json.decode(reply.document, type=TableDocument))
+            await self._install(msgspec.json.decode(reply.document, type=TableDocument))
         return reply.revision > 0
 
     async def submit(
@@ -207,31 +209,30 @@
         Parameters
         ----------
         edit : Edit
-            The edit, with its identity.
+            The edit, with its ID.
         dry_run : bool
-            Only check it.
+            Only validate the edit.
         may_be_retry : bool
-            Whether the same edit may have been sent before, to any daemon. An earlier try
-            may still take effect, so without an answer nothing is certain.
+            Whether the same edit may have been sent before, to any daemon. An earlier attempt
+            may still take effect, so without an answer the result is unknown.
 
-        Each try is conditional on the revision that was read, so of two tries only one
-        can take effect; and the edit's own identity in the table tells a later read
-        whether an unanswered try did.
+        Each attempt is conditional on the revision that was read, so only one attempt can take
+        effect; the edit's ID in the table shows whether an unanswered attempt did.
 
         Returns
         -------
         EditResult
-            `EditUnknown` if a try went unanswered and could not be cleared up in time.
+            `EditUnknown` if an attempt went unanswered and its effect was not determined in time.
         """
-        give_up_seconds = self._context.now_seconds() + EDIT_TIMEOUT_SECONDS
+        deadline_seconds = self._context.now_seconds() + EDIT_TIMEOUT_SECONDS
         unanswered = may_be_retry
         async with self._edit_lock:
-            while self._context.now_seconds() < give_up_seconds:
+            while self._context.now_seconds() < deadline_seconds:
                 read = await self._context.kv.read(TABLE_KEY)
                 if isinstance(read, KvUnavailable):
-                    await asyncio.sleep(EDIT_RETRY_SECONDS)
+                    await asyncio.sleep(EDIT_RETRY_DELAY_SECONDS)
                     continue
-                outcome = apply_edit(_document_of(read), edit)
+                outcome = apply_edit(_decode_document(read), edit)
                 if not isinstance(outcome, EditAccepted):
                     return outcome
                 if dry_run:
@@ -239,7 +240,7 @@
                 written = await self._write(read, outcome.document)
                 if written is True:
                     self._log_edit(edit)
-                    await self._take(outcome.document)
+                    await self._install(outcome.document)
                     return EditDone(outcome.document.revision)
                 unanswered = unanswered or written is None
         return EditUnknown() if unanswered else EditUnavailable()
@@ -248,7 +249,7 @@
         self._context.log.write(events.EditAccepted(edit=edit.edit_id, operator=edit.operator))
 
     async def _write(self, read: KvRead, document: TableDocument) -> bool | None:
-        """Write the document; False if it was not written, None if that is not known."""
+        """Write the document; return False if it was not written, None if that is unknown."""
         mod_revision = read.entries[0].mod_revision if read.entries else 0
         part = TxnPart(
             compares=(Compare(TABLE_KEY, "mod", mod_revision),),
@@ -259,7 +260,7 @@
             return None if done.effect_unknown else False
         return done[0].succeeded
 
-    async def _take(self, document: TableDocument) -> None:
+    async def _install(self, document: TableDocument) -> None:
         before = self._context.view.revision
         if self._context.view.offer(document):
             self._context.log.write(
@@ -270,7 +271,7 @@
             await self._announce()
 
 
-def _document_of(read: KvRead) -> TableDocument:
+def _decode_document(read: KvRead) -> TableDocument:
     if not read.entries:
         return TableDocument()
     return msgspec.json.decode(read.entries[0].value, type=TableDocument)
--- a/rackswitch/daemon/target_choice.py
+++ b/rackswitch/daemon/target_choice.py
@@ -1,4 +1,4 @@
-"""Choosing a target for one attempt of a request or sample."""
+"""Choose a target for one attempt of a request or sample."""
 
 import itertools
 import random
@@ -17,31 +17,31 @@
 
 
 class TargetChooser:
-    """Applies the routing policy of the settings to what is known of targets.
+    """Applies the configured routing policy to the known targets.
 
     Parameters
     ----------
     context : DaemonContext
         The daemon.
     targets : TargetKeeper
-        What is known of targets.
+        The known targets.
     """
 
-    __slots__ = ("_context", "_counter", "_policy", "_start", "_targets")
+    __slots__ = ("_context", "_counter", "_policy", "_start_id", "_targets")
 
     def __init__(self, context: DaemonContext, targets: TargetKeeper):
         self._context = context
         self._targets = targets
         self._policy = POLICIES.get(context.settings.routing_policy)(context.rng)
         self._counter = itertools.count()
-        self._start = context.rng.randrange(1 << 48)
+        self._start_id = context.rng.randrange(1 << 48)
 
     def new_attempt_id(self) -> str:
-        """Return an identity that no other attempt has, of any daemon or start."""
-        return f"{self._context.settings.daemon}-{self._start:x}-{next(self._counter)}"
+        """Return an attempt ID that is unique across daemons and restarts."""
+        return f"{self._context.settings.daemon}-{self._start_id:x}-{next(self._counter)}"
 
-    def routed(self, prompt: str, cost_tokens: float) -> RoutedRequest:
-        """Return what a policy may know of a request with this prompt."""
+    def routed_request(self, prompt: str, cost_tokens: float) -> RoutedRequest:
+        """Return the properties of a request that a routing policy may use."""
         return RoutedRequest(
             prompt_tokens=len(prompt) / CHARACTERS_PER_TOKEN,
             cost_tokens=cost_tokens,
@@ -50,26 +50,26 @@
         )
 
     def route_choice(self, route: RouteRow) -> RouteChoice:
-        """Draw by weight among the choices that have a target now, else among all."""
-        served = tuple(choice for choice in route.choices if self._targets.allowed(choice))
-        return _draw(served or route.choices, self._context.rng)
+        """Draw a choice by weight, from those with an allowed target if there are any."""
+        available = tuple(choice for choice in route.choices if self._targets.allowed(choice))
+        return _weighted_choice(available or route.choices, self._context.rng)
 
     def candidates(self, choice: RouteChoice, log: AttemptLog) -> list[Candidate]:
-        """Return the targets not yet tried; all of them again if the work may be repeated."""
+        """Return the untried targets, or all of them if every one was tried and work may repeat."""
         tried = log.tried_targets()
         allowed = self._targets.allowed(choice)
         untried = [(row, target) for row, target in allowed if row.name not in tried]
         return untried or (allowed if log.repeatable else [])
 
     def pick(self, routed: RoutedRequest, candidates: list[Candidate]) -> Candidate:
-        """Return the policy's choice among candidates, of which there must be one."""
+        """Return the candidate that the policy chooses; the list must not be empty."""
         rows = {target.name: row for row, target in candidates}
         usable = usable_targets([target for _, target in candidates], routed.now_seconds)
         target = self._policy.choose(routed, usable)
         return rows[target.name], target
 
 
-def _draw(choices: tuple[RouteChoice, ...], rng: random.Random) -> RouteChoice:
+def _weighted_choice(choices: tuple[RouteChoice, ...], rng: random.Random) -> RouteChoice:
     weights = [choice.weight for choice in choices]
     if sum(weights) <= 0:
         return choices[0]
--- a/rackswitch/daemon/target_keeper.py
+++ b/rackswitch/daemon/target_keeper.py
@@ -1,4 +1,4 @@
-"""The targets that the table names, as this daemon knows them."""
+"""The targets of the table and their state as known to this daemon."""
 
 import asyncio
 import hashlib
@@ -14,11 +14,11 @@
 
 PREFIX_CHUNK_CHARACTERS = 64
 MAX_PREFIX_CHUNKS = 64
-SAME_ZONE_SECONDS = 0.0002
+SAME_ZONE_ONE_WAY_SECONDS = 0.0002
 
 
 class TargetKeeper:
-    """Keeps a `Target` for each row, polls the engines and answers which may be used.
+    """Stores a `Target` for each row, polls the engines and selects usable targets.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
         Returns the names of targets whose VM is leaving.
     """
 
-    __slots__ = ("_clients", "_context", "_leaving", "_round", "polls", "targets")
+    __slots__ = ("_clients", "_context", "_leaving", "_poll_queue", "polls", "targets")
 
     def __init__(self, context: DaemonContext, leaving: Callable[[], set[str]]):
         self._context = context
@@ -38,29 +38,29 @@
         }
         self.targets: dict[str, Target] = {}
         self.polls = 0
-        self._round: list[TargetRow] = []
+        self._poll_queue: list[TargetRow] = []
 
     def client(self, protocol: str) -> EngineClient:
         """Return the client for an engine protocol."""
         return self._clients[protocol]
 
     async def run(self) -> None:
-        """Poll one of this daemon's engines after the other, at a bounded rate.
+        """Poll this daemon's engines one after another, at a bounded rate.
 
-        So the cost does not grow with the number of engines; what the daemon's own
-        requests show of an engine fills the time between.
+        The cost does not grow with the number of engines; between polls, the daemon's own
+        requests update an engine's state.
         """
         while True:
             jitter = 0.9 + 0.2 * self._context.rng.random()
             await asyncio.sleep(self._context.settings.poll_seconds * jitter)
-            if not self._round:
-                self._round = self._polled_rows()
-            if self._round:
-                await self._poll_one(self._round.pop())
+            if not self._poll_queue:
+                self._poll_queue = self._polled_rows()
+            if self._poll_queue:
+                await self._poll_row(self._poll_queue.pop())
 
     async def poll(self) -> None:
-        """Read the state of all of this daemon's engines, as at its start."""
-        await asyncio.gather(*(self._poll_one(row) for row in self._polled_rows()))
+        """Read the state of all of this daemon's engines at once."""
+        await asyncio.gather(*(self._poll_row(row) for row in self._polled_rows()))
 
     def _polled_rows(self) -> list[TargetRow]:
         rows = [row for row in self._context.view.rows(TargetRow) if row.protocol == "openai"]
@@ -70,7 +70,7 @@
         return chosen
 
     def usable(self, serves: str) -> list[tuple[TargetRow, Target]]:
-        """Return the targets of a model or service that may get new work from here."""
+        """Return the targets of a model or service to which this daemon may send new work."""
         leaving = self._leaving()
         rows = [row for row in self._context.view.targets(serves) if row.name not in leaving]
         return [(row, self._target(row)) for row in self._subset(rows)]
@@ -84,25 +84,25 @@
         ]
 
     def _subset(self, rows: list[TargetRow]) -> list[TargetRow]:
-        """Return the part of a large set that this daemon uses and polls."""
-        most = self._context.settings.polled_targets
-        if len(rows) <= most:
+        """Return the subset of a large set of rows that this daemon uses and polls."""
+        max_targets = self._context.settings.polled_targets
+        if len(rows) <= max_targets:
             return rows
         by_name = {row.name: row for row in rows}
         ranked = rank_candidates(self._context.settings.daemon, list(by_name))
-        return [by_name[name] for name in ranked[:most]]
+        return [by_name[name] for name in ranked[:max_targets]]
 
     def _target(self, row: TargetRow) -> Target:
         target = self.targets.get(row.name)
         if target is None or target.url != row.url:
             same_zone = row.zone == self._context.settings.zone
-            far_seconds = self._context.settings.zone_one_way_seconds
-            one_way_seconds = SAME_ZONE_SECONDS if same_zone else far_seconds
+            cross_zone_seconds = self._context.settings.zone_one_way_seconds
+            one_way_seconds = SAME_ZONE_ONE_WAY_SECONDS if same_zone else cross_zone_seconds
             target = Target(row.name, row.url, row.zone, one_way_seconds)
             self.targets[row.name] = target
         return target
 
-    async def _poll_one(self, row: TargetRow) -> None:
+    async def _poll_row(self, row: TargetRow) -> None:
         self.polls += 1
         target = self._target(row)
         info = await self.client(row.protocol).info(row.url)
@@ -116,7 +116,7 @@
 
 
 def version_allowed(choice: RouteChoice, version: int | None) -> bool:
-    """Return whether a route choice lets this version serve."""
+    """Return whether a route choice allows this version."""
     if version is None:
         return choice.oldest_version == 0 and choice.newest_version is None
     if version < choice.oldest_version:
@@ -125,12 +125,12 @@
 
 
 def prompt_prefixes(prompt: str) -> tuple[int, ...]:
-    """Return one number for each whole chunk's prefix of a prompt, as far as it matters."""
+    """Return a hash of each prefix of a prompt that consists of complete chunks."""
     digest = hashlib.blake2b(digest_size=8)
-    numbers: list[int] = []
+    prefix_hashes: list[int] = []
     for start in range(0, len(prompt) - PREFIX_CHUNK_CHARACTERS + 1, PREFIX_CHUNK_CHARACTERS):
-        if len(numbers) == MAX_PREFIX_CHUNKS:
+        if len(prefix_hashes) == MAX_PREFIX_CHUNKS:
             break
         digest.update(prompt[start : start + PREFIX_CHUNK_CHARACTERS].encode())
-        numbers.append(int.from_bytes(digest.digest(), "big"))
-    return tuple(numbers)
+        prefix_hashes.append(int.from_bytes(digest.digest(), "big"))
+    return tuple(prefix_hashes)
--- a/rackswitch/daemon/tests/support.py
+++ b/rackswitch/daemon/tests/support.py
@@ -1,4 +1,4 @@
-"""Contexts without a network, on a clock that jumps."""
+"""Daemon contexts without a network, on a virtual clock."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 from rackswitch.telemetry import DecisionLog
 
 
-class NoTelemetry:
+class NullTelemetry:
     def request_ended(self, *labels: object) -> None:
         pass
 
@@ -26,13 +26,11 @@
 
 
 IDLE_CYCLES = 1
-"""Empty turns of the loop before its clock jumps, by which the library lets real input and output
-come in (42 by its default). Nothing here has any: two runs of reports, one of orders and one of
-spreading bring the same to the byte with 42, 4, 1 and 0, and take 14.2, 3.3, 2.5 and 2.1 s."""
+"""Empty event loop cycles before the clock jumps; the tests do no real input or output."""
 
 
 def run_virtual(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run on an event loop whose clock jumps over waits."""
+    """Run a coroutine on an event loop with a virtual clock that skips waits."""
     loop = looptime.new_event_loop(noop_cycles=IDLE_CYCLES)
     try:
         return loop.run_until_complete(work)
@@ -64,7 +62,7 @@
         links=PeerLinks("s"),
         view=TableView(),
         membership=Membership(own, 1.0, rng),
-        telemetry=NoTelemetry(),  # type: ignore[arg-type]
+        telemetry=NullTelemetry(),  # type: ignore[arg-type]
         log=DecisionLog(name, None),
         rng=rng,
     )
--- a/rackswitch/daemon/tests/test_claims.py
+++ b/rackswitch/daemon/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""A request that may not be repeated runs at most once, and "not run" is true."""
+"""Guards against non-repeatable requests that run twice, and false "not run" answers."""
 
 import asyncio
 import dataclasses
@@ -9,7 +9,7 @@
 
 from rackswitch.clients.plain_service import PlainAnswer, PlainFailed
 from rackswitch.daemon.claim_keeper import ClaimFound, ClaimKeeper, ClaimsUnavailable
-from rackswitch.daemon.service_calls import ServiceCall, ServiceFront
+from rackswitch.daemon.service_calls import ServiceCall, ServiceDispatcher
 from rackswitch.daemon.target_choice import TargetChooser
 from rackswitch.daemon.tests.support import make_context, run_virtual
 from rackswitch.outcomes import Completed, NotRun, Outcome
@@ -27,20 +27,20 @@
 
 
 class FakeService:
-    """Counts runs by key; sometimes cannot be reached, sometimes loses its answer."""
+    """Counts runs by key; randomly refuses connections and loses answers."""
 
-    def __init__(self, rng: random.Random, trouble: float = 0.15):
+    def __init__(self, rng: random.Random, failure_probability: float = 0.15):
         self.runs: Counter[str] = Counter()
         self._rng = rng
-        self._trouble = trouble
+        self._failure_probability = failure_probability
 
     async def call(self, url, request):
         await asyncio.sleep(self._rng.random() * 0.05)
-        if self._rng.random() < self._trouble:
+        if self._rng.random() < self._failure_probability:
             return PlainFailed(False, "cannot connect")
         self.runs[request.idempotency_key] += 1
         await asyncio.sleep(self._rng.random() * 0.5)
-        if self._rng.random() < self._trouble:
+        if self._rng.random() < self._failure_probability:
             return PlainFailed(True, "no answer")
         return PlainAnswer(200, request.idempotency_key.encode(), "text/plain")
 
@@ -53,10 +53,10 @@
         return self._targets
 
 
-class ForgetfulClaims(ClaimKeeper):
-    """Reads first and writes after, without a condition."""
+class UnconditionalClaims(ClaimKeeper):
+    """Reads the claim and then writes it without a condition."""
 
-    async def claim(self, keys, claim, give_up_seconds):
+    async def claim(self, keys, claim, deadline_seconds):
         read = await self._context.kv.read(keys[0])
         if getattr(read, "entries", ()):
             return ClaimFound(ClaimDecision.IN_DOUBT, claim)
@@ -79,46 +79,48 @@
     )
 
 
-def make_front(context, claims: ClaimKeeper, service: FakeService) -> ServiceFront:
+def make_dispatcher(context, claims: ClaimKeeper, service: FakeService) -> ServiceDispatcher:
     chooser = TargetChooser(context, FakeTargets())
-    return ServiceFront(context, chooser, claims, service)
+    return ServiceDispatcher(context, chooser, claims, service)
 
 
-async def lodge(seed: int, claims_kind: type[ClaimKeeper]) -> tuple[list[str], Counter[str]]:
-    """Send every key to two daemons, at once or after a refusal, under faults and deaths."""
+async def send_duplicates_under_faults(
+    seed: int, claims_class: type[ClaimKeeper]
+) -> tuple[list[str], Counter[str]]:
+    """Send each key several times, to random daemons, under store faults and crashes."""
     rng = random.Random(seed)
     store = KvStore()
     faults = KvFaults(lost_request=0.08, lost_answer=0.12, late_effect=0.06, refused=0.04)
     service = FakeService(rng)
-    wrong: list[str] = []
-    kinds: Counter[str] = Counter()
+    violations: list[str] = []
+    outcome_counts: Counter[str] = Counter()
 
-    def start_daemon(number: int) -> ServiceFront:
+    def start_daemon(number: int) -> ServiceDispatcher:
         context = make_context(f"d{number}", store, rng, faults)
-        return make_front(context, claims_kind(context), service)
+        return make_dispatcher(context, claims_class(context), service)
 
-    fronts = [start_daemon(number) for number in range(DAEMONS)]
-    running: dict[ServiceFront, set[asyncio.Task]] = {}
+    dispatchers = [start_daemon(number) for number in range(DAEMONS)]
+    running: dict[ServiceDispatcher, set[asyncio.Task]] = {}
 
     async def send(key: str) -> Outcome | None:
-        front = rng.choice(fronts)
+        dispatcher = rng.choice(dispatchers)
         call = make_call(key, asyncio.get_running_loop().time())
-        work = asyncio.create_task(front.call(call))
-        running.setdefault(front, set()).add(work)
-        if front in fronts and rng.random() < 0.1:
-            # The daemon dies somewhere in the middle; its replacement knows nothing.
+        work = asyncio.create_task(dispatcher.call(call))
+        running.setdefault(dispatcher, set()).add(work)
+        if dispatcher in dispatchers and rng.random() < 0.1:
+            # The daemon crashes during the call; its replacement starts without state.
             await asyncio.sleep(rng.random() * 0.6)
-            for task in running[front]:
+            for task in running[dispatcher]:
                 task.cancel()
-            await front._context.cancel_all()
-            if front in fronts:
-                fronts[fronts.index(front)] = start_daemon(rng.randrange(1000))
+            await dispatcher._context.cancel_all()
+            if dispatcher in dispatchers:
+                dispatchers[dispatchers.index(dispatcher)] = start_daemon(rng.randrange(1000))
         try:
             return await work
         except asyncio.CancelledError:
             return None
 
-    async def client(key: str) -> None:
+    async def send_with_retries(key: str) -> None:
         await asyncio.sleep(rng.random() * 20)
         answers: list[Outcome | None] = []
         if rng.random() < 0.4:
@@ -128,12 +130,12 @@
                 break
             answers.append(await send(key))
             await asyncio.sleep(1.0)
-        kinds.update(type(answer).__name__ for answer in answers)
+        outcome_counts.update(type(answer).__name__ for answer in answers)
         if answers and all(isinstance(answer, NotRun) for answer in answers) and service.runs[key]:
-            wrong.append(f"{key}: every answer says not run, but it ran")
+            violations.append(f"{key}: ran, although every answer says not run")
         for answer in answers:
             if isinstance(answer, Completed) and answer.body != key.encode():
-                wrong.append(f"{key}: the answer of another request")
+                violations.append(f"{key}: received the answer of another request")
 
     async def outages() -> None:
         for _ in range(3):
@@ -142,33 +144,35 @@
             await asyncio.sleep(rng.random() * 4)
             faults.down = False
 
-    await asyncio.gather(outages(), *(client(f"k{number}") for number in range(KEYS)))
+    await asyncio.gather(outages(), *(send_with_retries(f"k{number}") for number in range(KEYS)))
     await asyncio.sleep(15)
-    wrong += [f"{key} ran {count} times" for key, count in service.runs.items() if count > 1]
-    return wrong, kinds
+    violations += [f"{key} ran {count} times" for key, count in service.runs.items() if count > 1]
+    return violations, outcome_counts
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_at_most_once_and_true_refusals(seed):
-    wrong, kinds = run_virtual(lodge(seed, ClaimKeeper))
-    assert wrong == []
-    assert kinds["Completed"] > 0
+def test_requests_run_at_most_once_and_refusals_are_true(seed):
+    violations, outcome_counts = run_virtual(send_duplicates_under_faults(seed, ClaimKeeper))
+    assert violations == []
+    assert outcome_counts["Completed"] > 0
 
 
-def test_without_the_condition_requests_run_twice():
-    assert any(run_virtual(lodge(seed, ForgetfulClaims))[0] for seed in range(6))
+def test_unconditional_claims_run_requests_twice():
+    assert any(
+        run_virtual(send_duplicates_under_faults(seed, UnconditionalClaims))[0] for seed in range(6)
+    )
 
 
-def test_duplicate_gets_the_first_answer():
+def test_duplicate_gets_the_original_answer():
     async def twice():
         rng = random.Random(3)
         store = KvStore()
-        service = FakeService(random.Random(2), trouble=0.0)
+        service = FakeService(random.Random(2), failure_probability=0.0)
         outcomes = []
         for number in range(2):
             context = make_context(f"d{number}", store, rng)
-            front = make_front(context, ClaimKeeper(context), service)
-            outcomes.append(await front.call(make_call("k", 0.0)))
+            dispatcher = make_dispatcher(context, ClaimKeeper(context), service)
+            outcomes.append(await dispatcher.call(make_call("k", 0.0)))
             await asyncio.sleep(1)
         return outcomes, service.runs["k"]
 
@@ -181,29 +185,29 @@
 def test_key_used_for_another_request_is_refused():
     async def reuse():
         context = make_context("d0", KvStore(), random.Random(1))
-        front = make_front(
-            context, ClaimKeeper(context), FakeService(random.Random(2), trouble=0.0)
+        dispatcher = make_dispatcher(
+            context, ClaimKeeper(context), FakeService(random.Random(2), failure_probability=0.0)
         )
         call = make_call("k", 0.0)
-        await front.call(call)
+        await dispatcher.call(call)
         await asyncio.sleep(1)
         other = dataclasses.replace(make_call("k", 0.0), body=b"another")
-        return await front.call(other)
+        return await dispatcher.call(other)
 
     outcome = run_virtual(reuse())
     assert isinstance(outcome, NotRun)
     assert "another request" in outcome.detail
 
 
-def test_outage_refuses_truthfully_and_at_once():
+def test_store_outage_refuses_without_running():
     async def refused():
         service = FakeService(random.Random(1))
         context = make_context("d0", KvStore(), random.Random(1), KvFaults(down=True))
-        front = make_front(context, ClaimKeeper(context), service)
+        dispatcher = make_dispatcher(context, ClaimKeeper(context), service)
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        outcome = await front.call(make_call("k", began))
-        return outcome, loop.time() - began, service.runs
+        started_seconds = loop.time()
+        outcome = await dispatcher.call(make_call("k", started_seconds))
+        return outcome, loop.time() - started_seconds, service.runs
 
     outcome, elapsed_seconds, runs = run_virtual(refused())
     assert isinstance(outcome, NotRun)
@@ -212,7 +216,7 @@
     assert not runs
 
 
-def test_claims_that_arrive_together_share_writes():
+def test_concurrent_claims_share_one_write():
     async def burst():
         context = make_context("d0", KvStore(), random.Random(1))
         claims = ClaimKeeper(context)
@@ -228,21 +232,20 @@
     assert calls == 1
 
 
-def test_while_the_service_is_known_to_be_away_a_claim_is_refused_at_once():
-    # Found by trial: with the service silent such calls were refused after 2.1 to 4.0 s.
+def test_claim_is_refused_immediately_while_the_store_is_unreachable():
     async def scenario():
         store, faults = KvStore(), KvFaults(down=True)
         keeper = ClaimKeeper(make_context("d0", store, random.Random(1), faults))
         loop = asyncio.get_running_loop()
 
         async def claim(key: str) -> tuple[object, float]:
-            began_seconds = loop.time()
+            started_seconds = loop.time()
             found = await keeper.claim(
                 keeper.keys("t", key),
                 Claim(owner=keeper.new_owner(), digest="d"),
-                began_seconds + 2.0,
+                started_seconds + 2.0,
             )
-            return found, loop.time() - began_seconds
+            return found, loop.time() - started_seconds
 
         found, _ = await claim("a")
         assert isinstance(found, ClaimsUnavailable)
@@ -258,19 +261,19 @@
     run_virtual(scenario())
 
 
-def test_a_second_copy_under_way_at_another_daemon_gets_the_first_ones_answer():
-    # Found by trial: it got "may have run" although the answer came 10 ms later.
+def test_concurrent_duplicate_at_another_daemon_gets_the_original_answer():
+    # Guards against "may have run" while the original request is still running.
     async def scenario():
         rng, store = random.Random(1), KvStore()
-        service = FakeService(rng, trouble=0.0)
-        fronts = []
+        service = FakeService(rng, failure_probability=0.0)
+        dispatchers = []
         for number in range(2):
             context = make_context(f"d{number}", store, rng, KvFaults())
-            fronts.append(make_front(context, ClaimKeeper(context), service))
+            dispatchers.append(make_dispatcher(context, ClaimKeeper(context), service))
         answers = []
         for number in range(10):
             call = make_call(f"k{number}", asyncio.get_running_loop().time())
-            answers += await asyncio.gather(*(front.call(call) for front in fronts))
+            answers += await asyncio.gather(*(dispatcher.call(call) for dispatcher in dispatchers))
         return answers, service.runs
 
     answers, runs = run_virtual(scenario())
--- a/rackswitch/daemon/tests/test_ledgers.py
+++ b/rackswitch/daemon/tests/test_ledgers.py
@@ -1,4 +1,4 @@
-"""Every sample reaches its trainer exactly once, none too stale, whatever fails."""
+"""Guards against lost, duplicate or too stale samples under faults."""
 
 import asyncio
 import random
@@ -41,8 +41,8 @@
 )
 
 
-class World:
-    """The weights' version, and a runner that makes samples with it."""
+class FakeRunner:
+    """Makes samples with the current version of the weights."""
 
     def __init__(self, rng: random.Random):
         self.version = 1
@@ -64,22 +64,22 @@
         )
 
 
-class LocalKeeper(LedgerKeeper):
-    """Runs all samples here, since there is no network to run them over."""
+class LocalLedgerKeeper(LedgerKeeper):
+    """Runs all samples on this daemon, since the test has no network."""
 
-    async def _run_somewhere(self, order):
+    async def _run_on_fleet(self, order):
         return await self._runner.run(order)
 
 
 class Trainer:
-    """Draws through any daemon; restarts from its last checkpoint now and then."""
+    """Draws through random daemons; may restart from its last checkpoint."""
 
-    def __init__(self, world: World, keepers: list[LedgerKeeper], rng: random.Random):
-        self.world = world
+    def __init__(self, runner: FakeRunner, keepers: list[LedgerKeeper], rng: random.Random):
+        self.runner = runner
         self.keepers = keepers
         self.rng = rng
         self.epoch = 0
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self.received = 0
 
     def plan(self, step: int) -> StepPlan:
@@ -87,7 +87,7 @@
         return StepPlan(step=step, groups=groups)
 
     async def call(self, operation: str, message: msgspec.Struct) -> bytes | None:
-        """Call a daemon; an answer may be lost after it was given."""
+        """Call a daemon; the answer may be lost."""
         keeper = self.rng.choice(self.keepers)
         work = asyncio.create_task(keeper.call_here("t", operation, msgspec.json.encode(message)))
         try:
@@ -103,27 +103,27 @@
             held: dict[int, Sample] = {}
             acknowledged = 0
             checkpoint: tuple[int, dict[int, Sample]] = (0, {})
-            while not await self.draw_one(step, acknowledged, held):
+            while not await self.draw_batch(step, acknowledged, held):
                 acknowledged = self.acknowledged
                 if self.rng.random() < 0.15:
-                    # Another publication in the middle of the step.
-                    self.world.version += 1
+                    # A new version is published during the step.
+                    self.runner.version += 1
                 if restarts and self.rng.random() < 0.05:
                     acknowledged, held = checkpoint[0], dict(checkpoint[1])
                     self.epoch += 1
                 elif self.rng.random() < 0.3:
                     checkpoint = (acknowledged, dict(held))
             if sorted(held) != list(range(11)):
-                self.wrong.append(f"step {step}: gaps or extras: {sorted(held)}")
-            self.world.version += 1
+                self.violations.append(f"step {step}: missing or extra samples: {sorted(held)}")
+            self.runner.version += 1
 
-    async def draw_one(self, step: int, acknowledged: int, held: dict[int, Sample]) -> bool:
-        """Draw once; return whether the step is whole."""
+    async def draw_batch(self, step: int, acknowledged: int, held: dict[int, Sample]) -> bool:
+        """Draw one batch; return whether the step is complete."""
         self.acknowledged = acknowledged
         draw = Draw(
             step=step,
             acknowledged_batch=acknowledged,
-            policy_version=self.world.version,
+            policy_version=self.runner.version,
             trainer_epoch=self.epoch,
             most_samples=4,
             wait_seconds=1.0,
@@ -142,21 +142,21 @@
         for sample in batch.samples:
             self.received += 1
             if sample.index in held or sample.step != step:
-                self.wrong.append(f"step {step}: sample {sample.index} twice")
+                self.violations.append(f"step {step}: sample {sample.index} twice")
             held[sample.index] = sample
-            if self.world.version - sample.label.oldest_version > BOUND:
-                self.wrong.append(f"step {step}: sample {sample.index} is too old")
+            if self.runner.version - sample.label.oldest_version > BOUND:
+                self.violations.append(f"step {step}: sample {sample.index} is too old")
         self.acknowledged = batch.batch
         return False
 
 
 async def train(
-    seed: int, restarts: bool = False, patience_seconds: float = 3000.0
+    seed: int, restarts: bool = False, timeout_seconds: float = 3000.0
 ) -> tuple[list[str], int]:
     rng = random.Random(seed)
     store = KvStore()
     faults = KvFaults(lost_request=0.06, lost_answer=0.1, late_effect=0.06, stale_read=0.05)
-    world = World(rng)
+    runner = FakeRunner(rng)
     keepers: list[LedgerKeeper] = []
 
     def start_daemon(name: str) -> LedgerKeeper:
@@ -166,15 +166,15 @@
         entries = [VmEntry(f"d{n}", "h", 1, "z", False) for n in range(DAEMONS)]
         context.membership.learn_vms(entries, 0.0)
         roles = RoleManager(context, lambda: [ledger_role("t")])
-        keeper = LocalKeeper(context, roles, world)
+        keeper = LocalLedgerKeeper(context, roles, runner)
         context.spawn(roles.run())
         context.spawn(keeper.run())
         return keeper
 
     keepers.extend(start_daemon(f"d{number}") for number in range(DAEMONS))
-    broken: list[str] = []
+    invariant_errors: list[str] = []
 
-    async def trouble() -> None:
+    async def inject_faults() -> None:
         while True:
             await asyncio.sleep(rng.random() * 6)
             kind = rng.randrange(4)
@@ -189,39 +189,39 @@
                 faults.down = True
                 await asyncio.sleep(rng.random() * 4)
                 faults.down = False
-            broken.extend(str(k._context.broken) for k in keepers if k._context.broken)
+            invariant_errors.extend(str(k._context.broken) for k in keepers if k._context.broken)
 
-    trouble_task = asyncio.create_task(trouble())
-    trainer = Trainer(world, keepers, rng)
-    async with asyncio.timeout(patience_seconds):
+    faults_task = asyncio.create_task(inject_faults())
+    trainer = Trainer(runner, keepers, rng)
+    async with asyncio.timeout(timeout_seconds):
         await trainer.train(restarts)
-    trouble_task.cancel()
+    faults_task.cancel()
     for keeper in keepers:
         await keeper._context.cancel_all()
-    return trainer.wrong + broken, trainer.received
+    return trainer.violations + invariant_errors, trainer.received
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_each_sample_once_under_faults(seed):
-    wrong, received = run_virtual(train(seed))
-    assert wrong == []
+def test_each_sample_arrives_once_under_faults(seed):
+    violations, received = run_virtual(train(seed))
+    assert violations == []
     assert received == STEPS * 11
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_trainer_that_restarts_gets_what_it_lost(seed):
-    wrong, received = run_virtual(train(seed, restarts=True))
-    assert wrong == []
+def test_restarted_trainer_gets_lost_samples_again(seed):
+    violations, received = run_virtual(train(seed, restarts=True))
+    assert violations == []
     assert received >= STEPS * 11
 
 
-def test_a_holder_with_an_unconfirmed_table_hands_nothing_over():
+def test_holder_with_an_unconfirmed_table_refuses_draws():
     async def draw():
         context = make_context("d0", KvStore(), random.Random(1))
         context.view.offer(TABLE)
         roles = RoleManager(context, lambda: [ledger_role("t")])
         await roles.tend()
-        keeper = LocalKeeper(context, roles, World(random.Random(1)))
+        keeper = LocalLedgerKeeper(context, roles, FakeRunner(random.Random(1)))
         context.spawn(keeper.run())
         await asyncio.sleep(1.0)
         message = Draw(step=1, acknowledged_batch=0, policy_version=1)
@@ -232,11 +232,11 @@
     assert b"table-unconfirmed" in answer.body
 
 
-def test_a_keeper_cancelled_as_it_wakes_ends():
+def test_cancellation_during_wake_up_is_not_lost():
     async def cancel():
         context = make_context("d0", KvStore(), random.Random(1))
         roles = RoleManager(context, lambda: [])
-        keeper = LocalKeeper(context, roles, World(random.Random(1)))
+        keeper = LocalLedgerKeeper(context, roles, FakeRunner(random.Random(1)))
         task = asyncio.create_task(keeper.run())
         for _ in range(2):
             await asyncio.sleep(0)
@@ -250,41 +250,41 @@
     assert run_virtual(cancel())
 
 
-def test_without_the_record_a_new_holder_cannot_go_on(monkeypatch):
-    """Naive: hand over from memory, remember nothing durably."""
+def test_without_a_stored_record_a_new_holder_cannot_continue(monkeypatch):
+    """Without durable records, samples are lost or duplicated."""
 
-    async def remember_only(self, trainer, held, record):
+    async def record_in_memory(self, trainer, held, record):
         held.ledger.written(record)
 
-    monkeypatch.setattr(LedgerStore, "write", remember_only)
+    monkeypatch.setattr(LedgerStore, "write", record_in_memory)
     try:
-        wrong, _ = run_virtual(train(1, patience_seconds=120.0))
+        violations, _ = run_virtual(train(1, timeout_seconds=120.0))
     except TimeoutError:
-        wrong = ["the trainer's step was never whole"]
-    assert wrong
+        violations = ["the trainer's step was never complete"]
+    assert violations
 
 
-def test_without_the_check_at_hand_over_stale_samples_leave(monkeypatch):
-    """Naive: judge staleness only when a sample is finished."""
+def test_without_the_check_at_hand_over_stale_samples_are_handed_over(monkeypatch):
+    """Checking staleness only at the end of a sample is not enough."""
     monkeypatch.setattr(SampleLedger, "_drop_stale", lambda self, step: None)
 
-    def unchecked(self, batch):
+    def hand_over_unchecked(self, batch):
         indices = self.record.batches[batch - 1]
         samples = tuple(self.bodies[(self.record.step, index)] for index in indices)
         return DrawHandOver(batch, samples)
 
-    monkeypatch.setattr(SampleLedger, "_hand_over", unchecked)
+    monkeypatch.setattr(SampleLedger, "_hand_over", hand_over_unchecked)
     results = []
     for seed in range(6):
         try:
-            results.append(run_virtual(train(seed, patience_seconds=300.0))[0])
+            results.append(run_virtual(train(seed, timeout_seconds=300.0))[0])
         except (KeyError, TimeoutError):
             results.append([])
     assert any("too old" in line for result in results for line in result)
 
 
-class LinksThatTake:
-    """Links over which each call takes a time and then fails."""
+class SlowFailingLinks:
+    """Fails each call after a delay."""
 
     def __init__(self, seconds: float):
         self._seconds = seconds
@@ -308,25 +308,24 @@
     )
 
 
-@pytest.mark.parametrize("news", ["dead", "another process", "forgotten"])
-def test_an_order_at_a_daemon_that_died_without_a_word_is_given_up(news):
-    # Found in campaigns (association, seed 7514 beside five others): orders at a dead daemon
-    # held the step up until their time limit of 150 s.
+@pytest.mark.parametrize("change", ["dead", "another process", "forgotten"])
+def test_order_at_a_dead_daemon_is_abandoned(change):
+    # Guards against orders at a dead daemon that block the step until they time out.
     async def scenario():
         context = make_context("a", KvStore(), random.Random(1))
         keeper = LedgerKeeper(context, RoleManager(context, lambda: []), None)
         peer = MemberUpdate("b", "127.0.0.1", 1, "z", 5, MemberState.ALIVE)
         context.membership.merge(peer, 0.0)
 
-        context.links = LinksThatTake(1e9)
-        # Orders go round the live daemons, of which b is the second.
-        next(keeper._turn)
-        task = asyncio.create_task(keeper._run_somewhere(make_order()))
+        context.links = SlowFailingLinks(1e9)
+        # Orders are distributed round-robin, and b is the second live daemon.
+        next(keeper._round_robin)
+        task = asyncio.create_task(keeper._run_on_fleet(make_order()))
         await asyncio.sleep(5.0)
         assert not task.done()
-        if news == "forgotten":
+        if change == "forgotten":
             del context.membership.members["b"]
-        elif news == "dead":
+        elif change == "dead":
             context.membership.merge(replace(peer, state=MemberState.DEAD), 5.0)
         else:
             context.membership.merge(replace(peer, incarnation=6), 5.0)
@@ -337,16 +336,16 @@
     run_virtual(scenario())
 
 
-def test_an_order_at_a_daemon_that_leaves_is_waited_for():
+def test_order_at_a_leaving_daemon_is_not_abandoned():
     async def scenario():
         context = make_context("a", KvStore(), random.Random(1))
         keeper = LedgerKeeper(context, RoleManager(context, lambda: []), None)
         peer = MemberUpdate("b", "127.0.0.1", 1, "z", 5, MemberState.ALIVE)
         context.membership.merge(peer, 0.0)
 
-        context.links = LinksThatTake(20.0)
-        next(keeper._turn)
-        task = asyncio.create_task(keeper._run_somewhere(make_order()))
+        context.links = SlowFailingLinks(20.0)
+        next(keeper._round_robin)
+        task = asyncio.create_task(keeper._run_on_fleet(make_order()))
         await asyncio.sleep(1.0)
         context.membership.merge(replace(peer, state=MemberState.LEAVING), 1.0)
         assert (await task).detail == "the end"
@@ -354,7 +353,7 @@
     run_virtual(scenario())
 
 
-def test_a_former_holders_plan_is_not_kept():
+def test_plan_of_a_former_holder_is_not_stored():
     async def scenario():
         kv = KvStore()
         contexts = [make_context(name, kv, random.Random(1)) for name in ("a", "b")]
@@ -365,7 +364,7 @@
         other = StepPlan(step=1, groups=(GroupPlan(prompt="q", samples=1, max_tokens=3, seed=1),))
         await keepers[0].tend()
         assert (await stores[0].put_plan("t", plan)).status == 200
-        # The service gives the role to another daemon; the former holder does not know.
+        # The service grants the role to another daemon without notifying the former holder.
         kv.end_lease(keepers[0].roles[role].held.lease_id)
         await keepers[1].tend()
         assert keepers[0].may_act(role) and keepers[1].may_act(role)
--- a/rackswitch/daemon/tests/test_roles.py
+++ b/rackswitch/daemon/tests/test_roles.py
@@ -1,4 +1,4 @@
-"""A role has one holder that can do harm, also when leases lapse under pauses."""
+"""Guards against two daemons acting in one role, also when leases end during pauses."""
 
 import asyncio
 import random
@@ -17,95 +17,100 @@
 DAEMONS = 3
 
 
-async def contend(seed: int, fenced: bool, lapses: bool) -> tuple[list[int], int]:
-    """Let daemons hold a role and write in it.
+async def run_contending_daemons(
+    seed: int, fenced: bool, end_leases: bool
+) -> tuple[list[int], int]:
+    """Let daemons compete for a role and write under it.
 
     Returns
     -------
     (list of int, int)
-        Fencing numbers in the order in which the service took the writes, and how often
-        two daemons believed at once that they may act.
+        Fencing numbers in the order in which the service accepted the writes, and how often
+        two daemons considered themselves the holder at the same time.
     """
     rng = random.Random(seed)
     store = KvStore()
     faults = KvFaults(lost_request=0.05, lost_answer=0.1, late_effect=0.05)
-    keepers = []
+    role_managers = []
     for number in range(DAEMONS):
         context = make_context(f"d{number}", store, rng, faults)
         entries = [VmEntry(f"d{n}", "h", 1, "z", False) for n in range(DAEMONS)]
         context.membership.learn_vms(entries, 0.0)
-        keepers.append(RoleManager(context, lambda: [ROLE]))
-    taken: list[int] = []
+        role_managers.append(RoleManager(context, lambda: [ROLE]))
+    accepted_fencings: list[int] = []
     overlaps = 0
 
-    async def act(keeper: RoleManager) -> None:
+    async def act(role_manager: RoleManager) -> None:
         while True:
             await asyncio.sleep(rng.random() * 0.5)
-            if not keeper.may_act(ROLE):
+            if not role_manager.may_act(ROLE):
                 continue
-            fencing, fence = keeper.fencing(ROLE), keeper.fence(ROLE)
-            # The holder may be paused between its check and the arrival of its write.
+            fencing, fence = role_manager.fencing(ROLE), role_manager.fence(ROLE)
+            # The holder may pause between its check and its write.
             await asyncio.sleep(rng.random() * 4 if rng.random() < 0.2 else 0.0)
             compares = (fence,) if fenced else ()
             part = TxnPart(compares, (Operation("effect", b""),))
             store.expire(asyncio.get_running_loop().time())
             if store.txn([part])[0].succeeded:
-                taken.append(fencing)
+                accepted_fencings.append(fencing)
 
-    async def watch_overlap() -> None:
+    async def count_overlaps() -> None:
         nonlocal overlaps
         while True:
             await asyncio.sleep(0.1)
-            overlaps += sum(keeper.may_act(ROLE) for keeper in keepers) > 1
+            overlaps += sum(role_manager.may_act(ROLE) for role_manager in role_managers) > 1
 
-    async def trouble() -> None:
+    async def inject_faults() -> None:
         for _ in range(8):
             await asyncio.sleep(rng.random() * 10)
-            if lapses:
+            if end_leases:
                 for lease_id in list(store.leases):
                     store.end_lease(lease_id)
             faults.down = rng.random() < 0.3
             await asyncio.sleep(rng.random() * 4)
             faults.down = False
 
-    work = [asyncio.create_task(keeper.run()) for keeper in keepers]
-    work += [asyncio.create_task(act(keeper)) for keeper in keepers]
-    work.append(asyncio.create_task(watch_overlap()))
-    await trouble()
+    work = [asyncio.create_task(role_manager.run()) for role_manager in role_managers]
+    work += [asyncio.create_task(act(role_manager)) for role_manager in role_managers]
+    work.append(asyncio.create_task(count_overlaps()))
+    await inject_faults()
     for task in work:
         task.cancel()
-    return taken, overlaps
+    return accepted_fencings, overlaps
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_writes_are_taken_in_order_of_fencing(seed):
-    taken, _ = run_virtual(contend(seed, fenced=True, lapses=True))
-    assert taken
-    assert taken == sorted(taken)
+def test_writes_are_accepted_in_fencing_order(seed):
+    accepted_fencings, _ = run_virtual(run_contending_daemons(seed, fenced=True, end_leases=True))
+    assert accepted_fencings
+    assert accepted_fencings == sorted(accepted_fencings)
 
 
-def test_without_the_fence_an_old_holder_writes():
-    runs = [run_virtual(contend(seed, fenced=False, lapses=True))[0] for seed in range(5)]
-    assert any(taken != sorted(taken) for taken in runs)
+def test_unfenced_writes_of_a_former_holder_are_accepted():
+    runs = [
+        run_virtual(run_contending_daemons(seed, fenced=False, end_leases=True))[0]
+        for seed in range(5)
+    ]
+    assert any(accepted_fencings != sorted(accepted_fencings) for accepted_fencings in runs)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_two_never_believe_at_once_while_leases_are_kept(seed):
-    _, overlaps = run_virtual(contend(seed, fenced=True, lapses=False))
+def test_never_two_holders_while_leases_last(seed):
+    _, overlaps = run_virtual(run_contending_daemons(seed, fenced=True, end_leases=False))
     assert overlaps == 0
 
 
-def test_leaving_daemon_gives_its_roles_back():
+def test_stopping_daemon_releases_its_roles():
     async def leave():
         store = KvStore()
         context = make_context("d0", store, random.Random(1))
-        keeper = RoleManager(context, lambda: [ROLE])
-        await keeper.tend()
-        held = keeper.may_act(ROLE)
+        role_manager = RoleManager(context, lambda: [ROLE])
+        await role_manager.tend()
+        held = role_manager.may_act(ROLE)
         context.stopping = True
         context.membership.leave()
-        await keeper.tend()
-        return held, keeper.may_act(ROLE), store.read("roles/" + ROLE).entries
+        await role_manager.tend()
+        return held, role_manager.may_act(ROLE), store.read("roles/" + ROLE).entries
 
     held, still, entries = run_virtual(leave())
     assert held
@@ -114,7 +119,7 @@
     assert MemberState.LEAVING > MemberState.ALIVE
 
 
-def test_a_restarted_daemon_need_not_wait_for_its_predecessors_lease():
+def test_restarted_daemon_revokes_its_predecessors_lease():
     async def restart():
         store = KvStore()
         before = RoleManager(make_context("d0", store, random.Random(1)), lambda: [ROLE])
--- a/rackswitch/daemon/tests/test_sample_runner.py
+++ b/rackswitch/daemon/tests/test_sample_runner.py
@@ -1,4 +1,4 @@
-"""A broken sample is resumed while it can still be fresh enough, else begun anew."""
+"""Guards against interrupted samples that resume from a part that is too old."""
 
 import asyncio
 import random
@@ -18,8 +18,8 @@
 ROW = TargetRow(name="e0", url="u", zone="z", serves="m")
 
 
-class BreakingEngine:
-    """Breaks the first stream after three tokens and ends the second."""
+class InterruptedEngine:
+    """Interrupts every stream but the last after three tokens."""
 
     def __init__(self, versions):
         self.versions = list(versions)
@@ -30,20 +30,20 @@
         self.resumed_with.append(len(request.resume_token_ids))
         for number in range(1, 4):
             await asyncio.sleep(0.01)
-            ends = not self.versions and number == 3
+            is_last = not self.versions and number == 3
             yield StreamChunk(
                 request.request_id,
                 (number,),
                 f" {number}",
                 number,
                 version,
-                "stop" if ends else None,
+                "stop" if is_last else None,
             )
         if self.versions:
             yield StreamBroken(True, "broke")
 
 
-class OneEngine:
+class SingleEngineTargets:
     def __init__(self, engine):
         self.engine = engine
         self.target = Target("e0", "u", "z")
@@ -58,8 +58,8 @@
 def make_sample(versions, policy_version, bound):
     async def run():
         context = make_context("d0", KvStore(), random.Random(1))
-        engine = BreakingEngine(versions)
-        targets = OneEngine(engine)
+        engine = InterruptedEngine(versions)
+        targets = SingleEngineTargets(engine)
         runner = SampleRunner(context, targets, TargetChooser(context, targets))
         order = SampleOrder(
             trainer="t",
@@ -79,15 +79,15 @@
     return run_virtual(run())
 
 
-def test_a_fresh_part_is_kept_and_both_spans_are_in_the_label():
+def test_resumes_a_fresh_part_and_labels_both_spans():
     sample, resumed_with = make_sample([4, 5], policy_version=4, bound=2)
     assert resumed_with == [0, 3]
     assert sample.label.spans == ((4, 3), (5, 3))
 
 
-@pytest.mark.parametrize("first", [2, None])
-def test_an_old_or_unlabelled_part_is_dropped(first):
-    sample, resumed_with = make_sample([first, 5], policy_version=4, bound=2)
+@pytest.mark.parametrize("first_version", [2, None])
+def test_restarts_after_an_old_or_unlabelled_part(first_version):
+    sample, resumed_with = make_sample([first_version, 5], policy_version=4, bound=2)
     assert isinstance(sample, Sample)
     assert sample.label.spans == ((5, 3),)
     assert resumed_with == [0, 0]
--- a/rackswitch/daemon/tests/test_table_keeper.py
+++ b/rackswitch/daemon/tests/test_table_keeper.py
@@ -1,4 +1,4 @@
-"""Accepted edits stay, whatever the key-value service does to the writers."""
+"""Guards against lost or duplicate edits under faults of the key-value service."""
 
 import asyncio
 import random
@@ -18,20 +18,20 @@
 EDITS_EACH = 12
 
 
-def make_edit(writer: int, number: int) -> Edit:
-    """Each writer's edits add one row of its own and race on a shared one."""
-    own = DaemonRow(name=f"w{writer}-{number}")
-    shared = DaemonRow(name="shared", draining=bool(number % 2))
+def make_edit(writer: int, edit_number: int) -> Edit:
+    """Return an edit that adds a row of the writer and changes a shared row."""
+    own = DaemonRow(name=f"w{writer}-{edit_number}")
+    shared = DaemonRow(name="shared", draining=bool(edit_number % 2))
     return Edit(
-        edit_id=f"{writer}/{number}",
+        edit_id=f"{writer}/{edit_number}",
         operator=f"op{writer}",
         at_unix_seconds=0.0,
         changes=(RowChange(row=own, if_revision=0), RowChange(row=shared)),
     )
 
 
-class NaiveKeeper(TableKeeper):
-    """Writes without a condition and takes a lost answer for a refusal."""
+class UnconditionalTableKeeper(TableKeeper):
+    """Writes without a condition and treats a lost answer as a refusal."""
 
     async def submit(self, edit, dry_run=False, may_be_retry=True):
         read = await self._context.kv.read("table")
@@ -50,22 +50,22 @@
         return EditDone(outcome.document.revision)
 
 
-async def race(seed: int, kind: type[TableKeeper]) -> list[str]:
-    """Let writers race under faults; return what was wrong at the end."""
+async def run_racing_writers(seed: int, keeper_class: type[TableKeeper]) -> list[str]:
+    """Let writers race under faults; return the violations found at the end."""
     rng = random.Random(seed)
     store = KvStore()
     faults = KvFaults(lost_request=0.1, lost_answer=0.15, late_effect=0.1, refused=0.05)
     faults.stale_read = 0.2
     results: dict[str, object] = {}
-    wrong: list[str] = []
+    violations: list[str] = []
 
-    async def writer(number: int) -> None:
-        context = make_context(f"d{number}", store, rng, faults)
-        keeper = kind(context, _no_news)
-        for count in range(EDITS_EACH):
-            edit = make_edit(number, count)
+    async def writer(writer_number: int) -> None:
+        context = make_context(f"d{writer_number}", store, rng, faults)
+        keeper = keeper_class(context, _ignore_announcement)
+        for edit_number in range(EDITS_EACH):
+            edit = make_edit(writer_number, edit_number)
             for tries in range(2):
-                # An automation sends an unanswered edit once more.
+                # Retry an unanswered edit once, as an automated operator would.
                 results[edit.edit_id] = await keeper.submit(edit, may_be_retry=tries > 0)
                 if not isinstance(results[edit.edit_id], EditUnknown | EditUnavailable):
                     break
@@ -78,39 +78,39 @@
             await asyncio.sleep(rng.random() * 5)
             faults.down = False
 
-    await asyncio.gather(outages(), *(writer(number) for number in range(WRITERS)))
+    await asyncio.gather(outages(), *(writer(writer_number) for writer_number in range(WRITERS)))
     await asyncio.sleep(10)
     document = msgspec.json.decode(store.read("table").entries[0].value, type=TableDocument)
     for edit_id, result in results.items():
-        writer_number, count = edit_id.split("/")
-        present = f"daemon/w{writer_number}-{count}" in document.rows
+        writer_number, edit_number = edit_id.split("/")
+        present = f"daemon/w{writer_number}-{edit_number}" in document.rows
         if isinstance(result, EditDone) and not present:
-            wrong.append(f"accepted edit {edit_id} is gone")
+            violations.append(f"accepted edit {edit_id} is missing")
         if isinstance(result, EditUnavailable) and present:
-            wrong.append(f"refused edit {edit_id} is there")
+            violations.append(f"refused edit {edit_id} is present")
     identities = [edit.edit_id for edit in document.edits]
     if len(identities) != len(set(identities)):
-        wrong.append("an edit was applied twice")
-    return wrong
+        violations.append("an edit was applied twice")
+    return violations
 
 
-async def _no_news() -> None:
+async def _ignore_announcement() -> None:
     pass
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_accepted_edits_stay(seed):
-    assert run_virtual(race(seed, TableKeeper)) == []
+def test_accepted_edits_are_not_lost(seed):
+    assert run_virtual(run_racing_writers(seed, TableKeeper)) == []
 
 
-def test_without_conditions_edits_are_lost():
-    assert any(run_virtual(race(seed, NaiveKeeper)) for seed in range(5))
+def test_unconditional_writes_lose_edits():
+    assert any(run_virtual(run_racing_writers(seed, UnconditionalTableKeeper)) for seed in range(5))
 
 
-def test_while_the_service_is_down_only_a_first_try_is_certainly_not_accepted():
+def test_edit_during_an_outage_is_unknown_if_it_may_be_a_retry():
     async def attempt():
         context = make_context("d0", KvStore(), random.Random(1), KvFaults(down=True))
-        keeper = TableKeeper(context, _no_news)
+        keeper = TableKeeper(context, _ignore_announcement)
         first = await keeper.submit(make_edit(0, 0), may_be_retry=False)
         return first, await keeper.submit(make_edit(0, 0))
 
@@ -123,7 +123,9 @@
     async def attempt():
         store = KvStore()
         context = make_context("d0", store, random.Random(1))
-        result = await TableKeeper(context, _no_news).submit(make_edit(0, 0), dry_run=True)
+        result = await TableKeeper(context, _ignore_announcement).submit(
+            make_edit(0, 0), dry_run=True
+        )
         return result, store.read("table").entries
 
     result, entries = run_virtual(attempt())
@@ -131,10 +133,10 @@
     assert entries == ()
 
 
-def test_a_daemon_that_hears_from_nobody_is_not_ready():
+def test_daemon_without_any_table_source_is_not_ready():
     async def boot():
         context = make_context("d0", KvStore(), random.Random(1), KvFaults(down=True))
-        keeper = TableKeeper(context, _no_news)
+        keeper = TableKeeper(context, _ignore_announcement)
         await keeper.boot()
         return keeper.is_ready
 
--- a/rackswitch/daemon/trainer_edge.py
+++ b/rackswitch/daemon/trainer_handler.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for trainers."""
+"""HTTP handlers for trainers."""
 
 import msgspec
 from blacksheep import Content, Request, Response
@@ -11,20 +11,20 @@
 from rackswitch.web.handlers import BodyFault, path_value, read_json
 from rackswitch.web.problems import Problem, problem_response
 
-__all__ = ["TrainerEdge"]
+__all__ = ["TrainerHandler"]
 
 RETRY_AFTER_SECONDS = 1.0
 
 
-class TrainerEdge:
-    """Serves trainers on any daemon.
+class TrainerHandler:
+    """Handles trainers' requests; any daemon accepts them.
 
     Parameters
     ----------
     context : DaemonContext
         The daemon.
     ledgers : LedgerKeeper
-        Finds and calls the ledgers.
+        Calls the trainers' ledgers.
     """
 
     __slots__ = ("_context", "_ledgers")
