--- a/rackswitch/daemon/access.py
+++ b/rackswitch/daemon/access.py
@@ -37,13 +37,13 @@
     return _find(view, request, OperatorRow)
 
 
-def _find(view: TableView, request: Request, kind: type[RowT]) -> RowT | None:
+def _find(view: TableView, request: Request, row_type: type[RowT]) -> RowT | None:
     digest = _token_digest(request)
     if digest is None:
         return None
     found = None
     # Compare all rows, so that the response time does not reveal which row matched.
-    for row in view.rows(kind):
+    for row in view.rows(row_type):
         if any(hmac.compare_digest(digest, row_digest) for row_digest in _row_digests(row)):
             found = row
     return found
--- a/rackswitch/daemon/admin_handler.py
+++ b/rackswitch/daemon/admin_handler.py
@@ -66,7 +66,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     table : TableKeeper
         Applies edits.
     heartbeats : Heartbeats
@@ -186,10 +186,10 @@
         return operator
 
     async def _edit_one(self, request: Request, change: RowChange) -> Response:
-        condition = _required_revision(request)
-        if isinstance(condition, Problem):
-            return problem_response(condition)
-        conditional = msgspec.structs.replace(change, if_revision=condition)
+        required_revision = _required_revision(request)
+        if isinstance(required_revision, Problem):
+            return problem_response(required_revision)
+        conditional = msgspec.structs.replace(change, if_revision=required_revision)
         return await self._submit(request, (conditional,), None, False)
 
     async def _submit(
@@ -230,7 +230,7 @@
             "type": "urn:rackswitch:problem:conflict",
             "title": "conflict",
             "status": 412,
-            "detail": f"Row {result.key} does not have the revision that the edit requires.",
+            "detail": f"Row {result.key} is not as the edit expects.",
             "present": present,
         }
         return json_response(body, 412)
--- a/rackswitch/daemon/caller_handler.py
+++ b/rackswitch/daemon/caller_handler.py
@@ -69,7 +69,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     completions : CompletionFront
         Serves completions.
     services : ServiceFront
--- a/rackswitch/daemon/claim_keeper.py
+++ b/rackswitch/daemon/claim_keeper.py
@@ -81,7 +81,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     """
 
     __slots__ = (
@@ -136,23 +136,23 @@
         """
         if self._is_unreachable:
             return ClaimsUnavailable()
-        replaces: KvEntry | None = None
+        replaced_entry: KvEntry | None = None
         while self._context.now_seconds() < deadline_seconds:
-            done = await self._write(keys, claim, replaces)
+            done = await self._write(keys, claim, replaced_entry)
             if isinstance(done, KvUnavailable):
                 await asyncio.sleep(RETRY_DELAY_SECONDS)
                 continue
             if done.succeeded:
-                key = keys[0] if replaces is None else replaces.key
+                key = keys[0] if replaced_entry is None else replaced_entry.key
                 entry = KvEntry(key, b"", 0, done.revision)
                 return ClaimFound(ClaimDecision.RUN, claim, entry)
             if done.present is None:
-                replaces = None
+                replaced_entry = None
                 continue
             present = msgspec.json.decode(done.present.value, type=Claim)
             decision = decide_claim(present, claim.owner, claim.digest)
             if decision is ClaimDecision.TAKE_OVER:
-                replaces = done.present
+                replaced_entry = done.present
                 continue
             return ClaimFound(decision, present)
         self._context.spawn(self.release(keys, claim))
@@ -188,33 +188,33 @@
         await self._settle(keys, msgspec.structs.replace(claim, state=ClaimState.RELEASED), entry)
 
     async def _settle(
-        self, keys: tuple[str, str, str], settled: Claim, replaces: KvEntry | None
+        self, keys: tuple[str, str, str], settled: Claim, replaced_entry: KvEntry | None
     ) -> None:
         for _ in range(MAX_SETTLE_ATTEMPTS):
-            done = await self._write(keys, settled, replaces)
+            done = await self._write(keys, settled, replaced_entry)
             if isinstance(done, KvUnavailable):
                 await asyncio.sleep(SETTLE_RETRY_DELAY_SECONDS)
                 continue
             if done.succeeded:
                 return
             if done.present is None:
-                replaces = None
+                replaced_entry = None
                 continue
             present = msgspec.json.decode(done.present.value, type=Claim)
             if present.owner != settled.owner or present.state is settled.state:
                 return
-            replaces = done.present
+            replaced_entry = done.present
 
     async def _write(
-        self, keys: tuple[str, str, str], claim: Claim, replaces: KvEntry | None
+        self, keys: tuple[str, str, str], claim: Claim, replaced_entry: KvEntry | None
     ) -> TxnPartDone | KvUnavailable:
         """Create a claim, or replace a known one."""
-        if replaces is None:
+        if replaced_entry is None:
             key = keys[0]
             compares = tuple(Compare(claim_key, "create", 0) for claim_key in keys)
         else:
-            key = replaces.key
-            compares = (Compare(key, "mod", replaces.mod_revision),)
+            key = replaced_entry.key
+            compares = (Compare(key, "mod", replaced_entry.mod_revision),)
         part = TxnPart(compares, (Operation(key, msgspec.json.encode(claim)),), keys)
         future: asyncio.Future[TxnPartDone | KvUnavailable] = (
             asyncio.get_running_loop().create_future()
--- a/rackswitch/daemon/completions.py
+++ b/rackswitch/daemon/completions.py
@@ -23,7 +23,7 @@
 __all__ = ["CompletionCall", "CompletionDispatcher"]
 
 RETRY_AFTER_SECONDS = 1.0
-MIN_TIMEOUT_SECONDS = 1.5
+MIN_FIRST_CHUNK_TIMEOUT_SECONDS = 1.5
 FIRST_CHUNK_TIMEOUT_FACTOR = 3.0
 """Timeout for the first chunk, as a multiple of the estimated wait."""
 
@@ -56,7 +56,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     targets : TargetKeeper
         Engine clients.
     chooser : TargetChooser
@@ -85,7 +85,7 @@
                 yield self._final_outcome(log, chosen)
                 return
             log.begin()
-            async with aclosing(self._attempt(call, chosen, progress, log)) as attempt:
+            async with aclosing(self._run_attempt(call, chosen, progress, log)) as attempt:
                 async for item in attempt:
                     yield item
             if progress.finished:
@@ -115,7 +115,7 @@
             call.prompt, float(call.max_tokens - len(progress.token_ids))
         )
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         call: CompletionCall,
         chosen: Candidate,
@@ -162,7 +162,9 @@
     ) -> EngineRequest:
         row, target = chosen
         wait_seconds = estimated_wait_seconds(routed, target)
-        timeout_seconds = max(MIN_TIMEOUT_SECONDS, FIRST_CHUNK_TIMEOUT_FACTOR * wait_seconds)
+        timeout_seconds = max(
+            MIN_FIRST_CHUNK_TIMEOUT_SECONDS, FIRST_CHUNK_TIMEOUT_FACTOR * wait_seconds
+        )
         return EngineRequest(
             request_id=self._chooser.new_attempt_id(),
             model=row.serves,
--- a/rackswitch/daemon/core.py
+++ b/rackswitch/daemon/core.py
@@ -97,11 +97,11 @@
         chooser = TargetChooser(self.context, self.targets)
         self.runner = SampleRunner(self.context, self.targets, chooser)
         self.ledgers = LedgerKeeper(self.context, self.roles, self.runner)
-        store = WeightStoreClient(settings.weight_store_url, sessions)
-        self.rollouts = RolloutKeeper(self.context, self.roles, self.targets, store)
+        weight_store = WeightStoreClient(settings.weight_store_url, sessions)
+        self.rollouts = RolloutKeeper(self.context, self.roles, self.targets, weight_store)
         completions = CompletionDispatcher(self.context, self.targets, chooser)
-        plain = PlainServiceClient(sessions)
-        services = ServiceDispatcher(self.context, chooser, self.claims, plain)
+        plain_client = PlainServiceClient(sessions)
+        services = ServiceDispatcher(self.context, chooser, self.claims, plain_client)
         self.caller_handler = CallerHandler(self.context, completions, services, self.limits)
         self._peers = PeersService(
             self.context,
--- a/rackswitch/daemon/heartbeats.py
+++ b/rackswitch/daemon/heartbeats.py
@@ -13,12 +13,12 @@
 
 __all__ = ["Heartbeats", "LimitShortage"]
 
-HEARTBEAT_TIMEOUT_SHARE = 0.5
+HEARTBEAT_TIMEOUT_FRACTION = 0.5
 MAX_HELPERS = 3
 ANNOUNCE_FANOUT = 3
 MAX_SHORTAGES_PER_MESSAGE = 8
 SHORTAGE_TTL_SECONDS = 3.0
-LEAVING_PER_MESSAGE = 8
+MAX_LEAVING_TARGETS_PER_MESSAGE = 8
 VM_LIST_INTERVAL_SECONDS = 1.0
 VM_LIST_FALLBACK_INTERVAL_SECONDS = 30.0
 
@@ -71,13 +71,13 @@
         """Send one heartbeat, directly or, if that fails, through other daemons."""
         membership = self.context.membership
         membership.tick(self.context.now_seconds())
-        target = membership.next_target()
-        if target is None:
+        daemon = membership.next_target()
+        if daemon is None:
             return
-        if await self.send(target) or await self._probe_through_helpers(target):
-            membership.answered(target, self.context.now_seconds())
+        if await self.send(daemon) or await self._probe_through_helpers(daemon):
+            membership.answered(daemon, self.context.now_seconds())
         else:
-            membership.unanswered(target, self.context.now_seconds())
+            membership.unanswered(daemon, self.context.now_seconds())
 
     async def announce(self) -> None:
         """Send updates to some peers without waiting for the next heartbeat."""
@@ -93,7 +93,7 @@
         peer = self.context.membership.address(daemon)
         if peer is None:
             return False
-        timeout_seconds = self.context.settings.heartbeat_seconds * HEARTBEAT_TIMEOUT_SHARE
+        timeout_seconds = self.context.settings.heartbeat_seconds * HEARTBEAT_TIMEOUT_FRACTION
         reply = await self.context.links.call(
             peer, lambda stub: stub.Heartbeat, self.message(), timeout_seconds
         )
@@ -119,7 +119,7 @@
                 missing_units=shortage.missing_units,
                 sequence=shortage.sequence,
             )
-        for name in self._leaving_to_send():
+        for name in self._leaving_targets_to_send():
             message.leaving_targets.append(name)
         return message
 
@@ -145,8 +145,8 @@
     def record_leaving_target(self, target: str) -> None:
         """Spread that a target's VM is leaving; the first time, notify peers at once."""
         if target not in self.leaving_targets:
-            members = len(self.context.membership.members) + 2
-            self.leaving_targets[target] = 3 * members.bit_length()
+            member_count = len(self.context.membership.members) + 2
+            self.leaving_targets[target] = 3 * member_count.bit_length()
             self.context.spawn(self.announce())
 
     def _merge_message(self, message: pb.HeartbeatRequest | pb.HeartbeatReply) -> None:
@@ -175,28 +175,30 @@
         newest = sorted(self.shortages.values(), key=lambda shortage: -shortage.deadline_seconds)
         return newest[:MAX_SHORTAGES_PER_MESSAGE]
 
-    def _leaving_to_send(self) -> list[str]:
-        pending = [name for name, sends in self.leaving_targets.items() if sends > 0]
-        chosen = pending[:LEAVING_PER_MESSAGE]
+    def _leaving_targets_to_send(self) -> list[str]:
+        pending = [
+            name for name, remaining_sends in self.leaving_targets.items() if remaining_sends > 0
+        ]
+        chosen = pending[:MAX_LEAVING_TARGETS_PER_MESSAGE]
         for name in chosen:
             self.leaving_targets[name] -= 1
         return chosen
 
-    async def _probe_through_helpers(self, target: str) -> bool:
-        helpers = self.context.membership.helpers(target, MAX_HELPERS)
+    async def _probe_through_helpers(self, daemon: str) -> bool:
+        helpers = self.context.membership.helpers(daemon, MAX_HELPERS)
         answers = await asyncio.gather(
-            *(self._probe_through_helper(name, target) for name in helpers)
+            *(self._probe_through_helper(name, daemon) for name in helpers)
         )
         return any(answers)
 
-    async def _probe_through_helper(self, helper: str, target: str) -> bool:
+    async def _probe_through_helper(self, helper: str, daemon: str) -> bool:
         peer = self.context.membership.address(helper)
         if peer is None:
             return False
         reply = await self.context.links.call(
             peer,
             lambda stub: stub.HeartbeatFor,
-            pb.HeartbeatForRequest(daemon=target),
+            pb.HeartbeatForRequest(daemon=daemon),
             self.context.settings.heartbeat_seconds,
         )
         return not isinstance(reply, PeerUnreachable) and reply.answered
--- a/rackswitch/daemon/ledger_keeper.py
+++ b/rackswitch/daemon/ledger_keeper.py
@@ -56,9 +56,9 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     roles : RoleManager
-        Leases.
+        Leases on roles.
     runner : SampleRunner
         Generates samples on this daemon.
     """
--- a/rackswitch/daemon/ledger_store.py
+++ b/rackswitch/daemon/ledger_store.py
@@ -52,9 +52,9 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     roles : RoleManager
-        Leases.
+        Leases on roles.
     """
 
     __slots__ = ("_context", "_roles")
--- a/rackswitch/daemon/limit_keeper.py
+++ b/rackswitch/daemon/limit_keeper.py
@@ -24,7 +24,7 @@
 LOAN_FACTOR = 2.0
 """Each lender offers this multiple of an equal part of the missing units."""
 
-CONCURRENCY_RETRY_SECONDS = 0.5
+CONCURRENCY_RETRY_DELAY_SECONDS = 0.5
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     heartbeats : Heartbeats
         Spreads shortages of limits.
     """
@@ -62,7 +62,7 @@
         if rate_retry_at_seconds is not None:
             return NotRun(NotRunReason.OVER_LIMIT, "over the rate limit", rate_retry_at_seconds)
         if not limits.concurrency.try_enter(now_seconds):
-            retry_at_seconds = now_seconds + CONCURRENCY_RETRY_SECONDS
+            retry_at_seconds = now_seconds + CONCURRENCY_RETRY_DELAY_SECONDS
             return NotRun(NotRunReason.OVER_LIMIT, "over the concurrency limit", retry_at_seconds)
         return None
 
@@ -148,9 +148,9 @@
         limits = self._tenants[name]
         is_rate = shortage.limit.startswith("rate/")
         used = limits.rate.demand(now_seconds) if is_rate else limits.concurrency.in_progress
-        others = max(1, len(self._context.membership.live()) - 1)
-        wanted_units = shortage.missing_units * LOAN_FACTOR / others
-        return share_ledger.lend(wanted_units, float(used), now_seconds)
+        peer_count = max(1, len(self._context.membership.live()) - 1)
+        offered_units = shortage.missing_units * LOAN_FACTOR / peer_count
+        return share_ledger.lend(offered_units, float(used), now_seconds)
 
     async def _send_loan(self, shortage: LimitShortage, loan: LentShare) -> None:
         peer = self._context.membership.address(shortage.daemon)
--- a/rackswitch/daemon/main.py
+++ b/rackswitch/daemon/main.py
@@ -23,8 +23,8 @@
 async def _run(settings: DaemonSettings) -> int:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     daemon = Daemon(settings, log_descriptor=1)
     await daemon.start()
     while not stop.is_set():
--- a/rackswitch/daemon/peers.py
+++ b/rackswitch/daemon/peers.py
@@ -40,7 +40,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     heartbeats : Heartbeats
         Receives heartbeats.
     limits : LimitKeeper
@@ -92,8 +92,8 @@
             If the secret is wrong, there is no request, or this daemon is closed or cut off.
         """
         metadata: Mapping[str, Any] = stream.metadata or {}
-        given = str(metadata.get(SECRET_METADATA, ""))
-        if not hmac.compare_digest(given, self._context.settings.fleet_secret):
+        received_secret = str(metadata.get(SECRET_METADATA, ""))
+        if not hmac.compare_digest(received_secret, self._context.settings.fleet_secret):
             raise GRPCError(Status.UNAUTHENTICATED, "not a daemon of this fleet")
         request = await stream.recv_message()
         if request is None:
--- a/rackswitch/daemon/roles.py
+++ b/rackswitch/daemon/roles.py
@@ -27,7 +27,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     wanted_roles : callable
         Returns the names of the roles that the current table requires.
     preferred : callable
@@ -108,7 +108,7 @@
             if role not in self.roles:
                 life_seconds = self._context.settings.lease_seconds
                 self.roles[role] = RoleLease(role, self._context.settings.daemon, life_seconds)
-        steps = []
+        actions = []
         for lease in self.roles.values():
             now_seconds = self._context.now_seconds()
             candidates = live
@@ -122,8 +122,8 @@
                 now_seconds, candidates, self._context.stopping, vacant_seconds
             )
             if action is not LeaseAction.NOTHING:
-                steps.append(self._take_action(lease, action))
-        await asyncio.gather(*steps)
+                actions.append(self._take_action(lease, action))
+        await asyncio.gather(*actions)
 
     async def _take_action(self, lease: RoleLease, action: LeaseAction) -> None:
         if action is LeaseAction.ACQUIRE:
--- a/rackswitch/daemon/rollout_keeper.py
+++ b/rackswitch/daemon/rollout_keeper.py
@@ -50,9 +50,9 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     roles : RoleManager
-        Leases.
+        Leases on roles.
     targets : TargetKeeper
         Engine clients.
     store : WeightStoreClient
@@ -61,8 +61,8 @@
 
     __slots__ = (
         "_context",
-        "_latest",
-        "_next_store_seconds",
+        "_latest_versions",
+        "_next_store_poll_seconds",
         "_partitions",
         "_roles",
         "_store",
@@ -80,8 +80,8 @@
         self._roles = roles
         self._targets = targets
         self._store = store
-        self._latest: dict[str, int] = {}
-        self._next_store_seconds: dict[str, float] = {}
+        self._latest_versions: dict[str, int] = {}
+        self._next_store_poll_seconds: dict[str, float] = {}
         self._partitions: dict[str, _Partition] = {}
 
     async def run(self) -> None:
@@ -94,28 +94,30 @@
 
     async def _update_model(self, model: ModelRow) -> None:
         count = self._context.settings.rollout_partitions
-        held = [
+        held_partitions = [
             number
             for number in range(count)
             if self._roles.may_act(rollout_role(model.name, number))
         ]
-        if not held:
+        if not held_partitions:
             return
-        await self._read_store(model.name)
-        desired = desired_version(model, self._latest.get(model.name, 0))
+        await self._read_published_versions(model.name)
+        desired = desired_version(model, self._latest_versions.get(model.name, 0))
         if desired == 0:
             return
-        for number in held:
+        for number in held_partitions:
             await self._update_partition(model, number, desired)
 
-    async def _read_store(self, model: str) -> None:
+    async def _read_published_versions(self, model: str) -> None:
         now_seconds = self._context.now_seconds()
-        if now_seconds < self._next_store_seconds.get(model, 0.0):
+        if now_seconds < self._next_store_poll_seconds.get(model, 0.0):
             return
-        self._next_store_seconds[model] = now_seconds + STORE_POLL_INTERVAL_SECONDS
+        self._next_store_poll_seconds[model] = now_seconds + STORE_POLL_INTERVAL_SECONDS
         published = await self._store.published(model)
         if isinstance(published, PublishedVersions):
-            self._latest[model] = max(self._latest.get(model, 0), published.latest)
+            self._latest_versions[model] = max(
+                self._latest_versions.get(model, 0), published.latest
+            )
 
     async def _update_partition(self, model: ModelRow, number: int, desired: int) -> None:
         role = rollout_role(model.name, number)
@@ -139,10 +141,10 @@
             partition.state,
             now_seconds,
         )
-        by_name = {row.name: row for row in rows}
+        rows_by_name = {row.name: row for row in rows}
         for order in orders:
             partition.state.ordered(order)
-            row = by_name[order.engine]
+            row = rows_by_name[order.engine]
             self._context.spawn(self._send_order(role, partition.state, model.name, row, order))
 
     def _rows(self, model: str, number: int) -> list[TargetRow]:
--- a/rackswitch/daemon/sample_runner.py
+++ b/rackswitch/daemon/sample_runner.py
@@ -55,7 +55,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     targets : TargetKeeper
         The known targets.
     chooser : TargetChooser
@@ -85,7 +85,7 @@
             candidates = self._targets.allowed(choice)
             if not candidates:
                 break
-            detail = await self._attempt(order, candidates, choice, partial)
+            detail = await self._run_attempt(order, candidates, choice, partial)
             if partial.finished:
                 return await self._complete(order, partial)
             if not may_resume(partial.spans, order.policy_version, order.staleness_bound_versions):
@@ -102,7 +102,7 @@
             return b"unlabelled" if result.unlabelled else b""
         return msgspec.json.encode(result)
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         order: SampleOrder,
         candidates: list[Candidate],
--- a/rackswitch/daemon/service_calls.py
+++ b/rackswitch/daemon/service_calls.py
@@ -29,7 +29,7 @@
 __all__ = ["ServiceCall", "ServiceDispatcher"]
 
 CLAIM_TIMEOUT_SECONDS = 2.0
-IN_DOUBT_RETRY_SECONDS = 1.0
+IN_DOUBT_RETRY_DELAY_SECONDS = 1.0
 DUPLICATE_TIMEOUT_SECONDS = 2.0
 """How long a duplicate request waits for the answer of the original."""
 
@@ -61,7 +61,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     chooser : TargetChooser
         Picks targets.
     claims : ClaimKeeper
@@ -99,7 +99,7 @@
             keys, claim, min(call.deadline_seconds, claim_deadline_seconds)
         )
         if not isinstance(found, ClaimFound):
-            retry_at_seconds = self._context.now_seconds() + IN_DOUBT_RETRY_SECONDS
+            retry_at_seconds = self._context.now_seconds() + IN_DOUBT_RETRY_DELAY_SECONDS
             detail = "the key-value service does not answer"
             return NotRun(NotRunReason.CLAIMS_UNAVAILABLE, detail, retry_at_seconds)
         if found.decision is ClaimDecision.IN_DOUBT:
@@ -151,7 +151,7 @@
             return NotRun(NotRunReason.BAD_REQUEST, detail)
         if found.decision is ClaimDecision.REPLAY and found.claim.media_type:
             return Completed(found.claim.status, found.claim.body, found.claim.media_type)
-        retry_at_seconds = self._context.now_seconds() + IN_DOUBT_RETRY_SECONDS
+        retry_at_seconds = self._context.now_seconds() + IN_DOUBT_RETRY_DELAY_SECONDS
         detail = "the first request with this key is not known to be done"
         return MayHaveRun(detail, retry_at_seconds)
 
--- a/rackswitch/daemon/table_keeper.py
+++ b/rackswitch/daemon/table_keeper.py
@@ -52,7 +52,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     announce : callable
         Notifies some peers at once that the table has changed.
     """
@@ -88,7 +88,7 @@
     async def boot(self) -> None:
         """Fetch the newest table from the service and from every peer that answers."""
         peers = [member.update for member in self._context.membership.members.values()]
-        read = self.read_service()
+        read = self.refresh_from_service()
         answers = await asyncio.gather(read, *(self.fetch_from(peer) for peer in peers))
         # Without any answer, the daemon cannot know whether its table is the newest.
         self._is_booted = any(answers)
@@ -109,7 +109,7 @@
                     jitter = 0.9 + 0.2 * self._context.rng.random()
                     interval_seconds = self._context.settings.confirm_seconds * jitter
                     next_confirm_seconds = now_seconds + interval_seconds
-                    await self.read_service()
+                    await self.refresh_from_service()
             elif self._watch_task is not None:
                 self._watch_task.cancel()
                 self._watch_task = None
@@ -127,7 +127,7 @@
             for entry in update.entries:
                 await self._install(msgspec.json.decode(entry.value, type=TableDocument))
 
-    async def read_service(self) -> bool:
+    async def refresh_from_service(self) -> bool:
         """Confirm the table with the service, or read it if it has changed.
 
         Returns
--- a/rackswitch/daemon/target_choice.py
+++ b/rackswitch/daemon/target_choice.py
@@ -22,7 +22,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     targets : TargetKeeper
         The known targets.
     """
--- a/rackswitch/daemon/target_keeper.py
+++ b/rackswitch/daemon/target_keeper.py
@@ -23,7 +23,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     leaving : callable
         Returns the names of targets whose VM is leaving.
     """
--- a/rackswitch/daemon/tests/test_ledgers.py
+++ b/rackswitch/daemon/tests/test_ledgers.py
@@ -100,24 +100,28 @@
 
     async def train(self, restarts: bool) -> None:
         for step in range(1, STEPS + 1):
-            held: dict[int, Sample] = {}
+            received_samples: dict[int, Sample] = {}
             acknowledged = 0
             checkpoint: tuple[int, dict[int, Sample]] = (0, {})
-            while not await self.draw_batch(step, acknowledged, held):
+            while not await self.draw_batch(step, acknowledged, received_samples):
                 acknowledged = self.acknowledged
                 if self.rng.random() < 0.15:
                     # A new version is published during the step.
                     self.runner.version += 1
                 if restarts and self.rng.random() < 0.05:
-                    acknowledged, held = checkpoint[0], dict(checkpoint[1])
+                    acknowledged, received_samples = checkpoint[0], dict(checkpoint[1])
                     self.epoch += 1
                 elif self.rng.random() < 0.3:
-                    checkpoint = (acknowledged, dict(held))
-            if sorted(held) != list(range(11)):
-                self.violations.append(f"step {step}: missing or extra samples: {sorted(held)}")
+                    checkpoint = (acknowledged, dict(received_samples))
+            if sorted(received_samples) != list(range(11)):
+                self.violations.append(
+                    f"step {step}: missing or extra samples: {sorted(received_samples)}"
+                )
             self.runner.version += 1
 
-    async def draw_batch(self, step: int, acknowledged: int, held: dict[int, Sample]) -> bool:
+    async def draw_batch(
+        self, step: int, acknowledged: int, received_samples: dict[int, Sample]
+    ) -> bool:
         """Draw one batch; return whether the step is complete."""
         self.acknowledged = acknowledged
         draw = Draw(
@@ -141,9 +145,9 @@
             return False
         for sample in batch.samples:
             self.received += 1
-            if sample.index in held or sample.step != step:
+            if sample.index in received_samples or sample.step != step:
                 self.violations.append(f"step {step}: sample {sample.index} twice")
-            held[sample.index] = sample
+            received_samples[sample.index] = sample
             if self.runner.version - sample.label.oldest_version > BOUND:
                 self.violations.append(f"step {step}: sample {sample.index} is too old")
         self.acknowledged = batch.batch
--- a/rackswitch/daemon/tests/test_roles.py
+++ b/rackswitch/daemon/tests/test_roles.py
@@ -40,7 +40,7 @@
     accepted_fencings: list[int] = []
     overlaps = 0
 
-    async def act(role_manager: RoleManager) -> None:
+    async def write_as_holder(role_manager: RoleManager) -> None:
         while True:
             await asyncio.sleep(rng.random() * 0.5)
             if not role_manager.may_act(ROLE):
@@ -71,7 +71,7 @@
             faults.down = False
 
     work = [asyncio.create_task(role_manager.run()) for role_manager in role_managers]
-    work += [asyncio.create_task(act(role_manager)) for role_manager in role_managers]
+    work += [asyncio.create_task(write_as_holder(role_manager)) for role_manager in role_managers]
     work.append(asyncio.create_task(count_overlaps()))
     await inject_faults()
     for task in work:
@@ -112,9 +112,9 @@
         await role_manager.tend()
         return held, role_manager.may_act(ROLE), store.read("roles/" + ROLE).entries
 
-    held, still, entries = run_virtual(leave())
+    held, held_after, entries = run_virtual(leave())
     assert held
-    assert not still
+    assert not held_after
     assert entries == ()
     assert MemberState.LEAVING > MemberState.ALIVE
 
@@ -122,16 +122,18 @@
 def test_restarted_daemon_revokes_its_predecessors_lease():
     async def restart():
         store = KvStore()
-        before = RoleManager(make_context("d0", store, random.Random(1)), lambda: [ROLE])
-        other = RoleManager(make_context("d1", store, random.Random(2)), lambda: [ROLE + "2"])
-        await before.tend()
-        await other.tend()
-        after = RoleManager(make_context("d0", store, random.Random(3)), lambda: [ROLE])
+        predecessor = RoleManager(make_context("d0", store, random.Random(1)), lambda: [ROLE])
+        other_daemon = RoleManager(
+            make_context("d1", store, random.Random(2)), lambda: [ROLE + "2"]
+        )
+        await predecessor.tend()
+        await other_daemon.tend()
+        restarted = RoleManager(make_context("d0", store, random.Random(3)), lambda: [ROLE])
         for entry in store.read("roles/", is_prefix=True).entries:
-            await after.end_predecessors_lease(entry.value)
-        await after.tend()
-        return after.may_act(ROLE), store.read("roles/" + ROLE + "2").entries
+            await restarted.end_predecessors_lease(entry.value)
+        await restarted.tend()
+        return restarted.may_act(ROLE), store.read("roles/" + ROLE + "2").entries
 
-    acts, others = run_virtual(restart())
-    assert acts
-    assert others
+    is_holder, other_entries = run_virtual(restart())
+    assert is_holder
+    assert other_entries
--- a/rackswitch/daemon/tests/test_table_keeper.py
+++ b/rackswitch/daemon/tests/test_table_keeper.py
@@ -15,18 +15,18 @@
 
 SEEDS = range(40)
 WRITERS = 3
-EDITS_EACH = 12
+EDITS_PER_WRITER = 12
 
 
 def make_edit(writer: int, edit_number: int) -> Edit:
     """Return an edit that adds a row of the writer and changes a shared row."""
-    own = DaemonRow(name=f"w{writer}-{edit_number}")
-    shared = DaemonRow(name="shared", draining=bool(edit_number % 2))
+    own_row = DaemonRow(name=f"w{writer}-{edit_number}")
+    shared_row = DaemonRow(name="shared", draining=bool(edit_number % 2))
     return Edit(
         edit_id=f"{writer}/{edit_number}",
         operator=f"op{writer}",
         at_unix_seconds=0.0,
-        changes=(RowChange(row=own, if_revision=0), RowChange(row=shared)),
+        changes=(RowChange(row=own_row, if_revision=0), RowChange(row=shared_row)),
     )
 
 
@@ -62,11 +62,11 @@
     async def writer(writer_number: int) -> None:
         context = make_context(f"d{writer_number}", store, rng, faults)
         keeper = keeper_class(context, _ignore_announcement)
-        for edit_number in range(EDITS_EACH):
+        for edit_number in range(EDITS_PER_WRITER):
             edit = make_edit(writer_number, edit_number)
-            for tries in range(2):
+            for attempt_number in range(2):
                 # Retry an unanswered edit once, as an automated operator would.
-                results[edit.edit_id] = await keeper.submit(edit, may_be_retry=tries > 0)
+                results[edit.edit_id] = await keeper.submit(edit, may_be_retry=attempt_number > 0)
                 if not isinstance(results[edit.edit_id], EditUnknown | EditUnavailable):
                     break
             await asyncio.sleep(rng.random())
@@ -88,8 +88,8 @@
             violations.append(f"accepted edit {edit_id} is missing")
         if isinstance(result, EditUnavailable) and present:
             violations.append(f"refused edit {edit_id} is present")
-    identities = [edit.edit_id for edit in document.edits]
-    if len(identities) != len(set(identities)):
+    edit_ids = [edit.edit_id for edit in document.edits]
+    if len(edit_ids) != len(set(edit_ids)):
         violations.append("an edit was applied twice")
     return violations
 
--- a/rackswitch/daemon/trainer_handler.py
+++ b/rackswitch/daemon/trainer_handler.py
@@ -22,7 +22,7 @@
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     ledgers : LedgerKeeper
         Calls the trainers' ledgers.
     """
@@ -41,8 +41,8 @@
         """``POST /v1/trainers/{trainer}/draws``."""
         return await self._call(request, "draw", Draw)
 
-    async def _call(self, request: Request, operation: str, kind: type) -> Response:
-        body = await read_json(request, kind, self._context.settings.most_body_bytes)
+    async def _call(self, request: Request, operation: str, body_type: type) -> Response:
+        body = await read_json(request, body_type, self._context.settings.most_body_bytes)
         if isinstance(body, BodyFault):
             return problem_response(body.problem)
         refusal = self._refusal(request)
