--- a/rackswitch/daemon/access.py
+++ b/rackswitch/daemon/access.py
@@ -10,7 +10,7 @@
 
 __all__ = ["find_operator", "find_tenant", "find_trainer"]
 
-BEARER = b"Bearer "
+BEARER_PREFIX = b"Bearer "
 BOOTSTRAP_OPERATOR = "bootstrap"
 
 RowT = TypeVar("RowT", TenantRow, TrainerRow, OperatorRow)
@@ -55,6 +55,6 @@
 
 def _token_digest(request: Request) -> str | None:
     header = request.get_first_header(b"authorization")
-    if header is None or not header.startswith(BEARER):
+    if header is None or not header.startswith(BEARER_PREFIX):
         return None
-    return hashlib.sha256(header[len(BEARER) :]).hexdigest()
+    return hashlib.sha256(header[len(BEARER_PREFIX) :]).hexdigest()
--- a/rackswitch/daemon/caller_handler.py
+++ b/rackswitch/daemon/caller_handler.py
@@ -48,7 +48,7 @@
 DEFAULT_TIMEOUT_SECONDS = 60.0
 MAX_TIMEOUT_SECONDS = 600.0
 MAX_KEY_CHARACTERS = 200
-SSE = b"text/event-stream"
+SSE_MEDIA_TYPE = b"text/event-stream"
 
 
 class CompletionBody(msgspec.Struct, forbid_unknown_fields=True):
@@ -286,7 +286,7 @@
                 self._finish(call.tenant, Response(200), label, call.arrived_seconds)
 
         watcher = _cancel_on_disconnect(request)
-        return Response(200, content=StreamedContent(SSE, events))
+        return Response(200, content=StreamedContent(SSE_MEDIA_TYPE, events))
 
     async def _first_item(
         self, request: Request, call: CompletionCall, source: AsyncIterator[StreamChunk | Outcome]
--- a/rackswitch/daemon/claim_keeper.py
+++ b/rackswitch/daemon/claim_keeper.py
@@ -30,7 +30,7 @@
 
 __all__ = ["ClaimFound", "ClaimKeeper", "ClaimsUnavailable"]
 
-MAX_PARTS = 64
+MAX_BATCH_PARTS = 64
 RETRY_DELAY_SECONDS = 0.1
 MAX_SETTLE_ATTEMPTS = 600
 SETTLE_RETRY_DELAY_SECONDS = 1.0
@@ -259,7 +259,7 @@
         batch: list[_PendingWrite] = []
         keys: set[str] = set()
         deferred: deque[_PendingWrite] = deque()
-        while self._pending and len(batch) < MAX_PARTS:
+        while self._pending and len(batch) < MAX_BATCH_PARTS:
             pending = self._pending.popleft()
             if pending.key in keys:
                 deferred.append(pending)
--- a/rackswitch/daemon/ledger_keeper.py
+++ b/rackswitch/daemon/ledger_keeper.py
@@ -43,7 +43,7 @@
 TICK_SECONDS = 0.2
 RETRY_DELAY_SECONDS = 0.05
 FORWARD_TIMEOUT_SECONDS = 35.0
-RUN_TIMEOUT_SECONDS = 150.0
+SAMPLE_RUN_TIMEOUT_SECONDS = 150.0
 PEER_CHECK_INTERVAL_SECONDS = 0.5
 """Between checks whether a daemon that runs a sample is still alive."""
 
@@ -201,7 +201,7 @@
             return await self._runner.run(order)
         message = pb.RunSampleRequest(order=msgspec.json.encode(order))
         call = self._context.links.call(
-            peer, lambda stub: stub.RunSample, message, RUN_TIMEOUT_SECONDS
+            peer, lambda stub: stub.RunSample, message, SAMPLE_RUN_TIMEOUT_SECONDS
         )
         reply = await self._call_while_alive(peer, call)
         if isinstance(reply, PeerUnreachable):
--- a/rackswitch/daemon/limit_keeper.py
+++ b/rackswitch/daemon/limit_keeper.py
@@ -84,12 +84,12 @@
             self._announce_shortages()
             self._lend_for_shortages()
 
-    def _slots(self) -> int:
+    def _daemon_slots(self) -> int:
         fleet = self._context.view.row(FleetRow, "fleet")
         return fleet.daemon_slots if fleet is not None else FleetRow(name="fleet").daemon_slots
 
     def _limits_of(self, tenant: TenantRow) -> _TenantLimits:
-        slots = self._slots()
+        slots = self._daemon_slots()
         limits = self._tenants.get(tenant.name)
         if limits is None:
             limits = _TenantLimits(
--- a/rackswitch/daemon/settings.py
+++ b/rackswitch/daemon/settings.py
@@ -42,54 +42,69 @@
     """All settings of one daemon."""
 
     daemon: Annotated[str, msgspec.Meta(description="This daemon's name.", min_length=1)]
-    zone: Annotated[str, msgspec.Meta(description="Its availability zone.", min_length=1)]
+    zone: Annotated[str, msgspec.Meta(description="The daemon's availability zone.", min_length=1)]
     host: Annotated[str, msgspec.Meta(description="Address to listen on.")] = "127.0.0.1"
-    port: Annotated[Port, msgspec.Meta(description="HTTP port; 0 takes a free one.")] = 0
+    port: Annotated[Port, msgspec.Meta(description="HTTP port; 0 selects a free one.")] = 0
     peer_port: Annotated[Port, msgspec.Meta(description="Port for the other daemons.")] = 0
-    kv_url: Annotated[str, msgspec.Meta(description="The key-value service.")]
-    kv_protocol: Annotated[str, msgspec.Meta(description="Its protocol.")] = "etcd-json"
-    weight_store_url: Annotated[str, msgspec.Meta(description="The weight store.")]
-    vm_list_url: Annotated[str, msgspec.Meta(description="The platform's VM list.")]
+    kv_url: Annotated[str, msgspec.Meta(description="URL of the key-value service.")]
+    kv_protocol: Annotated[str, msgspec.Meta(description="Protocol of the key-value service.")] = (
+        "etcd-json"
+    )
+    weight_store_url: Annotated[str, msgspec.Meta(description="URL of the weight store.")]
+    vm_list_url: Annotated[str, msgspec.Meta(description="URL of the platform's VM list.")]
     fleet_secret: Annotated[
-        str, msgspec.Meta(description="Shared by all daemons, by which they know each other.")
+        str,
+        msgspec.Meta(description="Shared secret with which the daemons authenticate each other."),
     ]
     operator_token_sha256: Annotated[
-        str, msgspec.Meta(description="Hash of an administrator's token that always works.")
+        str,
+        msgspec.Meta(description="SHA-256 hash of an administrator token that is always accepted."),
     ]
     routing_policy: Annotated[str, msgspec.Meta(description="Name of the routing policy.")] = (
         "prefix_home"
     )
     freshness: FreshnessSettings = FreshnessSettings()
-    heartbeat_seconds: Annotated[Seconds, msgspec.Meta(description="Between heartbeats.")] = 1.0
+    heartbeat_seconds: Annotated[
+        Seconds, msgspec.Meta(description="Interval between heartbeats.")
+    ] = 1.0
     confirm_seconds: Annotated[
-        Seconds, msgspec.Meta(description="Between a watcher's reads of the table.")
+        Seconds, msgspec.Meta(description="Interval between a watcher's reads of the table.")
     ] = 2.0
     watchers_per_zone: Annotated[
-        int, msgspec.Meta(ge=1, description="Daemons of a zone that watch the service.")
+        int,
+        msgspec.Meta(
+            ge=1, description="Number of daemons of a zone that watch the key-value service."
+        ),
     ] = 1
-    lease_seconds: Annotated[Seconds, msgspec.Meta(description="Life of a role's lease.")] = 6.0
+    lease_seconds: Annotated[Seconds, msgspec.Meta(description="TTL of a role's lease.")] = 6.0
     poll_seconds: Annotated[
-        Seconds, msgspec.Meta(description="Between polls of one engine and the next.")
+        Seconds, msgspec.Meta(description="Interval between the polls of two engines.")
     ] = 1.0
     polled_targets: Annotated[
-        int, msgspec.Meta(ge=1, description="Targets of one model that this daemon uses.")
+        int,
+        msgspec.Meta(
+            ge=1, description="Maximum number of targets of one model that this daemon uses."
+        ),
     ] = 16
     rollout_partitions: Annotated[
-        int, msgspec.Meta(ge=1, description="Leased partitions of a model's roll-out.")
+        int, msgspec.Meta(ge=1, description="Number of leased partitions of a model's roll-out.")
     ] = 1
     zone_one_way_seconds: Annotated[
-        float, msgspec.Meta(ge=0, description="Network distance between zones.")
+        float, msgspec.Meta(ge=0, description="One-way network delay between zones.")
     ] = 0.001
     claim_life_seconds: Annotated[
-        Seconds, msgspec.Meta(description="How long an idempotency key is remembered, at least.")
+        Seconds,
+        msgspec.Meta(description="Minimum time for which an idempotency key is remembered."),
     ] = 21600.0
-    most_body_bytes: Annotated[int, msgspec.Meta(ge=1, description="Largest request body.")] = (
-        4_000_000
-    )
+    most_body_bytes: Annotated[
+        int, msgspec.Meta(ge=1, description="Maximum size of a request body.")
+    ] = 4_000_000
     most_connections: Annotated[
-        int, msgspec.Meta(ge=1, description="Most connections at once.")
+        int, msgspec.Meta(ge=1, description="Maximum number of concurrent connections.")
     ] = 4096
-    seed: Annotated[int, msgspec.Meta(description="Seed of random choices; 0 takes any.")] = 0
+    seed: Annotated[
+        int, msgspec.Meta(description="Seed of random choices; 0 selects a random seed.")
+    ] = 0
 
     def contradiction(self) -> str | None:
         """Return a message about settings that contradict each other, or None."""
--- a/rackswitch/daemon/table_keeper.py
+++ b/rackswitch/daemon/table_keeper.py
@@ -82,7 +82,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the daemon has a table and compared it with a source at the start."""
+        """Whether the daemon has a table and has compared it with at least one source."""
         return self._is_booted and self._context.view.revision > 0
 
     async def boot(self) -> None:
--- a/rackswitch/daemon/tests/test_ledgers.py
+++ b/rackswitch/daemon/tests/test_ledgers.py
@@ -255,7 +255,7 @@
 
 
 def test_without_a_stored_record_a_new_holder_cannot_continue(monkeypatch):
-    """Without durable records, samples are lost or duplicated."""
+    """Without durable records, a new holder cannot complete the step correctly."""
 
     async def record_in_memory(self, trainer, held, record):
         held.ledger.written(record)
@@ -362,19 +362,19 @@
         kv = KvStore()
         contexts = [make_context(name, kv, random.Random(1)) for name in ("a", "b")]
         role = ledger_role("t")
-        keepers = [RoleManager(context, lambda: [role]) for context in contexts]
-        stores = [LedgerStore(*pair) for pair in zip(contexts, keepers, strict=True)]
+        role_managers = [RoleManager(context, lambda: [role]) for context in contexts]
+        stores = [LedgerStore(*pair) for pair in zip(contexts, role_managers, strict=True)]
         plan = StepPlan(step=1, groups=(GroupPlan(prompt="p", samples=1, max_tokens=3, seed=1),))
         other = StepPlan(step=1, groups=(GroupPlan(prompt="q", samples=1, max_tokens=3, seed=1),))
-        await keepers[0].tend()
+        await role_managers[0].tend()
         assert (await stores[0].put_plan("t", plan)).status == 200
         # The service grants the role to another daemon without notifying the former holder.
-        kv.end_lease(keepers[0].roles[role].held.lease_id)
-        await keepers[1].tend()
-        assert keepers[0].may_act(role) and keepers[1].may_act(role)
+        kv.end_lease(role_managers[0].roles[role].held.lease_id)
+        await role_managers[1].tend()
+        assert role_managers[0].may_act(role) and role_managers[1].may_act(role)
         assert (await stores[0].put_plan("t", other)).status != 200
         loaded = await stores[1].load(TRAINER)
         assert loaded.ledger.plans[1] == plan
-        assert not keepers[0].may_act(role)
+        assert not role_managers[0].may_act(role)
 
     run_virtual(scenario())
