--- a/rackswitch/daemon/access.py
+++ b/rackswitch/daemon/access.py
@@ -1,4 +1,4 @@
-"""Who a request comes from, and what they may do."""
+"""Authenticate callers, trainers and operators by bearer token."""
 
 import hashlib
 import hmac
@@ -10,7 +10,7 @@
 
 __all__ = ["find_operator", "find_tenant", "find_trainer"]
 
-BEARER = b"Bearer "
+BEARER_PREFIX = b"Bearer "
 BOOTSTRAP_OPERATOR = "bootstrap"
 
 RowT = TypeVar("RowT", TenantRow, TrainerRow, OperatorRow)
@@ -26,35 +26,35 @@
     return _find(view, request, TrainerRow)
 
 
-def find_operator(view: TableView, request: Request, own_sha256: str) -> OperatorRow | None:
+def find_operator(view: TableView, request: Request, bootstrap_sha256: str) -> OperatorRow | None:
     """Return the operator whose token the request carries, or None.
 
-    The token of the settings always works, since a new table holds no operators.
+    The token in the settings is always accepted, since a new table has no operators.
     """
     digest = _token_digest(request)
-    if digest is not None and hmac.compare_digest(digest, own_sha256):
-        return OperatorRow(name=BOOTSTRAP_OPERATOR, token_sha256=own_sha256, role="admin")
+    if digest is not None and hmac.compare_digest(digest, bootstrap_sha256):
+        return OperatorRow(name=BOOTSTRAP_OPERATOR, token_sha256=bootstrap_sha256, role="admin")
     return _find(view, request, OperatorRow)
 
 
-def _find(view: TableView, request: Request, kind: type[RowT]) -> RowT | None:
+def _find(view: TableView, request: Request, row_type: type[RowT]) -> RowT | None:
     digest = _token_digest(request)
     if digest is None:
         return None
     found = None
-    # All rows are compared, so that the time taken does not tell which one matched.
-    for row in view.rows(kind):
-        if any(hmac.compare_digest(digest, own) for own in _digests(row)):
+    # Compare all rows, so that the response time does not reveal which row matched.
+    for row in view.rows(row_type):
+        if any(hmac.compare_digest(digest, row_digest) for row_digest in _row_digests(row)):
             found = row
     return found
 
 
-def _digests(row: TenantRow | TrainerRow | OperatorRow) -> tuple[str, ...]:
+def _row_digests(row: TenantRow | TrainerRow | OperatorRow) -> tuple[str, ...]:
     return row.key_sha256 if isinstance(row, TenantRow) else (row.token_sha256,)
 
 
 def _token_digest(request: Request) -> str | None:
     header = request.get_first_header(b"authorization")
-    if header is None or not header.startswith(BEARER):
+    if header is None or not header.startswith(BEARER_PREFIX):
         return None
-    return hashlib.sha256(header[len(BEARER) :]).hexdigest()
+    return hashlib.sha256(header[len(BEARER_PREFIX) :]).hexdigest()
--- a/rackswitch/daemon/main.py
+++ b/rackswitch/daemon/main.py
@@ -17,21 +17,21 @@
 
 EXIT_BAD_SETTINGS = 2
 EXIT_BROKEN = 3
-CHECK_SECONDS = 0.2
+CHECK_INTERVAL_SECONDS = 0.2
 
 
 async def _run(settings: DaemonSettings) -> int:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     daemon = Daemon(settings, log_descriptor=1)
     await daemon.start()
     while not stop.is_set():
         if daemon.context.broken is not None:
             logger.critical("stopping on a broken invariant")
             return EXIT_BROKEN
-        await asyncio.sleep(CHECK_SECONDS)
+        await asyncio.sleep(CHECK_INTERVAL_SECONDS)
     await daemon.stop()
     return 0
 
@@ -53,5 +53,5 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the command-line program."""
     fire.Fire(run)
--- a/rackswitch/daemon/trainer_edge.py
+++ b/rackswitch/daemon/trainer_handler.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for trainers."""
+"""HTTP handlers for trainers."""
 
 import msgspec
 from blacksheep import Content, Request, Response
@@ -11,20 +11,20 @@
 from rackswitch.web.handlers import BodyFault, path_value, read_json
 from rackswitch.web.problems import Problem, problem_response
 
-__all__ = ["TrainerEdge"]
+__all__ = ["TrainerHandler"]
 
 RETRY_AFTER_SECONDS = 1.0
 
 
-class TrainerEdge:
-    """Serves trainers on any daemon.
+class TrainerHandler:
+    """Handles trainers' requests; any daemon accepts them.
 
     Parameters
     ----------
     context : DaemonContext
-        The daemon.
+        State shared by the daemon's components.
     ledgers : LedgerKeeper
-        Finds and calls the ledgers.
+        Calls the trainers' ledgers.
     """
 
     __slots__ = ("_context", "_ledgers")
@@ -41,8 +41,8 @@
         """``POST /v1/trainers/{trainer}/draws``."""
         return await self._call(request, "draw", Draw)
 
-    async def _call(self, request: Request, operation: str, kind: type) -> Response:
-        body = await read_json(request, kind, self._context.settings.most_body_bytes)
+    async def _call(self, request: Request, operation: str, body_type: type) -> Response:
+        body = await read_json(request, body_type, self._context.settings.most_body_bytes)
         if isinstance(body, BodyFault):
             return problem_response(body.problem)
         refusal = self._refusal(request)
