--- a/rackswitch/demo/__init__.py
+++ b/rackswitch/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demonstration, and the embedded fleet that it shares with tests."""
+"""The demonstration program, and the embedded fleet that tests use too."""
--- a/rackswitch/demo/fleet.py
+++ b/rackswitch/demo/fleet.py
@@ -1,4 +1,4 @@
-"""Daemons and stand-ins of one user's size, inside one event loop."""
+"""Daemons and stand-ins of a complete deployment in one event loop."""
 
 import asyncio
 import hashlib
@@ -48,20 +48,20 @@
 
 
 def sha256_hex(token: str) -> str:
-    """Return the hash under which a token is kept."""
+    """Return the SHA-256 hash of a token as the table stores it."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 @dataclass(frozen=True, slots=True)
 class FleetProfile:
-    """The shape of a user's deployment.
+    """Zones, models and sizes of a deployment.
 
     Attributes
     ----------
     model, application : str
-        The model that is trained, and the one that callers use besides.
+        The model that is trained, and the one that only callers use.
     service : str
-        The plain service.
+        Name of the plain service.
     """
 
     name: str
@@ -101,16 +101,16 @@
 
 @dataclass(slots=True)
 class EmbeddedFleet:
-    """All processes of a deployment as objects in one event loop.
+    """All daemons and stand-ins of a deployment in one event loop.
 
     Parameters
     ----------
     profile : FleetProfile
-        Its shape.
+        Profile of the deployment.
     seed : int
         Seed of all random choices.
-    daemons : int, optional
-        Number of daemons in place of the profile's.
+    daemon_count : int, optional
+        Number of daemons; the profile's if 0.
     """
 
     profile: FleetProfile
@@ -201,7 +201,7 @@
         return rows
 
     async def start_daemon(self, name: str, number: int) -> Daemon:
-        """Start a daemon and enter its VM in the platform's list."""
+        """Start a daemon and add its VM to the platform's list."""
         settings = DaemonSettings(
             daemon=name,
             zone=self.profile.zones[number % len(self.profile.zones)],
@@ -232,26 +232,25 @@
         return daemon
 
     def urls(self) -> list[str]:
-        """Return the daemons' addresses, as the balancer knows them."""
+        """Return the URLs of the present daemons."""
         return [daemon.url for daemon in self.daemons.values()]
 
     async def put_rows(self, rows: list[Row]) -> int:
         """Put rows through the administration API; return the accepted revision."""
-
         body = msgspec.json.encode({"changes": [{"row": row} for row in rows]})
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         url = self.urls()[0] + "/admin/v1/edits"
         async with (
             aiohttp.ClientSession() as session,
-            session.post(url, data=body, headers=headers) as answer,
+            session.post(url, data=body, headers=headers) as response,
         ):
-            content = await answer.json()
-            if answer.status != 200:
+            content = await response.json()
+            if response.status != 200:
                 raise RuntimeError(f"edit refused: {content}")
             return int(content["revision"])
 
     async def stop(self) -> None:
-        """End everything at once."""
+        """Crash the daemons and stop the stand-ins."""
         await asyncio.gather(*(daemon.crash() for daemon in self.daemons.values()))
         await asyncio.gather(*(engine.stop() for engine in self.engines.values()))
         await asyncio.gather(*(service.stop() for service in self.services))
@@ -260,7 +259,7 @@
         )
 
     def broken_invariants(self) -> list[str]:
-        """Return what invariants have broken inside the daemons."""
+        """Return the invariants that daemons found violated."""
         return [
             f"{name}: {daemon.context.broken}"
             for name, daemon in self.daemons.items()
@@ -269,7 +268,7 @@
 
 
 def table_rows(profile: FleetProfile, targets: list[TargetRow], daemons: int) -> list[Row]:
-    """Return the first table of a profile."""
+    """Return the rows of a profile's initial table."""
     served = (profile.model, profile.application, profile.service)
     return [
         *targets,
--- a/rackswitch/demo/main.py
+++ b/rackswitch/demo/main.py
@@ -1,4 +1,4 @@
-"""The program ``rackswitch-demo``: callers and a trainer on an embedded fleet."""
+"""The program ``rackswitch-demo``: runs callers and a trainer against an embedded fleet."""
 
 import asyncio
 import contextlib
@@ -32,17 +32,17 @@
 READY_TIMEOUT_SECONDS = 10.0
 ARRIVALS_PER_SECOND = 40.0
 DEMO_WINDOW_SECONDS = 1.0
-"""Length of a window of usage in the demonstration; 5 s on the users' sheets."""
+"""Length of a usage window; shorter than in production to keep the demonstration short."""
 
 USAGE_TIMEOUT_SECONDS = 8.0
-"""A report comes some 2 s after its window's end; one whose answer is lost a second later."""
+"""Covers the delay of a usage report after its window and one retry."""
 
 OWN_TENANT = "members"
 OTHER_TENANT = "archive"
 
 
 async def wait_ready(fleet: EmbeddedFleet) -> None:
-    """Wait until every daemon has the table in force and knows all the others."""
+    """Wait until every daemon has applied the table and knows all other daemons."""
     daemons = fleet.daemons.values()
 
     def is_ready(daemon: Daemon) -> bool:
@@ -77,12 +77,12 @@
     )
     fleet.store.versions[profile.model] = {1}
     rng = random.Random(seed)
-    training = asyncio.create_task(trainer.run(STEPS))
+    training_task = asyncio.create_task(trainer.run(STEPS))
     calls = []
     for number in range(REQUESTS):
         calls.append(asyncio.create_task(_call(caller, profile, number, seed)))
         await asyncio.sleep(rng.expovariate(ARRIVALS_PER_SECOND))
-    await asyncio.gather(training, *calls)
+    await asyncio.gather(training_task, *calls)
     runs_by_key: dict[str, int] = {}
     for service in fleet.services:
         for key, count in service.runs_by_key.items():
@@ -90,7 +90,7 @@
     violations = caller.violations(runs_by_key) + trainer.record.violations()
     wrong_labels = false_labels(trainer.labels, fleet.engines.values())
     if wrong_labels:
-        violations.append(f"{wrong_labels} samples with a false label")
+        violations.append(f"{wrong_labels} samples with a wrong label")
     violations += fleet.broken_invariants()
     await caller.close()
     summary = {
@@ -115,8 +115,8 @@
     return summary
 
 
-async def _reported_usage(fleet: PlatformFleet) -> dict[str, int]:
-    """Wait until all requests are reported or no report can bring more; return them by tenant."""
+async def _wait_for_usage(fleet: PlatformFleet) -> dict[str, int]:
+    """Wait until all requests are reported or the timeout expires; return counts by tenant."""
     counts: Counter[str] = Counter()
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(USAGE_TIMEOUT_SECONDS):
@@ -129,7 +129,7 @@
 
 
 async def run_platform_demo(jobs: int = PLATFORM_JOBS) -> dict[str, object]:
-    """Run callers and a trainer against gateways on the platform's stand-ins."""
+    """Run callers and a trainer against gateways with stand-ins of the platform."""
     fleet = PlatformFleet(daemons=3, engines=3, usage_window_seconds=DEMO_WINDOW_SECONDS)
     await fleet.start()
     tenants = [{"name": name, "api_keys": [f"{name}-key"]} for name in (OWN_TENANT, OTHER_TENANT)]
@@ -137,19 +137,19 @@
     fleet.key = "a key nobody holds"
     bad_key_status, _, _ = await fleet.request("d0", "POST", "/look/x", b"form", "bad")
     fleet.key = f"{OWN_TENANT}-key"
-    lookups = [
+    calls = [
         fleet.request(f"d{number % 3}", "POST", "/look/x", b"form", f"r{number}")
         for number in range(REQUESTS)
     ]
-    answers = await asyncio.gather(*lookups)
-    whole = 0
+    responses = await asyncio.gather(*calls)
+    complete_jobs = 0
     versions: set[int] = set()
     for number in range(jobs):
         pieces = [1 + (item * 7 + number) % 40 for item in range(16)]
         await fleet.submit(f"d{number % 3}", f"job{number}", pieces)
         fleet.name_version(number + 2)
         results = await fleet.read_all(f"d{(number + 1) % 3}", f"job{number}")
-        whole += all(
+        complete_jobs += all(
             len(result["text"].split("\n")) == pieces[int(result["id"].rpartition("-")[2])]
             for result in results
         )
@@ -157,20 +157,22 @@
         await fleet.end_job("d0", f"job{number}")
     fleet.key = f"{OTHER_TENANT}-key"
     foreign_job_status = (await fleet.read("d0", "job0")).status
-    reported = await _reported_usage(fleet)
-    completed = sum(status == 200 for status, _, _ in answers)
-    violations = [] if whole == jobs else [f"{jobs - whole} jobs with a text that is not whole"]
+    reported = await _wait_for_usage(fleet)
+    completed = sum(status == 200 for status, _, _ in responses)
+    violations = (
+        [] if complete_jobs == jobs else [f"{jobs - complete_jobs} jobs with an incomplete text"]
+    )
     if completed < REQUESTS:
         violations.append(f"{REQUESTS - completed} requests not completed")
     if (bad_key_status, foreign_job_status) != (401, 404):
-        violations.append("a key or a job was answered that is not the caller's")
+        violations.append("an invalid key or a foreign job was not refused")
     if reported != {OWN_TENANT: REQUESTS}:
         violations.append(f"usage reported as {reported}")
     summary: dict[str, object] = {
         "gateways": len(fleet.gateways),
         "engines": len(fleet.engines),
         "requests_completed": completed,
-        "jobs_whole": whole,
+        "jobs_whole": complete_jobs,
         "weight_versions_seen": sorted(versions),
         "status_with_a_bad_key": bad_key_status,
         "status_of_a_foreign_job": foreign_job_status,
@@ -198,7 +200,7 @@
     seed : int
         Seed of all random choices.
     log_level : str
-        Least level of the log lines on standard error.
+        Minimum level of log lines on standard error.
     platform : bool
         Run on stand-ins of the operator platform instead.
     """
@@ -217,5 +219,5 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the command line."""
     fire.Fire(demo)
--- a/rackswitch/demo/tests/test_disconnect.py
+++ b/rackswitch/demo/tests/test_disconnect.py
@@ -1,4 +1,4 @@
-"""A client that goes away takes its engine's work with it, and holds no place."""
+"""Guards against requests that keep running and hold a slot after the caller disconnects."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 TIMEOUT_SECONDS = 20.0
 
 
-async def leave_in_the_middle(stream):
+async def cancel_mid_request(stream):
     fleet = EmbeddedFleet(REGISTER, 1, daemon_count=1, tokens_per_second=2.0)
     await fleet.start()
     await wait_ready(fleet)
@@ -31,9 +31,9 @@
     await fleet.stop()
 
 
-def test_a_streamed_request_is_cancelled():
-    asyncio.run(leave_in_the_middle(stream=True))
+def test_streamed_request_is_cancelled():
+    asyncio.run(cancel_mid_request(stream=True))
 
 
-def test_a_request_for_the_whole_text_is_cancelled():
-    asyncio.run(leave_in_the_middle(stream=False))
+def test_unstreamed_request_is_cancelled():
+    asyncio.run(cancel_mid_request(stream=False))
--- a/rackswitch/demo/tests/test_fuzz.py
+++ b/rackswitch/demo/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Random and damaged requests get a refusal in the 400s, and the daemon goes on."""
+"""Guards against wrong responses and leaked slots after malformed requests."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 REQUESTS = 300
 ODD_VALUES = [None, -1, 0, 1e308, "", "\u0000", "x" * 5000, [], {}, [[[]]], True, "é", "../.."]
-SHAPES = [
+REQUEST_TEMPLATES = [
     ("/v1/completions", CALLER_TOKEN, {"model": "filing", "prompt": "x", "max_tokens": 2}),
     ("/v1/services/returns/a", CALLER_TOKEN, {"x": 1}),
     ("/v1/trainers/nightly/plans", TRAINER_TOKEN, {"step": 1, "groups": []}),
@@ -34,21 +34,21 @@
 ]
 
 
-def damage(rng, body):
-    """Return a request body with one thing wrong, or random bytes."""
-    kind = rng.randrange(4)
-    if kind == 0:
+def corrupt(rng, body):
+    """Return a request body with one defect, or random bytes."""
+    corruption = rng.randrange(4)
+    if corruption == 0:
         return rng.randbytes(rng.randrange(60))
-    damaged = dict(body)
+    corrupted = dict(body)
     name = rng.choice([*body, "unheard_of"])
-    damaged[name] = rng.choice(ODD_VALUES)
-    encoded = json.dumps(damaged).encode()
-    if kind == 1:
-        cut = rng.randrange(len(encoded))
-        return encoded[:cut]
-    if kind == 2:
-        place = rng.randrange(len(encoded))
-        return encoded[:place] + rng.randbytes(1) + encoded[place + 1 :]
+    corrupted[name] = rng.choice(ODD_VALUES)
+    encoded = json.dumps(corrupted).encode()
+    if corruption == 1:
+        cut_position = rng.randrange(len(encoded))
+        return encoded[:cut_position]
+    if corruption == 2:
+        position = rng.randrange(len(encoded))
+        return encoded[:position] + rng.randbytes(1) + encoded[position + 1 :]
     return encoded
 
 
@@ -58,30 +58,30 @@
     await fleet.start()
     await wait_ready(fleet)
     daemon = fleet.daemons["d0"]
-    bad = []
+    wrong_responses = []
     async with aiohttp.ClientSession() as session:
         for _ in range(REQUESTS):
-            path, token, body = rng.choice(SHAPES)
-            data = damage(rng, body)
+            path, token, body = rng.choice(REQUEST_TEMPLATES)
+            data = corrupt(rng, body)
             headers = {"Authorization": f"Bearer {token}"}
             if rng.random() < 0.2:
                 headers["Rackswitch-Timeout-Seconds"] = rng.choice(["", "nan", "1e999", "-5", "2"])
             if rng.random() < 0.2:
                 headers["Rackswitch-Repeatable"] = rng.choice(["yes", "maybe", ""])
-            async with session.post(daemon.url + path, data=data, headers=headers) as answer:
-                content = await answer.read()
-            truthful = answer.status < 500 or b'"ran":"no"' in content
-            if not truthful or b"Traceback" in content:
-                bad.append((path, data[:80], answer.status, content[:200]))
-        async with session.get(daemon.url + "/healthz") as answer:
-            healthy = answer.status == 200
+            async with session.post(daemon.url + path, data=data, headers=headers) as response:
+                content = await response.read()
+            is_allowed = response.status < 500 or b'"ran":"no"' in content
+            if not is_allowed or b"Traceback" in content:
+                wrong_responses.append((path, data[:80], response.status, content[:200]))
+        async with session.get(daemon.url + "/healthz") as response:
+            healthy = response.status == 200
     in_flight = daemon.context.in_flight.count
     await fleet.stop()
-    return bad, healthy, in_flight
+    return wrong_responses, healthy, in_flight
 
 
-def test_damaged_requests_are_refused_and_hold_no_place():
-    bad, healthy, in_flight = asyncio.run(fuzz(1))
-    assert bad == []
+def test_malformed_requests_are_refused_and_release_their_slots():
+    wrong_responses, healthy, in_flight = asyncio.run(fuzz(1))
+    assert wrong_responses == []
     assert healthy
     assert in_flight == 0
--- a/rackswitch/demo/tests/test_processes.py
+++ b/rackswitch/demo/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real separate processes: kill, pause, an outage and a planned stop in between."""
+"""Separate processes under kill, pause, an outage and a planned stop."""
 
 import asyncio
 import json
@@ -33,16 +33,16 @@
 
 def free_ports(count):
     sockets = [socket.socket() for _ in range(count)]
-    for each in sockets:
-        each.bind(("127.0.0.1", 0))
-    ports = [each.getsockname()[1] for each in sockets]
-    for each in sockets:
-        each.close()
+    for bound_socket in sockets:
+        bound_socket.bind(("127.0.0.1", 0))
+    ports = [bound_socket.getsockname()[1] for bound_socket in sockets]
+    for bound_socket in sockets:
+        bound_socket.close()
     return ports
 
 
 class Processes:
-    """The programs of a small fleet, started by this test and ended by their ids."""
+    """The processes of a small fleet."""
 
     def __init__(self, folder: Path):
         self.folder = folder
@@ -112,14 +112,14 @@
             rows.append(TargetRow(name=name, url=url, zone=zone, serves=serves, protocol=protocol))
         return rows
 
-    def end_all(self):
+    def kill_all(self):
         for process in self.running.values():
             process.kill()
         for process in self.running.values():
             process.wait()
 
 
-async def until(condition):
+async def wait_until(condition):
     async with asyncio.timeout(TIMEOUT_SECONDS):
         while not await condition():
             await asyncio.sleep(0.1)
@@ -127,26 +127,26 @@
 
 async def get(session, url, headers=None):
     try:
-        async with session.get(url, headers=headers) as answer:
-            return answer.status, await answer.json(content_type=None)
+        async with session.get(url, headers=headers) as response:
+            return response.status, await response.json(content_type=None)
     except (aiohttp.ClientError, TimeoutError):
         return 0, None
 
 
 async def edit(session, url, rows, edit_id):
-    """Send an edit, again with the same identity until it is known to be accepted."""
+    """Retry an edit with the same id until it is accepted."""
     body = msgspec.json.encode({"changes": [{"row": row} for row in rows], "edit_id": edit_id})
     headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
 
     async def accepted():
         try:
             path = url + "/admin/v1/edits"
-            async with session.post(path, data=body, headers=headers) as answer:
-                return answer.status == 200
+            async with session.post(path, data=body, headers=headers) as response:
+                return response.status == 200
         except (aiohttp.ClientError, TimeoutError):
             return False
 
-    await until(accepted)
+    await wait_until(accepted)
 
 
 @asynccontextmanager
@@ -157,7 +157,7 @@
         try:
             processes.start_stand_ins()
             for port in [*processes.port.values(), *processes.engines.values()]:
-                await until(lambda port=port: answers(session, processes.url(port)))
+                await wait_until(lambda port=port: responds(session, processes.url(port)))
             for name, (_, peer_port) in processes.daemons.items():
                 vm = {"zone": "z", "role": "daemon", "peer_port": peer_port}
                 async with session.put(
@@ -166,17 +166,17 @@
                     pass
                 processes.start_daemon(name)
             for url in processes.daemon_urls():
-                await until(lambda url=url: answers(session, url + "/healthz"))
+                await wait_until(lambda url=url: responds(session, url + "/healthz"))
             rows = table_rows(REGISTER, processes.targets(), DAEMONS)
             await edit(session, processes.daemon_urls()[0], rows, "first")
             for url in processes.daemon_urls():
-                await until(lambda url=url: is_ready(session, url))
+                await wait_until(lambda url=url: is_ready(session, url))
             yield processes, session
         finally:
-            processes.end_all()
+            processes.kill_all()
 
 
-async def answers(session, url):
+async def responds(session, url):
     return (await get(session, url))[0] != 0
 
 
@@ -202,28 +202,28 @@
                 processes.url(processes.port["store"]),
                 scored=True,
             )
-            training = asyncio.create_task(trainer.run(5))
+            training_task = asyncio.create_task(trainer.run(5))
 
-            # Kill one daemon and bring its replacement, with an edit in between.
+            # Kill one daemon and restart it after an edit.
             processes.running["d2"].kill()
             processes.running["d2"].wait()
             await edit(session, urls[0], [DaemonRow(name="note")], "second")
             processes.start_daemon("d2")
 
-            # Pause a daemon past its leases; the others go on; it catches up when it wakes.
+            # Pause a daemon for longer than its leases; it catches up once resumed.
             processes.running["d1"].send_signal(signal.SIGSTOP)
             await edit(session, urls[0], [DaemonRow(name="note", draining=True)], "third")
             await asyncio.sleep(3.0)
             processes.running["d1"].send_signal(signal.SIGCONT)
             for url in urls:
-                await until(lambda url=url: has_revision(session, url, 3))
+                await wait_until(lambda url=url: has_revision(session, url, 3))
 
-            # An outage of the key-value service; callers are served through it.
+            # Callers are served during an outage of the key-value service.
             processes.running["kv"].send_signal(signal.SIGSTOP)
             await asyncio.gather(*(caller.complete(APPLICATION, f"t{n}", 32, n) for n in range(10)))
             assert caller.record.completed == 10
             processes.running["kv"].send_signal(signal.SIGCONT)
-            await asyncio.wait_for(training, TIMEOUT_SECONDS)
+            await asyncio.wait_for(training_task, TIMEOUT_SECONDS)
 
             # A planned stop under load.
             caller.urls = urls[:1]
@@ -249,32 +249,32 @@
     return await revision_of(session, url) == revision
 
 
-def test_bad_settings_end_with_one_line_and_code_2(tmp_path):
+def test_invalid_settings_exit_with_one_line_and_code_2(tmp_path):
     path = tmp_path / "bad.json"
     path.write_text('{"daemon": "d0", "zone": 7} // wrong')
     command = [sys.executable, "-c", "from rackswitch.daemon.main import main; main()"]
-    done = subprocess.run([*command, f"--settings={path}"], capture_output=True, text=True)
-    assert done.returncode == 2
-    assert done.stderr.count("\n") == 1
-    assert "$.zone" in done.stderr
-    assert "found 7" in done.stderr
+    finished = subprocess.run([*command, f"--settings={path}"], capture_output=True, text=True)
+    assert finished.returncode == 2
+    assert finished.stderr.count("\n") == 1
+    assert "$.zone" in finished.stderr
+    assert "found 7" in finished.stderr
 
 
-def control(url, *arguments):
+def run_command_line(url, *arguments):
     """Run the operators' command line; return its exit code and output."""
     command = [sys.executable, "-c", "from rackswitch.cli.main import main; main()", *arguments]
     environment = {**os.environ, "RACKSWITCH_URL": url, "RACKSWITCH_TOKEN": OPERATOR_TOKEN}
-    done = subprocess.run(command, capture_output=True, text=True, env=environment)
-    return done.returncode, done.stdout
+    finished = subprocess.run(command, capture_output=True, text=True, env=environment)
+    return finished.returncode, finished.stdout
 
 
-def test_the_command_line_covers_the_administration_api(tmp_path):
+def test_command_line_covers_the_administration_api(tmp_path):
     async def scenario():
         async with running_processes(tmp_path) as (processes, _):
             url = processes.daemon_urls()[1]
 
             async def run(*arguments):
-                return await asyncio.to_thread(control, url, *arguments)
+                return await asyncio.to_thread(run_command_line, url, *arguments)
 
             row = tmp_path / "row.json"
             row.write_text('{"kind": "daemon", "name": "x"} // a row')
--- a/rackswitch/load/__init__.py
+++ b/rackswitch/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load and experiment tool."""
+"""Load and fault-injection tests of complete fleets."""
--- a/rackswitch/load/campaign.py
+++ b/rackswitch/load/campaign.py
@@ -1,8 +1,7 @@
-"""A long randomised run over whole daemons, with faults at any time, alone or two together.
+"""A randomised run of an embedded fleet under load and faults, one or two at a time.
 
-The schedule of faults and the load follow from the seed. Violations are counted outside
-of the daemons: by callers, the trainer, services' and engines' own records, and the edits
-that were accepted.
+The seed determines the load and the schedule of faults. Violations are detected outside the
+daemons: by callers, the trainer, the records of services and engines, and accepted edits.
 """
 
 import asyncio
@@ -32,10 +31,10 @@
 
 ARRIVALS_PER_SECOND = 25.0
 EDITS_PER_SECOND = 1.5
-FAULT_PAUSE_SECONDS = (0.3, 2.5)
-FAULT_LIFE_SECONDS = (0.3, 3.0)
-HEALING_TIMEOUT_SECONDS = 60.0
-TWO_AT_ONCE_SHARE = 0.3
+FAULT_INTERVAL_SECONDS = (0.3, 2.5)
+FAULT_DURATION_SECONDS = (0.3, 3.0)
+RECOVERY_TIMEOUT_SECONDS = 60.0
+TWO_FAULTS_PROBABILITY = 0.3
 CALL_TIMEOUT_SECONDS = 20.0
 
 Fault = Callable[["Campaign"], Awaitable[None]]
@@ -44,12 +43,16 @@
 
 @dataclass(slots=True)
 class CampaignReport:
-    """What a campaign saw.
+    """The result of a campaign.
 
     Attributes
     ----------
     violations : list of str
-        Empty if everything that must hold did.
+        Violated guarantees; empty if the run passed.
+    not_run, in_doubt : int
+        Calls that were refused before they ran, and calls that may have run or failed.
+    beliefs : list of str
+        State of the daemons and the trainer, if the fleet did not recover.
     """
 
     seed: int
@@ -67,12 +70,12 @@
 
 
 class Campaign:
-    """One run.
+    """One run of load and faults.
 
     Parameters
     ----------
     profile : FleetProfile
-        The fleet's shape.
+        Profile of the fleet.
     seed : int
         Seed of load and faults.
     daemons : int
@@ -92,7 +95,7 @@
         self._replacements: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> CampaignReport:
-        """Load the fleet and break it for a time, then heal it and count."""
+        """Apply load and faults for a time, then clear the faults and collect the results."""
         await self.fleet.start()
         await wait_ready(self.fleet)
         self.fleet.store.versions[self._profile.model] = {1}
@@ -106,34 +109,34 @@
             scored=True,
             seed=self.report.seed,
         )
-        work = [
-            asyncio.create_task(self._call_callers()),
+        background_tasks = [
+            asyncio.create_task(self._send_calls()),
             asyncio.create_task(self._edit()),
-            asyncio.create_task(self._break()),
+            asyncio.create_task(self._inject_faults()),
         ]
-        training = asyncio.create_task(self.trainer.run(1_000_000))
+        training_task = asyncio.create_task(self.trainer.run(1_000_000))
         await asyncio.sleep(seconds)
-        for task in work:
+        for task in background_tasks:
             task.cancel()
-        await asyncio.gather(*work, return_exceptions=True)
-        self._heal()
+        await asyncio.gather(*background_tasks, return_exceptions=True)
+        self._clear_faults()
         await asyncio.gather(*self._replacements)
-        await self._settle(training)
-        await self._count(seconds)
+        await self._wait_for_recovery(training_task)
+        await self._collect_results(seconds)
         await self.caller.close()
         await self.fleet.stop()
         return self.report
 
-    def renew_urls(self) -> None:
-        """Let the balancer know which daemons there are."""
+    def update_urls(self) -> None:
+        """Send further calls to the present daemons only."""
         self.caller.urls = self.fleet.urls()
         self.trainer.urls = self.fleet.urls()
 
     async def replace_daemon(self, planned: bool) -> None:
-        """Take a daemon away, planned or not, and bring another.
+        """Stop or crash a daemon and start a new one.
 
-        What has begun is carried through although the campaign ends meanwhile: a daemon
-        that is stopped halfway is none that any fleet could have.
+        A replacement in progress is completed even if the fault task is cancelled, so that no
+        daemon stays partly stopped.
         """
         task = asyncio.create_task(self._replace_daemon(planned))
         self._replacements.add(task)
@@ -142,24 +145,24 @@
 
     async def _replace_daemon(self, planned: bool) -> None:
         name = self.rng.choice(sorted(self.fleet.daemons))
-        leaving = self.fleet.daemons.pop(name)
-        self.renew_urls()
+        old_daemon = self.fleet.daemons.pop(name)
+        self.update_urls()
         if planned:
-            await leaving.stop()
+            await old_daemon.stop()
         else:
-            await leaving.crash()
-        if leaving.context.broken is not None:
-            self.report.violations.append(f"{name}: {leaving.context.broken}")
+            await old_daemon.crash()
+        if old_daemon.context.broken is not None:
+            self.report.violations.append(f"{name}: {old_daemon.context.broken}")
         number = self._next_daemon
         self._next_daemon += 1
         await self.fleet.start_daemon(f"d{number}", number)
-        self.renew_urls()
+        self.update_urls()
 
-    def life_seconds(self) -> float:
-        """Return how long the next fault lasts."""
-        return self.rng.uniform(*FAULT_LIFE_SECONDS)
+    def draw_fault_seconds(self) -> float:
+        """Draw the duration of a fault."""
+        return self.rng.uniform(*FAULT_DURATION_SECONDS)
 
-    async def _call_callers(self) -> None:
+    async def _send_calls(self) -> None:
         number = 0
         while True:
             await asyncio.sleep(self.rng.expovariate(ARRIVALS_PER_SECOND))
@@ -184,7 +187,7 @@
             await asyncio.gather(*calls)
 
     async def _edit(self) -> None:
-        """Two writers race on one row, and each adds rows of its own."""
+        """Let two writers race on one row while each adds rows of its own."""
         number = 0
         async with aiohttp.ClientSession() as session:
             while True:
@@ -193,40 +196,40 @@
                 await asyncio.gather(*(self._edit_once(session, w, number) for w in "ab"))
 
     async def _edit_once(self, session: aiohttp.ClientSession, writer: str, number: int) -> None:
-        own = DaemonRow(name=f"row-{writer}-{number}")
-        shared = DaemonRow(name="row-shared", draining=bool(number % 2))
+        own_row = DaemonRow(name=f"row-{writer}-{number}")
+        shared_row = DaemonRow(name="row-shared", draining=bool(number % 2))
         body = msgspec.json.encode(
-            {"changes": [{"row": own}, {"row": shared}], "edit_id": f"{writer}{number}"}
+            {"changes": [{"row": own_row}, {"row": shared_row}], "edit_id": f"{writer}{number}"}
         )
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         url = self.rng.choice(self.fleet.urls()) + "/admin/v1/edits"
         try:
-            async with session.post(url, data=body, headers=headers) as answer:
-                content = await answer.read()
+            async with session.post(url, data=body, headers=headers) as response:
+                content = await response.read()
         except (aiohttp.ClientError, TimeoutError):
             return
-        if answer.status == 200:
-            self.accepted[f"daemon/{own.name}"] = msgspec.json.decode(content)["revision"]
+        if response.status == 200:
+            self.accepted[f"daemon/{own_row.name}"] = msgspec.json.decode(content)["revision"]
 
-    async def _break(self) -> None:
+    async def _inject_faults(self) -> None:
         while True:
-            await asyncio.sleep(self.rng.uniform(*FAULT_PAUSE_SECONDS))
-            count = 2 if self.rng.random() < TWO_AT_ONCE_SHARE else 1
+            await asyncio.sleep(self.rng.uniform(*FAULT_INTERVAL_SECONDS))
+            count = 2 if self.rng.random() < TWO_FAULTS_PROBABILITY else 1
             names = self.rng.sample(FAULTS.names(), count)
             self.report.faults.update(names)
             await asyncio.gather(*(FAULTS.get(name)(self) for name in names))
 
-    def _beliefs(self) -> list[str]:
-        """Return what each daemon believes and waits for, and what the trainer last heard."""
+    def _describe_state(self) -> list[str]:
+        """Describe the state of daemons, engines and trainer if the fleet did not recover."""
         now_seconds = asyncio.get_running_loop().time()
-        lines = [f"trainer's last refusals: {list(self.trainer.last_refusals)}"]
+        lines = [f"last refusals seen by the trainer: {list(self.trainer.last_refusals)}"]
         for engine in self.fleet.engines.values():
             lines.append(f"engine {engine.name}: version {engine.version}, {engine.gate.order}")
         for name, daemon in self.fleet.daemons.items():
             view = daemon.context.view
             members = {
-                member: f"{known.update.state.name} {known.update.incarnation}"
-                for member, known in daemon.context.membership.members.items()
+                member: f"{member_state.update.state.name} {member_state.update.incarnation}"
+                for member, member_state in daemon.context.membership.members.items()
             }
             roles = {
                 role: lease.held.fencing if lease.held is not None else None
@@ -244,7 +247,7 @@
             lines.extend(f"{name}: {state}" for state in daemon.context.duty_states())
         return lines
 
-    def _heal(self) -> None:
+    def _clear_faults(self) -> None:
         fleet = self.fleet
         gates = [fleet.kv.gate, fleet.store.gate, fleet.scorer.gate]
         for gate in [*gates, *(service.gate for service in fleet.services)]:
@@ -255,26 +258,26 @@
         for daemon in fleet.daemons.values():
             daemon.context.links.blocked.clear()
 
-    async def _settle(self, training: asyncio.Task[None]) -> None:
-        """Wait for two more whole steps, all calls' ends, and one table everywhere."""
-        goal = self.trainer.record.steps + 2
+    async def _wait_for_recovery(self, training_task: asyncio.Task[None]) -> None:
+        """Wait for two more complete steps, one table revision everywhere, and all calls to end."""
+        target_steps = self.trainer.record.steps + 2
         try:
-            async with asyncio.timeout(HEALING_TIMEOUT_SECONDS):
-                while self.trainer.record.steps < goal and not training.done():
+            async with asyncio.timeout(RECOVERY_TIMEOUT_SECONDS):
+                while self.trainer.record.steps < target_steps and not training_task.done():
                     await asyncio.sleep(0.05)
                 while len({d.context.view.revision for d in self.fleet.daemons.values()}) > 1:
                     await asyncio.sleep(0.05)
         except TimeoutError:
             self.report.violations.append("the fleet did not recover after the faults ended")
-            self.report.beliefs = self._beliefs()
-        training.cancel()
-        await asyncio.gather(training, return_exceptions=True)
+            self.report.beliefs = self._describe_state()
+        training_task.cancel()
+        await asyncio.gather(training_task, return_exceptions=True)
         if self._calls:
             _, pending = await asyncio.wait(self._calls, timeout=CALL_TIMEOUT_SECONDS)
             if pending:
-                self.report.violations.append(f"{len(pending)} calls without a final answer")
+                self.report.violations.append(f"{len(pending)} calls without a final response")
 
-    async def _count(self, seconds: float) -> None:
+    async def _collect_results(self, seconds: float) -> None:
         runs: Counter[str] = Counter()
         for service in self.fleet.services:
             runs.update(service.runs_by_key)
@@ -286,12 +289,12 @@
         report.violations += self.fleet.broken_invariants()
         labels = false_labels(self.trainer.labels, self.fleet.engines.values())
         if labels:
-            report.violations.append(f"{labels} samples with a false label")
+            report.violations.append(f"{labels} samples with a wrong label")
         for daemon in self.fleet.daemons.values():
             rows = daemon.context.view.document.rows
-            gone = [key for key in self.accepted if key not in rows]
-            if gone:
-                report.violations.append(f"accepted edits not in force: {gone[:3]}")
+            missing = [key for key in self.accepted if key not in rows]
+            if missing:
+                report.violations.append(f"accepted edits missing from the table: {missing[:3]}")
         report.completed = record.completed
         report.not_run = record.not_run
         report.in_doubt = record.may_have_run + record.failed
@@ -303,7 +306,7 @@
 
 async def _kv_fault(campaign: Campaign, order: FaultOrder) -> None:
     campaign.fleet.kv.gate.set(order)
-    await asyncio.sleep(campaign.life_seconds())
+    await asyncio.sleep(campaign.draw_fault_seconds())
     campaign.fleet.kv.gate.set(FaultOrder())
 
 
@@ -323,13 +326,13 @@
 
 
 @FAULTS.register("leases lapse")
-async def _leases_lapse(campaign: Campaign) -> None:
+async def _leases_expire(campaign: Campaign) -> None:
     campaign.fleet.kv.lapse_leases()
     campaign.fleet.kv.break_watches()
 
 
 @FAULTS.register("daemon dies")
-async def _daemon_dies(campaign: Campaign) -> None:
+async def _daemon_crashes(campaign: Campaign) -> None:
     await campaign.replace_daemon(planned=False)
 
 
@@ -339,12 +342,12 @@
 
 
 @FAULTS.register("daemons cut off from each other")
-async def _cut(campaign: Campaign) -> None:
+async def _daemons_partitioned(campaign: Campaign) -> None:
     names = sorted(campaign.fleet.daemons)
     half = set(campaign.rng.sample(names, len(names) // 2))
     for name, daemon in campaign.fleet.daemons.items():
         daemon.context.links.blocked |= set(names) - half if name in half else half
-    await asyncio.sleep(campaign.life_seconds())
+    await asyncio.sleep(campaign.draw_fault_seconds())
     for daemon in campaign.fleet.daemons.values():
         daemon.context.links.blocked.clear()
 
@@ -354,7 +357,7 @@
     engine = campaign.rng.choice(list(campaign.fleet.engines.values()))
     engine.gate.set(FaultOrder(mode="cut_before"))
     engine.break_streams()
-    await asyncio.sleep(campaign.life_seconds())
+    await asyncio.sleep(campaign.draw_fault_seconds())
     engine.gate.set(FaultOrder())
 
 
@@ -362,7 +365,7 @@
 async def _engine_freezes(campaign: Campaign) -> None:
     engine = campaign.rng.choice(list(campaign.fleet.engines.values()))
     engine.gate.set(FaultOrder(mode="freeze"))
-    await asyncio.sleep(campaign.life_seconds())
+    await asyncio.sleep(campaign.draw_fault_seconds())
     engine.gate.set(FaultOrder())
 
 
@@ -370,7 +373,7 @@
 async def _engine_slows(campaign: Campaign) -> None:
     engine = campaign.rng.choice(list(campaign.fleet.engines.values()))
     engine.slow_factor = 10.0
-    await asyncio.sleep(campaign.life_seconds())
+    await asyncio.sleep(campaign.draw_fault_seconds())
     engine.slow_factor = 1.0
 
 
@@ -380,8 +383,8 @@
 
 
 @FAULTS.register("late order of a former holder")
-async def _late_order(campaign: Campaign) -> None:
-    """An engine that ignores fencing numbers takes an old order."""
+async def _stale_order(campaign: Campaign) -> None:
+    """Revert an engine to an old version, as if it ignored fencing numbers."""
     engine = campaign.rng.choice(list(campaign.fleet.engines.values()))
     if engine.version is not None and engine.version > 1 and not engine.loading:
         engine.version -= 1
@@ -392,12 +395,12 @@
     service = campaign.rng.choice(campaign.fleet.services)
     mode = campaign.rng.choice(["cut_after", "cut_before", "refuse"])
     service.gate.set(FaultOrder(mode=mode, share=0.5))
-    await asyncio.sleep(campaign.life_seconds())
+    await asyncio.sleep(campaign.draw_fault_seconds())
     service.gate.set(FaultOrder())
 
 
 @FAULTS.register("scorer refuses")
 async def _scorer_refuses(campaign: Campaign) -> None:
     campaign.fleet.scorer.gate.set(FaultOrder(mode="refuse", share=0.7))
-    await asyncio.sleep(campaign.life_seconds())
+    await asyncio.sleep(campaign.draw_fault_seconds())
     campaign.fleet.scorer.gate.set(FaultOrder())
--- a/rackswitch/load/link.py
+++ b/rackswitch/load/link.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback in front of one address, which shows the faults of a network on order."""
+"""A TCP proxy on loopback that injects network faults in front of one address."""
 
 import asyncio
 import contextlib
@@ -18,134 +18,138 @@
 
 CHUNK_BYTES = 65_536
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Value of SO_LINGER by which a close sends a reset in place of an orderly end."""
+"""Value of SO_LINGER with which a close sends RST instead of FIN."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkFaults:
-    """What a link does from now on.
+    """Network faults that a link injects.
 
     Attributes
     ----------
-    held : frozenset of str
-        Directions in which nothing passes; what was sent meanwhile passes afterwards, as TCP
-        sends again what a cut network lost.
+    blocked_directions : frozenset of str
+        Directions in which no data is forwarded. Data sent meanwhile is forwarded once the
+        direction is unblocked, as TCP retransmits after a network partition.
     delay_seconds : float
-        Added to all that passes.
+        Delay added to each chunk of data, in both directions.
     """
 
-    held: frozenset[str] = frozenset()
+    blocked_directions: frozenset[str] = frozenset()
     delay_seconds: float = 0.0
 
 
 class Link:
-    """Passes connections on to one address.
+    """Forwards TCP connections to one address.
 
     Parameters
     ----------
+    upstream : str
+        Address that connections are forwarded to (HOST:PORT).
     port : int
-        Where to listen on loopback; 0 takes a free port.
+        Port to listen on; 0 takes a free port.
     """
 
     __slots__ = (
         "_changed",
         "_faults",
-        "_host",
-        "_own_host",
-        "_pairs",
+        "_upstream_host",
+        "_listen_host",
+        "_connections",
         "_server",
-        "_upstream",
+        "_upstream_port",
         "port",
     )
 
     def __init__(self, upstream: str = "", port: int = 0):
         self.port = port
-        self._own_host = own_loopback_host()
-        self._host, self._upstream = "", 0
+        self._listen_host = own_loopback_host()
+        self._upstream_host, self._upstream_port = "", 0
         if upstream:
-            self.lead_to(upstream)
+            self.set_upstream(upstream)
         self._faults = LinkFaults()
         self._changed = asyncio.Event()
         self._server: asyncio.Server | None = None
-        self._pairs: set[asyncio.Task[None]] = set()
+        self._connections: set[asyncio.Task[None]] = set()
 
     @property
     def address(self) -> str:
-        """Where it listens, as HOST:PORT."""
-        return f"{self._own_host}:{self.port}"
+        """The listening address as HOST:PORT."""
+        return f"{self._listen_host}:{self.port}"
 
-    def lead_to(self, upstream: str) -> None:
-        """Pass new connections on to an address (HOST:PORT)."""
-        self._host, _, port = upstream.rpartition(":")
-        self._upstream = int(port)
+    def set_upstream(self, upstream: str) -> None:
+        """Forward new connections to an address (HOST:PORT)."""
+        self._upstream_host, _, port = upstream.rpartition(":")
+        self._upstream_port = int(port)
 
-    def set(self, faults: LinkFaults) -> None:
-        """Change what goes wrong, for present connections too."""
+    def set_faults(self, faults: LinkFaults) -> None:
+        """Set the faults for new and open connections."""
         self._faults = faults
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def open(self) -> None:
-        """Listen; after `close` at the same port as before."""
-        self._server = await asyncio.start_server(self._serve, self._own_host, self.port)
+        """Start listening; a closed link listens on its previous port."""
+        self._server = await asyncio.start_server(self._serve, self._listen_host, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """Refuse connections, and reset the present ones."""
+        """Stop listening and reset all open connections."""
         if self._server is not None:
             self._server.close()
         await self.reset()
 
     async def reset(self) -> None:
-        """Reset all present connections."""
-        pairs = list(self._pairs)
-        for pair in pairs:
-            pair.cancel()
-        await asyncio.gather(*pairs, return_exceptions=True)
+        """Reset all open connections."""
+        connections = list(self._connections)
+        for connection in connections:
+            connection.cancel()
+        await asyncio.gather(*connections, return_exceptions=True)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        pair = asyncio.current_task()
-        assert pair is not None
-        self._pairs.add(pair)
+        connection = asyncio.current_task()
+        assert connection is not None
+        self._connections.add(connection)
         writers = [writer]
         try:
-            server_reader, server_writer = await asyncio.open_connection(self._host, self._upstream)
+            server_reader, server_writer = await asyncio.open_connection(
+                self._upstream_host, self._upstream_port
+            )
             writers.append(server_writer)
-            async with asyncio.TaskGroup() as both:
-                both.create_task(self._pass_on(FORWARD, reader, server_writer))
-                both.create_task(self._pass_on(BACKWARD, server_reader, writer))
+            async with asyncio.TaskGroup() as task_group:
+                task_group.create_task(self._forward(FORWARD, reader, server_writer))
+                task_group.create_task(self._forward(BACKWARD, server_reader, writer))
         except* (OSError, asyncio.CancelledError):
-            # The one side learns of the other's end by the reset below.
+            # The reset below ends the connection on both sides.
             pass
         finally:
-            self._pairs.discard(pair)
-            for each in writers:
-                _reset(each)
+            self._connections.discard(connection)
+            for open_writer in writers:
+                _reset(open_writer)
 
-    async def _pass_on(
+    async def _forward(
         self, direction: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         while data := await reader.read(CHUNK_BYTES):
             await asyncio.sleep(self._faults.delay_seconds)
-            await self._wait_open(direction)
+            await self._wait_unblocked(direction)
             writer.write(data)
             await writer.drain()
-        await self._wait_open(direction)
+        await self._wait_unblocked(direction)
         if direction == BACKWARD:
-            # What the server ended in order ends so for the client, who then ends its own side.
+            # Passes the server's FIN on, so that the client can close its own side.
             writer.write_eof()
         else:
-            # A client that left wants no answer: the server is told at once.
-            raise ConnectionError("the client has left")
+            # Resets the server's connection, since the client no longer reads responses.
+            raise ConnectionError("the client closed the connection")
 
-    async def _wait_open(self, direction: str) -> None:
-        while direction in self._faults.held:
+    async def _wait_unblocked(self, direction: str) -> None:
+        while direction in self._faults.blocked_directions:
             await self._changed.wait()
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    raw = writer.get_extra_info("socket")
-    if raw is not None and not writer.transport.is_closing():
+    raw_socket = writer.get_extra_info("socket")
+    if raw_socket is not None and not writer.transport.is_closing():
         with contextlib.suppress(OSError):
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     writer.transport.abort()
--- a/rackswitch/load/main.py
+++ b/rackswitch/load/main.py
@@ -1,4 +1,4 @@
-"""The program ``rackswitch-load``: campaigns and soaks of load and faults."""
+"""The program ``rackswitch-load``: runs campaigns and soaks under load and faults."""
 
 import asyncio
 import os
@@ -20,36 +20,36 @@
 __all__ = ["main"]
 
 SECONDS_PER_RUN = 30.0
-END_TIMEOUT_SECONDS = 120.0
+CAMPAIGN_END_TIMEOUT_SECONDS = 120.0
 SOAK_TIMEOUT_SECONDS = 120.0
-"""Beyond a soak's own time, for its start, its last faults and its recovery."""
+"""Time allowed beyond the duration of the soak for start, last faults and recovery."""
 
-EXIT_NOT_ENDED = 6
+EXIT_TIMED_OUT = 6
 
 
 async def _run_bounded(campaign: Campaign, run_seconds: float) -> CampaignReport:
-    """Run a campaign; one that does not end shows what waits, and ends the program."""
+    """Run a campaign; if it does not end in time, print its pending tasks and exit."""
     task = asyncio.create_task(campaign.run(run_seconds))
-    done, _ = await asyncio.wait({task}, timeout=run_seconds + END_TIMEOUT_SECONDS)
-    if done:
+    finished, _ = await asyncio.wait({task}, timeout=run_seconds + CAMPAIGN_END_TIMEOUT_SECONDS)
+    if finished:
         return task.result()
-    print(f"seed {campaign.report.seed} did not end; what waits:", flush=True)
-    for waiting in asyncio.all_tasks():
-        frames = [f"{frame.f_code.co_qualname}:{frame.f_lineno}" for frame in waiting.get_stack()]
-        print(" ", waiting.get_name(), " < ".join(reversed(frames)), flush=True)
-    # The waiting tasks may not give way to an orderly end.
-    os._exit(EXIT_NOT_ENDED)
+    print(f"seed {campaign.report.seed} did not end in time; pending tasks:", flush=True)
+    for pending in asyncio.all_tasks():
+        frames = [f"{frame.f_code.co_qualname}:{frame.f_lineno}" for frame in pending.get_stack()]
+        print(" ", pending.get_name(), " < ".join(reversed(frames)), flush=True)
+    # Skips the usual shutdown, which could block on the pending tasks.
+    os._exit(EXIT_TIMED_OUT)
 
 
 async def _run_soak(soak: Soak, seconds: float) -> SoakReport:
-    """Run a soak; an order to stop ends it with all that it started."""
+    """Run a soak; SIGTERM cancels it and stops all processes that it started."""
     task = asyncio.create_task(soak.run(seconds))
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     return await asyncio.wait_for(task, seconds + SOAK_TIMEOUT_SECONDS)
 
 
 class Commands:
-    """Load and experiments on an embedded fleet."""
+    """Runs load and faults against daemons."""
 
     def campaign(
         self,
@@ -60,25 +60,25 @@
     ) -> None:
         """Run campaigns with consecutive seeds for a number of minutes.
 
-        Prints a JSON line for each run, and a line to replay each that had violations.
+        Prints a JSON line for each run, and the command to repeat each run with violations.
         """
         set_up_logs("CRITICAL")
         if profile not in PROFILES:
             print(f"unknown profile {profile!r}; known: {', '.join(PROFILES)}", file=sys.stderr)
             sys.exit(2)
-        bad = 0
+        failed_runs = 0
         for number in range(max(1, round(minutes * 60 / run_seconds))):
             campaign = Campaign(PROFILES[profile], seed + number)
             report = asyncio.run(_run_bounded(campaign, run_seconds))
             print(msgspec.json.encode(report).decode(), flush=True)
             if report.violations:
-                bad += 1
+                failed_runs += 1
                 print(
                     f"replay: rackswitch-load campaign --seed={report.seed} --minutes=0"
                     f" --profile={profile} --run_seconds={run_seconds}",
                     flush=True,
                 )
-        sys.exit(1 if bad else 0)
+        sys.exit(1 if failed_runs else 0)
 
     def soak(
         self,
@@ -87,20 +87,20 @@
         daemons: int = 4,
         faults: str = "",
     ) -> None:
-        """Run real gateways as processes under faults, and check what must always hold.
+        """Run gateway processes under faults and check their guarantees.
 
-        Prints the seed, the command that repeats it, and a JSON line of what was seen.
+        Prints the seed, the command to repeat the run, and a JSON line with the result.
 
         Parameters
         ----------
         seconds : float
-            How long faults come.
+            How long faults are injected.
         seed : int, optional
-            A fresh one by default.
+            Random by default.
         daemons : int
-            How many gateways.
+            Number of gateways.
         faults : str
-            Names of the faults that may come, with commas between; all by default.
+            Comma-separated names of the faults to inject; all by default.
         """
         set_up_logs("CRITICAL")
         names = [str(name) for name in faults] if isinstance(faults, tuple) else faults.split(",")
@@ -124,5 +124,5 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the command line."""
     fire.Fire(Commands)
--- a/rackswitch/load/soak.py
+++ b/rackswitch/load/soak.py
@@ -1,7 +1,7 @@
-"""A seeded run of real gateways under faults that come in series and overlap.
+"""A seeded run of gateway processes under sequential and overlapping faults.
 
-What is drawn follows from the seed; when it takes effect follows from the machine too, so that a
-run repeated by its seed meets the same kinds of faults and not the same moments.
+The seed determines which faults are drawn. Their timing also depends on the machine, so a run
+repeated with the same seed gets the same kinds of faults at other moments.
 """
 
 import asyncio
@@ -22,32 +22,34 @@
 __all__ = ["Soak", "SoakReport"]
 
 TRAINERS = 2
-FAULT_PAUSE_SECONDS = (0.1, 1.2)
-"""Shortest and longest pause before the next fault begins."""
+FAULT_INTERVAL_SECONDS = (0.1, 1.2)
+"""Minimum and maximum interval before the next faults begin."""
 
 MAX_FAULTS_AT_ONCE = 4
-CHECK_SECONDS = 0.5
-POLL_SECONDS = 0.1
-READY_SECONDS = 15.0
-SERVED_AGAIN_SECONDS = 10.0
-"""After the last fault's end, until when each daemon must serve calls by the newest table."""
+CHECK_INTERVAL_SECONDS = 0.5
+POLL_INTERVAL_SECONDS = 0.1
+READY_TIMEOUT_SECONDS = 15.0
+RECOVERY_TIMEOUT_SECONDS = 10.0
+"""Time after the last fault within which each daemon must serve by the newest table."""
 
-JOBS_WHOLE_SECONDS = 30.0
-"""After it, until when all jobs must be whole; some must first be taken over from a dead daemon."""
+JOBS_TIMEOUT_SECONDS = 30.0
+"""Time after recovery within which all jobs must be complete, including those taken over from
+a killed daemon."""
 
-MAX_SHOWN = 20
+MAX_REPORTED_VIOLATIONS = 20
 
 
 @dataclass(slots=True)
 class SoakReport:
-    """What a soak saw.
+    """The result of a soak.
 
     Attributes
     ----------
     violations : list of str
-        Empty if everything that must hold did.
+        Violated guarantees; empty if the run passed.
     served_after_seconds, whole_after_seconds : float
-        From the end of the last fault until all daemons served, and until all jobs were whole.
+        Time until all daemons served after the last fault, and from then until all jobs were
+        complete.
     """
 
     seed: int
@@ -63,79 +65,81 @@
 
 
 class Soak:
-    """One run.
+    """One run of load and faults.
 
     Parameters
     ----------
     seed : int
-        Of load and faults.
+        Seed of load and faults.
     daemons : int
-        How many gateways.
+        Number of gateways.
     folder : Path
-        For their settings and logs.
+        Where the gateways' settings and logs are written.
     faults : list of str
-        Names of the faults that may come; all if it is empty.
+        Names of the faults to inject; all if empty.
     """
 
     def __init__(self, seed: int, daemons: int, folder: Path, faults: list[str] | None = None):
         self.site = SoakSite(daemons, seed, folder)
         self.report = SoakReport(seed)
-        self._kinds = faults or SOAK_FAULTS.names()
-        self._chosen = [SOAK_FAULTS.get(name) for name in self._kinds]
+        self._fault_names = faults or SOAK_FAULTS.names()
+        self._faults = [SOAK_FAULTS.get(name) for name in self._fault_names]
         self._rng = random.Random(seed)
-        self._counts: Counter[str] = Counter()
+        self._fault_counts: Counter[str] = Counter()
         self.callers = SoakCallers(self.site, seed)
         self.trainers = [SoakTrainer(f"t{n}", self.site, seed) for n in range(TRAINERS)]
 
     async def run(self, seconds: float) -> SoakReport:
-        """Load the site and break it for a time, then see that all is served again."""
+        """Apply load and faults for a time, then check that the gateways recover."""
         try:
             await self.site.start()
-            await self._until_ready()
-            work = [asyncio.create_task(self.callers.run())]
-            work += [asyncio.create_task(trainer.run()) for trainer in self.trainers]
-            checks = asyncio.create_task(self._check_for_ever())
-            await self._break(seconds)
-            await self._recover()
-            for task in (*work, checks):
+            await self._wait_ready()
+            background_tasks = [asyncio.create_task(self.callers.run())]
+            background_tasks += [asyncio.create_task(trainer.run()) for trainer in self.trainers]
+            check_task = asyncio.create_task(self._check_periodically())
+            await self._inject_faults(seconds)
+            await self._check_recovery()
+            for task in (*background_tasks, check_task):
                 task.cancel()
-            ended = await asyncio.gather(*work, checks, return_exceptions=True)
-            await self._finish_jobs()
+            results = await asyncio.gather(*background_tasks, check_task, return_exceptions=True)
+            await self._check_jobs_complete()
         finally:
             await self.site.stop()
         self.site.violations += [
-            f"the soak's own task failed: {error!r}"
-            for error in ended
+            f"a task of the soak failed: {error!r}"
+            for error in results
             if not isinstance(error, asyncio.CancelledError)
         ]
-        return self._reported()
+        return self._fill_report()
 
-    async def _until_ready(self) -> None:
-        async with self._session() as session, asyncio.timeout(READY_SECONDS):
+    async def _wait_ready(self) -> None:
+        async with self._session() as session, asyncio.timeout(READY_TIMEOUT_SECONDS):
             for daemon in self.site.daemons:
                 while await daemon.readiness(session) != 200:
-                    await asyncio.sleep(POLL_SECONDS)
+                    await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
-    async def _break(self, seconds: float) -> None:
-        """Bring about faults for a time, each in a task, and wait until the last has ended."""
+    async def _inject_faults(self, seconds: float) -> None:
+        """Inject faults for a time, each in a task, and wait until all have ended."""
         loop = asyncio.get_running_loop()
         deadline_seconds = loop.time() + seconds
-        self.site.life_seconds = (0.2, min(3.0, seconds / 2))
+        self.site.fault_seconds_range = (0.2, min(3.0, seconds / 2))
         running: set[asyncio.Task[None]] = set()
         while loop.time() < deadline_seconds:
-            await asyncio.sleep(self._rng.uniform(*FAULT_PAUSE_SECONDS))
+            await asyncio.sleep(self._rng.uniform(*FAULT_INTERVAL_SECONDS))
             running = {task for task in running if not task.done()}
-            for number in self._rng.sample(range(len(self._kinds)), min(2, len(self._kinds))):
+            for number in self._rng.sample(
+                range(len(self._fault_names)), min(2, len(self._fault_names))
+            ):
                 if len(running) < MAX_FAULTS_AT_ONCE:
-                    self._counts[self._kinds[number]] += 1
-                    fault = self._chosen[number]
+                    self._fault_counts[self._fault_names[number]] += 1
+                    fault = self._faults[number]
                     running.add(asyncio.ensure_future(fault(self.site)))
-        self.site.is_ending = True
+        self.site.is_stopping = True
         await asyncio.gather(*running)
 
-    async def _check_for_ever(self) -> None:
+    async def _check_periodically(self) -> None:
         while True:
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             self._check()
 
     def _check(self) -> None:
@@ -144,71 +148,79 @@
                 self.site.violations.append(line)
 
     def _check_orders(self) -> list[str]:
-        """Return orders of two daemons to engines under one fencing number."""
+        """Return violations: load orders of several daemons with the same fencing number."""
         orders = [order for engine in self.site.engines for order in engine.stand_in.orders]
         holders: dict[int, set[str]] = {}
         for order in orders:
             holders.setdefault(order.fence, set()).add(order.holder)
-        return [f"orders of {who} under {fence}" for fence, who in holders.items() if len(who) > 1]
+        return [
+            f"load orders sharing a fencing number: {names} under {fence}"
+            for fence, names in holders.items()
+            if len(names) > 1
+        ]
 
-    async def _recover(self) -> None:
-        """See that every daemon serves both routes by the newest table, within the bound."""
-        began_seconds = asyncio.get_running_loop().time()
-        waiting = {daemon.name for daemon in self.site.daemons}
+    async def _check_recovery(self) -> None:
+        """Check that every daemon serves both routes by the newest table within the time limit."""
+        start_seconds = asyncio.get_running_loop().time()
+        unserved = {daemon.name for daemon in self.site.daemons}
         try:
-            async with self._session() as session, asyncio.timeout(SERVED_AGAIN_SECONDS):
+            async with self._session() as session, asyncio.timeout(RECOVERY_TIMEOUT_SECONDS):
                 for daemon in self.site.daemons:
-                    await self._until_served(session, daemon)
-                    waiting.discard(daemon.name)
+                    await self._wait_served(session, daemon)
+                    unserved.discard(daemon.name)
         except TimeoutError:
             self.site.violations.append(
-                f"not served {SERVED_AGAIN_SECONDS:.0f} s after the last fault: {sorted(waiting)}"
+                f"not serving {RECOVERY_TIMEOUT_SECONDS:.0f} s after the faults: {sorted(unserved)}"
             )
-        self.report.served_after_seconds = asyncio.get_running_loop().time() - began_seconds
+        self.report.served_after_seconds = asyncio.get_running_loop().time() - start_seconds
 
-    async def _until_served(self, session: aiohttp.ClientSession, daemon: DaemonProcess) -> None:
+    async def _wait_served(self, session: aiohttp.ClientSession, daemon: DaemonProcess) -> None:
         for number in itertools.count():
             statuses = set()
             for path in (self.site.newest_path, "/lodge/"):
                 request_id = f"probe-{daemon.name}{path.replace('/', '-')}{number}"
                 try:
-                    seen = await call_once(session, daemon, path + "1", request_id)
-                    statuses.add(seen.status)
+                    record = await call_once(session, daemon, path + "1", request_id)
+                    statuses.add(record.status)
                 except (aiohttp.ClientError, OSError):
                     statuses.add(0)
             if statuses == {200}:
                 return
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
-    async def _finish_jobs(self) -> None:
-        """See that every job that was taken becomes whole and stays so, and one more does."""
-        began_seconds = asyncio.get_running_loop().time()
-        last = SoakTrainer("last", self.site, self.report.seed)
+    async def _check_jobs_complete(self) -> None:
+        """Check that every accepted job and one new job complete and that results do not change."""
+        start_seconds = asyncio.get_running_loop().time()
+        final_trainer = SoakTrainer("last", self.site, self.report.seed)
         try:
-            async with self._session() as session, asyncio.timeout(JOBS_WHOLE_SECONDS):
+            async with self._session() as session, asyncio.timeout(JOBS_TIMEOUT_SECONDS):
                 await asyncio.gather(
-                    last.work_through(session), *(trainer.finish() for trainer in self.trainers)
+                    final_trainer.run_job(session), *(trainer.finish() for trainer in self.trainers)
                 )
         except TimeoutError:
-            jobs = [job for trainer in (*self.trainers, last) for job in trainer.jobs]
-            open_jobs = [job.job_id for job in jobs if job.is_taken and not job.is_whole]
+            jobs = [job for trainer in (*self.trainers, final_trainer) for job in trainer.jobs]
+            unfinished_jobs = [
+                job.job_id for job in jobs if job.is_accepted and not job.is_complete
+            ]
             self.site.violations.append(
-                f"not whole or not read {JOBS_WHOLE_SECONDS:.0f} s after the faults: {open_jobs}"
+                f"jobs incomplete {JOBS_TIMEOUT_SECONDS:.0f} s after the faults: {unfinished_jobs}"
             )
-        self.report.whole_after_seconds = asyncio.get_running_loop().time() - began_seconds
-        self.trainers.append(last)
+        self.report.whole_after_seconds = asyncio.get_running_loop().time() - start_seconds
+        self.trainers.append(final_trainer)
         self._check()
 
-    def _reported(self) -> SoakReport:
+    def _fill_report(self) -> SoakReport:
         report = self.report
-        report.violations = self.site.violations[:MAX_SHOWN]
-        report.faults = dict(self._counts)
+        report.violations = self.site.violations[:MAX_REPORTED_VIOLATIONS]
+        report.faults = dict(self._fault_counts)
         report.answers = dict(self.callers.answers)
-        taken = [job for trainer in self.trainers for job in trainer.jobs if job.is_taken]
-        report.jobs = len(taken)
-        report.items = sum(len(job.listed) for job in taken)
+        accepted_jobs = [
+            job for trainer in self.trainers for job in trainer.jobs if job.is_accepted
+        ]
+        report.jobs = len(accepted_jobs)
+        report.items = sum(len(job.listed) for job in accepted_jobs)
         report.given_up = sum(trainer.given_up for trainer in self.trainers)
-        report.processes = sum(len(daemon.lives) for daemon in self.site.daemons)
+        report.processes = sum(len(daemon.process_records) for daemon in self.site.daemons)
         return report
 
     def _session(self) -> aiohttp.ClientSession:
--- a/rackswitch/load/soak_callers.py
+++ b/rackswitch/load/soak_callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak, which keep a connection open to a daemon until its process is gone."""
+"""Callers of a soak; each keeps its connection to a daemon until that connection fails."""
 
 import asyncio
 import itertools
@@ -8,38 +8,40 @@
 
 import aiohttp
 
-from rackswitch.load.daemon_process import DaemonProcess, Life
+from rackswitch.load.daemon_process import DaemonProcess, ProcessRecord
 from rackswitch.load.soak_site import SoakSite, added_path
 from rackswitch.platform.names import DEADLINE_HEADER, REQUEST_ID_HEADER, STAMP_HEADER
 from rackswitch.standins.platform_fleet import HOST
 
-__all__ = ["CallSeen", "SoakCallers", "call_once"]
+__all__ = ["CallRecord", "SoakCallers", "call_once"]
 
 CALLERS = 12
 BURST_CALLERS = 120
-MEAN_PAUSE_SECONDS = 0.05
+MEAN_CALL_INTERVAL_SECONDS = 0.05
 DEADLINE_MS = 1500
-GIVEN_UP_SECONDS = 4.0
-SENT_BEFORE_END_SECONDS = 1.0
-"""A process ends some tenths of a second after its last connection: a request sent so long before
-that came while the daemon still read its connections."""
+CLIENT_TIMEOUT_SECONDS = 4.0
+MIN_SENT_BEFORE_EXIT_SECONDS = 1.0
+"""Minimum time between a request and the exit of the process for the daemon to have accepted
+the request; a process exits shortly after it closes its connections."""
 
 MAY_HAVE_RUN = frozenset((502, 504))
-"""A 500 would be the daemon's own, since no target here answers so."""
+"""Excludes 500, which no target sends here, so it would be a fault of the daemon."""
 
 NOT_RUN = frozenset((408, 429, 503))
 MAX_RUNS = {"look": 3, "lodge": 1, "added": 3}
-"""As the operator's table says of the routes."""
+"""Maximum number of attempts of each route in the operator's table."""
 
 
 @dataclass(frozen=True, slots=True)
-class CallSeen:
-    """A caller's request and what came back.
+class CallRecord:
+    """A caller's request and its outcome.
 
     Attributes
     ----------
     status : int
-        0 if the connection ended without an answer, or none came in time.
+        HTTP status; 0 if the connection failed or the request timed out.
+    detail : str
+        Start of an error response, the error's class, or the wrong content of a response.
     """
 
     request_id: str
@@ -51,13 +53,13 @@
 
 async def call_once(
     session: aiohttp.ClientSession, daemon: DaemonProcess, path: str, request_id: str
-) -> CallSeen:
-    """Send a request whose answer can be told from each other request's, and check that.
+) -> CallRecord:
+    """Send a request with a unique body and check that the response belongs to it.
 
     Raises
     ------
     aiohttp.ClientError, OSError, TimeoutError
-        If no whole answer comes.
+        If no complete response is received.
     """
     kind = path.split("/")[1]
     body = f"body of {request_id}".encode()
@@ -66,107 +68,107 @@
         REQUEST_ID_HEADER: request_id,
         DEADLINE_HEADER: str(DEADLINE_MS),
     }
-    async with session.post(daemon.url + path, data=body, headers=headers) as answer:
-        content = await answer.read()
-    if answer.status != 200:
-        return CallSeen(request_id, kind, answer.status, daemon.name, content.decode()[:80])
-    stamp = answer.headers.get(STAMP_HEADER, "")
+    async with session.post(daemon.url + path, data=body, headers=headers) as response:
+        content = await response.read()
+    if response.status != 200:
+        return CallRecord(request_id, kind, response.status, daemon.name, content.decode()[:80])
+    stamp = response.headers.get(STAMP_HEADER, "")
     if content != b"answer to " + body or not stamp.endswith(f"-{request_id}"):
         foreign = f"foreign: {content[:60]!r} {stamp!r}"
-        return CallSeen(request_id, kind, 200, daemon.name, foreign)
-    return CallSeen(request_id, kind, 200, daemon.name)
+        return CallRecord(request_id, kind, 200, daemon.name, foreign)
+    return CallRecord(request_id, kind, 200, daemon.name)
 
 
 class SoakCallers:
-    """Callers and what they have seen.
+    """Sends calls to the daemons and checks their outcomes.
 
     Parameters
     ----------
     site : SoakSite
-        Whom they call.
+        Test environment that they call.
     seed : int
-        Of their pauses and choices.
+        Seed of their intervals and choices.
 
     Attributes
     ----------
-    seen : list of CallSeen
+    records : list of CallRecord
         All requests that ended.
     answers : Counter
-        How many of each status and text.
+        Number of responses by status and text.
     """
 
     def __init__(self, site: SoakSite, seed: int):
-        self.seen: list[CallSeen] = []
+        self.records: list[CallRecord] = []
         self.answers: Counter[str] = Counter()
         self._site = site
         self._rng = random.Random(seed)
         self._numbers = itertools.count(1)
-        self._cut: list[tuple[CallSeen, Life, float]] = []
-        self._in_force: dict[str, int] = {}
-        """By daemon, the newest version of the table that an answer of it has shown."""
+        self._interrupted_calls: list[tuple[CallRecord, ProcessRecord, float]] = []
+        self._newest_known_versions: dict[str, int] = {}
+        """Newest table version that each daemon is known to have applied."""
 
     async def run(self) -> None:
         """Call until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             for _ in range(CALLERS):
-                tasks.create_task(self._call_for_ever())
+                tasks.create_task(self._call_repeatedly())
             while True:
                 await self._site.burst.wait()
                 self._site.burst.clear()
                 for _ in range(BURST_CALLERS):
-                    tasks.create_task(self._call_in_a_burst())
+                    tasks.create_task(self._call_once_in_burst())
 
     def check(self) -> list[str]:
-        """Return what must not have been seen by now."""
+        """Return the violations found so far."""
         runs = Counter(
             run.request_id for target in self._site.targets for run in target.stand_in.runs
         )
         return [
             *self._check_answers(runs),
-            *self._check_cuts(),
+            *self._check_interrupted_calls(),
         ]
 
     def _check_answers(self, runs: Counter[str]) -> list[str]:
-        found: list[str] = []
-        for seen in self.seen:
-            count = runs[seen.request_id]
-            said = f"{seen.request_id} at {seen.daemon}: {seen.status} {seen.detail}"
-            if count > MAX_RUNS[seen.kind]:
-                found.append(f"{said}, ran {count} times")
-            if seen.status == 200 and (seen.detail or not count):
-                found.append(f"{said}, ran {count} times, not its own answer")
-            if seen.status in NOT_RUN and count:
-                found.append(f"{said}, called not run and ran {count} times")
-            not_yet = seen.kind == "added" and seen.status == 404
-            if not not_yet and seen.status not in (0, 200, *NOT_RUN, *MAY_HAVE_RUN):
-                found.append(f"{said}, no status for a request that is in order")
-        return found
-
-    def _check_cuts(self) -> list[str]:
-        """Return requests that a planned stop, and nothing else, has cut."""
+        violations: list[str] = []
+        for record in self.records:
+            count = runs[record.request_id]
+            summary = f"{record.request_id} at {record.daemon}: {record.status} {record.detail}"
+            if count > MAX_RUNS[record.kind]:
+                violations.append(f"{summary}, ran {count} times")
+            if record.status == 200 and (record.detail or not count):
+                violations.append(f"{summary}, ran {count} times, not its own response")
+            if record.status in NOT_RUN and count:
+                violations.append(f"{summary}, reported as not run but ran {count} times")
+            is_route_pending = record.kind == "added" and record.status == 404
+            if not is_route_pending and record.status not in (0, 200, *NOT_RUN, *MAY_HAVE_RUN):
+                violations.append(f"{summary}, unexpected status for a valid request")
+        return violations
+
+    def _check_interrupted_calls(self) -> list[str]:
+        """Return violations: requests interrupted by a planned stop and no other fault."""
         return [
-            f"{seen.request_id} was cut by the planned stop of {seen.daemon}: {seen.detail}"
-            for seen, life, sent_seconds in self._cut
-            if life.stop_ordered_seconds is not None
-            and life.ended_seconds is not None
-            and not life.disturbed
-            and sent_seconds < life.ended_seconds - SENT_BEFORE_END_SECONDS
+            f"{record.request_id} interrupted by planned stop of {record.daemon}: {record.detail}"
+            for record, process_record, sent_seconds in self._interrupted_calls
+            if process_record.stop_requested_seconds is not None
+            and process_record.ended_seconds is not None
+            and not process_record.disturbed
+            and sent_seconds < process_record.ended_seconds - MIN_SENT_BEFORE_EXIT_SECONDS
         ]
 
-    async def _call_for_ever(self) -> None:
+    async def _call_repeatedly(self) -> None:
         async with _session(1) as session:
             daemon = self._rng.choice(self._site.daemons)
             while True:
-                await asyncio.sleep(self._rng.expovariate(1 / MEAN_PAUSE_SECONDS))
-                seen = await self._call(session, daemon)
-                if seen.status == 0:
+                await asyncio.sleep(self._rng.expovariate(1 / MEAN_CALL_INTERVAL_SECONDS))
+                record = await self._call(session, daemon)
+                if record.status == 0:
                     daemon = self._rng.choice(self._site.daemons)
 
-    async def _call_in_a_burst(self) -> None:
+    async def _call_once_in_burst(self) -> None:
         async with _session(1) as session:
             await self._call(session, self._rng.choice(self._site.daemons))
 
-    async def _call(self, session: aiohttp.ClientSession, daemon: DaemonProcess) -> CallSeen:
+    async def _call(self, session: aiohttp.ClientSession, daemon: DaemonProcess) -> CallRecord:
         number = next(self._numbers)
         kind = self._rng.choice(("look", "lodge", "added"))
         version = self._site.table_version
@@ -174,25 +176,29 @@
             kind = "look"
         path = added_path(version) if kind == "added" else f"/{kind}/"
         request_id = f"{kind}-{number}"
-        life, sent_seconds = daemon.life, asyncio.get_running_loop().time()
-        in_force = self._in_force.get(daemon.name, 1)
+        process_record, sent_seconds = daemon.process_record, asyncio.get_running_loop().time()
+        known_version = self._newest_known_versions.get(daemon.name, 1)
         try:
-            seen = await call_once(session, daemon, f"{path}{number}", request_id)
+            record = await call_once(session, daemon, f"{path}{number}", request_id)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            seen = CallSeen(request_id, kind, 0, daemon.name, type(error).__name__)
+            record = CallRecord(request_id, kind, 0, daemon.name, type(error).__name__)
             if not isinstance(error, aiohttp.ClientConnectorError):
-                self._cut.append((seen, life, sent_seconds))
-        if kind == "added" and seen.status == 200:
-            self._in_force[daemon.name] = max(version, self._in_force.get(daemon.name, 1))
-        if kind == "added" and seen.status == 404 and in_force >= version:
-            self._site.violations.append(f"{daemon.name}: table {version} was in force and is not")
-        self.seen.append(seen)
-        self.answers[f"{seen.status} {seen.detail.partition(' for ')[0]}".strip()] += 1
-        return seen
+                self._interrupted_calls.append((record, process_record, sent_seconds))
+        if kind == "added" and record.status == 200:
+            self._newest_known_versions[daemon.name] = max(
+                version, self._newest_known_versions.get(daemon.name, 1)
+            )
+        if kind == "added" and record.status == 404 and known_version >= version:
+            self._site.violations.append(
+                f"{daemon.name}: table {version} was applied before and is not now"
+            )
+        self.records.append(record)
+        self.answers[f"{record.status} {record.detail.partition(' for ')[0]}".strip()] += 1
+        return record
 
 
 def _session(connections: int) -> aiohttp.ClientSession:
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=connections),
-        timeout=aiohttp.ClientTimeout(total=GIVEN_UP_SECONDS),
+        timeout=aiohttp.ClientTimeout(total=CLIENT_TIMEOUT_SECONDS),
     )
--- a/rackswitch/load/soak_faults.py
+++ b/rackswitch/load/soak_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a soak; each fault ends by itself and leaves all as it found it."""
+"""Faults that a soak injects; each one ends by itself and restores the previous state."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -17,9 +17,9 @@
 MAX_LOST_ANSWERS = 8
 
 
-async def _replace(site: SoakSite, daemon: DaemonProcess, planned: bool) -> None:
-    """End a daemon's process and start the next one; one after the other where faults overlap."""
-    async with daemon.change:
+async def _replace_daemon(site: SoakSite, daemon: DaemonProcess, planned: bool) -> None:
+    """Stop or kill a daemon and start it again; overlapping calls run one after the other."""
+    async with daemon.lifecycle_lock:
         await (daemon.stop() if planned else daemon.kill())
         await asyncio.sleep(site.rng.uniform(0.0, 0.5))
         await daemon.start()
@@ -27,43 +27,43 @@
 
 @SOAK_FAULTS.register("daemons-paused")
 async def _daemons_paused(site: SoakSite) -> None:
-    paused = site.some_daemons()
-    await asyncio.gather(*(daemon.pause(site.some_life_seconds()) for daemon in paused))
+    paused = site.draw_daemons()
+    await asyncio.gather(*(daemon.pause(site.draw_fault_seconds()) for daemon in paused))
 
 
 @SOAK_FAULTS.register("daemon-stopped")
 async def _daemon_stopped(site: SoakSite) -> None:
-    await _replace(site, site.rng.choice(site.daemons), planned=True)
+    await _replace_daemon(site, site.rng.choice(site.daemons), planned=True)
 
 
 @SOAK_FAULTS.register("daemon-killed")
 async def _daemon_killed(site: SoakSite) -> None:
-    await _replace(site, site.rng.choice(site.daemons), planned=False)
+    await _replace_daemon(site, site.rng.choice(site.daemons), planned=False)
 
 
 @SOAK_FAULTS.register("all-daemons-killed")
 async def _all_daemons_killed(site: SoakSite) -> None:
-    await asyncio.gather(*(_replace(site, daemon, planned=False) for daemon in site.daemons))
+    await asyncio.gather(*(_replace_daemon(site, daemon, planned=False) for daemon in site.daemons))
 
 
 @SOAK_FAULTS.register("daemons-rolled")
-async def _daemons_rolled(site: SoakSite) -> None:
+async def _rolling_restart(site: SoakSite) -> None:
     for daemon in site.rng.sample(site.daemons, len(site.daemons)):
-        if not site.is_ending:
-            await _replace(site, daemon, planned=True)
+        if not site.is_stopping:
+            await _replace_daemon(site, daemon, planned=True)
 
 
 @SOAK_FAULTS.register("rolled-in-an-outage")
-async def _rolled_in_an_outage(site: SoakSite) -> None:
-    await asyncio.gather(_store_silent(site), _daemons_rolled(site))
+async def _rolling_restart_in_outage(site: SoakSite) -> None:
+    await asyncio.gather(_store_silent(site), _rolling_restart(site))
 
 
 @SOAK_FAULTS.register("settings-read-again")
-async def _settings_read_again(site: SoakSite) -> None:
-    for daemon in site.some_daemons():
-        # What is just being started may not run a line of its own yet.
-        if not daemon.change.locked():
-            daemon.read_settings_again()
+async def _settings_reloaded(site: SoakSite) -> None:
+    for daemon in site.draw_daemons():
+        # SIGHUP would end a starting process that has no signal handler yet.
+        if not daemon.lifecycle_lock.locked():
+            daemon.reload_settings()
 
 
 @SOAK_FAULTS.register("store-silent")
@@ -83,19 +83,19 @@
 
 
 @SOAK_FAULTS.register("store-away-for-some")
-async def _store_away_for_some(site: SoakSite) -> None:
-    await site.fault_links([daemon.link for daemon in site.some_daemons()], LinkFaults(BOTH))
+async def _store_unreachable_for_some(site: SoakSite) -> None:
+    await site.fault_links([daemon.link for daemon in site.draw_daemons()], LinkFaults(BOTH))
 
 
 @SOAK_FAULTS.register("store-cut-one-way")
 async def _store_cut_one_way(site: SoakSite) -> None:
-    way = frozenset({site.rng.choice((FORWARD, BACKWARD))})
-    await site.fault_links([daemon.link for daemon in site.some_daemons()], LinkFaults(way))
+    direction = frozenset({site.rng.choice((FORWARD, BACKWARD))})
+    await site.fault_links([daemon.link for daemon in site.draw_daemons()], LinkFaults(direction))
 
 
 @SOAK_FAULTS.register("store-resets")
 async def _store_resets(site: SoakSite) -> None:
-    await asyncio.gather(*(daemon.link.reset() for daemon in site.some_daemons()))
+    await asyncio.gather(*(daemon.link.reset() for daemon in site.draw_daemons()))
 
 
 @SOAK_FAULTS.register("store-loses-answers")
@@ -116,22 +116,22 @@
             site.store.end_lease(lease_id)
 
 
-async def _die(site: SoakSite, targets: list[SoakTarget]) -> None:
-    after_seconds = site.some_life_seconds()
+async def _crash_targets(site: SoakSite, targets: list[SoakTarget]) -> None:
+    restart_delay_seconds = site.draw_fault_seconds()
     keeps_identity = site.rng.random() < 0.5
     await asyncio.gather(
-        *(target.die_and_come_back(after_seconds, keeps_identity) for target in targets)
+        *(target.crash_and_restart(restart_delay_seconds, keeps_identity) for target in targets)
     )
 
 
 @SOAK_FAULTS.register("target-killed")
 async def _target_killed(site: SoakSite) -> None:
-    await _die(site, [site.rng.choice(site.targets)])
+    await _crash_targets(site, [site.rng.choice(site.targets)])
 
 
 @SOAK_FAULTS.register("service-gone-and-back")
-async def _service_gone_and_back(site: SoakSite) -> None:
-    await _die(site, site.rng.choice((site.engines, site.services)))
+async def _service_crashes_and_restarts(site: SoakSite) -> None:
+    await _crash_targets(site, site.rng.choice((site.engines, site.services)))
 
 
 @SOAK_FAULTS.register("target-slow")
@@ -147,8 +147,8 @@
 
 @SOAK_FAULTS.register("target-cut-one-way")
 async def _target_cut_one_way(site: SoakSite) -> None:
-    way = frozenset({site.rng.choice((FORWARD, BACKWARD))})
-    await site.fault_links([site.rng.choice(site.targets).link], LinkFaults(way))
+    direction = frozenset({site.rng.choice((FORWARD, BACKWARD))})
+    await site.fault_links([site.rng.choice(site.targets).link], LinkFaults(direction))
 
 
 @SOAK_FAULTS.register("target-resets")
@@ -162,9 +162,9 @@
 
 
 @SOAK_FAULTS.register("load-words-lie")
-async def _load_words_lie(site: SoakSite) -> None:
-    words = (site.rng.randint(0, 4), site.rng.randint(0, 500))
-    await site.fault_stand_in(site.rng.choice(site.engines).stand_in.faults, load_words=words)
+async def _load_reports_wrong(site: SoakSite) -> None:
+    load_report = (site.rng.randint(0, 4), site.rng.randint(0, 500))
+    await site.fault_stand_in(site.rng.choice(site.engines).stand_in.faults, load_words=load_report)
 
 
 @SOAK_FAULTS.register("burst")
@@ -178,5 +178,5 @@
 
 
 @SOAK_FAULTS.register("version-named")
-async def _version_named(site: SoakSite) -> None:
-    site.name_version()
+async def _version_published(site: SoakSite) -> None:
+    site.publish_version()
--- a/rackswitch/load/soak_site.py
+++ b/rackswitch/load/soak_site.py
@@ -1,4 +1,4 @@
-"""What a soak plays on: gateways as processes, and stand-ins behind links that fail on order."""
+"""Test environment of a soak: gateway processes, and stand-ins behind fault-injecting proxies."""
 
 import asyncio
 import os
@@ -17,30 +17,30 @@
 
 ENGINES = 4
 SERVICES = 3
-KEEP_RESULTS_SECONDS = 3600.0
-"""Longer than a soak, so that each job must be readable to its end."""
+RESULT_RETENTION_SECONDS = 3600.0
+"""Longer than a soak, so that every job stays readable until its end."""
 
 
 @dataclass(slots=True, eq=False)
 class SoakTarget:
-    """An engine or plain service behind its link."""
+    """A stand-in of an engine or plain service behind a link."""
 
     stand_in: PlatformTargetStandIn
     link: Link
-    change: asyncio.Lock = field(default_factory=asyncio.Lock)
-    """Held while it is away."""
+    lifecycle_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
+    """Held while the target is down."""
 
     async def start(self) -> None:
-        """Listen and appear in the list."""
+        """Start the link and the stand-in, which registers the link's address."""
         await self.link.open()
         self.stand_in.listed_address = self.link.address
         await self.stand_in.start()
-        self.link.lead_to(self.stand_in.address)
+        self.link.set_upstream(self.stand_in.address)
 
-    async def die_and_come_back(self, after_seconds: float, keeps_identity: bool) -> None:
-        """End without a word, and start again later at the same address."""
-        async with self.change:
-            self.stand_in.faults.back_after_seconds = after_seconds
+    async def crash_and_restart(self, restart_delay_seconds: float, keeps_identity: bool) -> None:
+        """Crash without deregistering, and restart later at the same address."""
+        async with self.lifecycle_lock:
+            self.stand_in.faults.back_after_seconds = restart_delay_seconds
             self.stand_in.faults.keeps_identity = keeps_identity
             await self.link.close()
             await self.stand_in.end_and_start_again()
@@ -48,66 +48,68 @@
 
 
 class SoakSite:
-    """Stand-ins in this process and gateways in their own.
+    """Stand-ins in this process and gateways in processes of their own.
 
     Parameters
     ----------
     daemons : int
-        How many gateways.
+        Number of gateways.
     seed : int
-        Of the choices that faults make here.
+        Seed of the choices that faults make.
     folder : Path
-        For the gateways' settings and logs.
+        Where the gateways' settings and logs are written.
 
     Attributes
     ----------
     violations : list of str
-        What must not have been seen; empty if everything that must hold did.
-    life_seconds : (float, float)
-        Shortest and longest time that a fault lasts.
-    is_ending : bool
-        Whether no more faults are to begin, further steps of long ones neither.
+        Violated guarantees found so far.
+    fault_seconds_range : (float, float)
+        Minimum and maximum duration of a fault.
+    is_stopping : bool
+        Whether faults of several steps should skip their remaining steps.
     """
 
     def __init__(self, daemons: int, seed: int, folder: Path):
         self.rng = random.Random(seed)
         self.violations: list[str] = []
-        self.life_seconds = (0.2, 3.0)
-        self.is_ending = False
+        self.fault_seconds_range = (0.2, 3.0)
+        self.is_stopping = False
         self.store = PlatformStoreStandIn()
         self.engines = [self._target(f"e{n}", "engines", (MODEL,)) for n in range(ENGINES)]
         self.services = [self._target(f"s{n}", "desk", ()) for n in range(SERVICES)]
         self.daemons = [
-            DaemonProcess(f"d{n}", _own_host(n), folder, KEEP_RESULTS_SECONDS, self.violations)
+            DaemonProcess(
+                f"d{n}", _unique_loopback_host(n), folder, RESULT_RETENTION_SECONDS, self.violations
+            )
             for n in range(daemons)
         ]
         self.table_version = 1
-        self.named_version = 1
+        self.published_version = 1
         self.burst = asyncio.Event()
-        """Set to let callers come in greater number at once."""
+        """Set to make many additional callers send a request at once."""
 
     def _target(self, name: str, service: str, models: tuple[str, ...]) -> SoakTarget:
         return SoakTarget(PlatformTargetStandIn(name, service, self.store, models), Link())
 
     @property
     def targets(self) -> list[SoakTarget]:
-        """All engines and plain services."""
+        """All engines and plain services of the environment."""
         return [*self.engines, *self.services]
 
     async def start(self) -> None:
-        """Start everything; return once every daemon listens."""
+        """Start the stand-ins and daemons, and wait until every daemon listens."""
         await self.store.start()
         self.store.put("op/config", desired_state(self.table_version))
         for target in self.targets:
             await target.start()
         for daemon in self.daemons:
-            daemon.link.lead_to(self.store.address)
+            daemon.link.set_upstream(self.store.address)
             await daemon.link.open()
         await asyncio.gather(*(daemon.start() for daemon in self.daemons))
 
     async def stop(self) -> None:
-        """End every process that was started here, and the stand-ins."""
-        await asyncio.gather(*(daemon.kill() for daemon in self.daemons if daemon.lives))
+        """Kill all daemons and stop the stand-ins."""
+        await asyncio.gather(*(daemon.kill() for daemon in self.daemons if daemon.process_records))
         for target in self.targets:
             await target.link.close()
             await target.stand_in.crash()
@@ -115,37 +117,37 @@
             await daemon.link.close()
         await self.store.stop()
 
-    def some_daemons(self) -> list[DaemonProcess]:
-        """Draw one or more daemons."""
+    def draw_daemons(self) -> list[DaemonProcess]:
+        """Draw one or more daemons at random."""
         return self.rng.sample(self.daemons, self.rng.randint(1, len(self.daemons)))
 
-    def some_life_seconds(self) -> float:
-        """Draw how long a fault lasts."""
-        return self.rng.uniform(*self.life_seconds)
+    def draw_fault_seconds(self) -> float:
+        """Draw the duration of a fault."""
+        return self.rng.uniform(*self.fault_seconds_range)
 
     async def fault_stand_in(self, faults: StoreFaults | TargetFaults, **changes: Any) -> None:
-        """Let a stand-in do something wrong for a drawn time, and then nothing of the kind."""
-        usual = type(faults)()
+        """Set faults of a stand-in for a random time, then reset them to their defaults."""
+        defaults = type(faults)()
         for name, value in changes.items():
             setattr(faults, name, value)
         try:
-            await asyncio.sleep(self.some_life_seconds())
+            await asyncio.sleep(self.draw_fault_seconds())
         finally:
             for name in changes:
-                setattr(faults, name, getattr(usual, name))
+                setattr(faults, name, getattr(defaults, name))
 
     async def fault_links(self, links: list[Link], faults: LinkFaults) -> None:
-        """Let links fail for a drawn time."""
+        """Set faults of links for a random time."""
         for link in links:
-            link.set(faults)
+            link.set_faults(faults)
         try:
-            await asyncio.sleep(self.some_life_seconds())
+            await asyncio.sleep(self.draw_fault_seconds())
         finally:
             for link in links:
-                link.set(LinkFaults())
+                link.set_faults(LinkFaults())
 
     def edit_table(self) -> None:
-        """Add a route, as the operator does; those that were there stay."""
+        """Add a route to the table as the operator does, and keep the existing routes."""
         self.table_version += 1
         state = desired_state(self.table_version)
         added = [
@@ -156,22 +158,22 @@
 
     @property
     def newest_path(self) -> str:
-        """What only the newest table has a route for; that of the first is always there."""
+        """A path that only the newest table version routes, or a path of the first table."""
         return added_path(self.table_version) if self.table_version > 1 else "/look/"
 
-    def name_version(self) -> None:
-        """Name a further version of the model, as its trainer does."""
-        self.named_version += 1
-        entry = {"model": MODEL, "version": self.named_version}
+    def publish_version(self) -> None:
+        """Publish the next version of the model as its trainer does."""
+        self.published_version += 1
+        entry = {"model": MODEL, "version": self.published_version}
         self.store.put(VERSION_PREFIX + MODEL, entry)
 
 
 def added_path(table_version: int) -> str:
-    """Return the path whose route came with a version of the table."""
+    """Return the path of the route that a table version added."""
     return f"/added/{table_version}/"
 
 
-def _own_host(number: int) -> str:
-    """Return a loopback address that no other soak of this machine uses at the same time."""
+def _unique_loopback_host(number: int) -> str:
+    """Return a loopback address derived from the process id, so that parallel soaks differ."""
     process_id = os.getpid()
     return f"127.{64 + process_id // 250 % 128}.{1 + process_id % 250}.{1 + number}"
--- a/rackswitch/load/tests/test_campaign.py
+++ b/rackswitch/load/tests/test_campaign.py
@@ -1,4 +1,4 @@
-"""A short campaign with a fixed seed; `make campaign` runs long ones."""
+"""Guards against violations in a short seeded campaign; `make campaign` runs longer ones."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(("profile", "seed"), [(ASSOCIATION, 4), (REGISTER, 5)])
-def test_nothing_that_must_hold_is_violated(profile, seed):
+def test_campaign_has_no_violations(profile, seed):
     report = asyncio.run(asyncio.wait_for(Campaign(profile, seed).run(8.0), TIMEOUT_SECONDS))
     assert report.violations == []
     assert sum(report.faults.values()) >= 2
@@ -20,6 +20,6 @@
     assert report.steps > 0
 
 
-def test_unknown_fault_names_the_known_ones():
+def test_unknown_fault_lists_known_faults():
     with pytest.raises(UnknownNameError, match="kv outage"):
         FAULTS.get("earthquake")
--- a/rackswitch/load/tests/test_link.py
+++ b/rackswitch/load/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Links between real sockets."""
+"""Fault injection by links between real sockets."""
 
 import asyncio
 
@@ -16,10 +16,10 @@
     writer.close()
 
 
-def play(scenario) -> None:
-    """Run a scenario on an open link to a server that sends back what it gets."""
+def run_scenario(scenario) -> None:
+    """Run a scenario on an open link to an echo server."""
 
-    async def whole() -> None:
+    async def run_with_link() -> None:
         server = await asyncio.start_server(_echo, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         link = Link(f"{host}:{port}")
@@ -31,7 +31,7 @@
             await link.close()
             server.close()
 
-    asyncio.run(whole())
+    asyncio.run(run_with_link())
 
 
 async def _connect(link: Link) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -39,43 +39,43 @@
     return await asyncio.open_connection(host, int(port))
 
 
-def test_what_is_sent_passes_both_ways_until_the_client_leaves():
+def test_forwards_data_in_both_directions():
     async def scenario(link):
         reader, writer = await _connect(link)
         writer.write(b"hello")
         assert await reader.readexactly(5) == b"hello"
         writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("held", [BOTH, {FORWARD}, {BACKWARD}])
-def test_what_is_held_up_passes_once_the_fault_has_ended(held):
+@pytest.mark.parametrize("blocked_directions", [BOTH, {FORWARD}, {BACKWARD}])
+def test_blocked_data_is_forwarded_after_the_fault(blocked_directions):
     async def scenario(link):
         reader, writer = await _connect(link)
-        link.set(LinkFaults(held=frozenset(held)))
+        link.set_faults(LinkFaults(blocked_directions=frozenset(blocked_directions)))
         writer.write(b"hello")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(5), SHORT_SECONDS)
-        link.set(LinkFaults())
+        link.set_faults(LinkFaults())
         assert await reader.readexactly(5) == b"hello"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_delay_holds_for_all_that_passes():
+def test_delay_applies_in_both_directions():
     async def scenario(link):
         reader, writer = await _connect(link)
-        link.set(LinkFaults(delay_seconds=SHORT_SECONDS))
-        began_seconds = asyncio.get_running_loop().time()
+        link.set_faults(LinkFaults(delay_seconds=SHORT_SECONDS))
+        start_seconds = asyncio.get_running_loop().time()
         writer.write(b"hello")
         assert await reader.readexactly(5) == b"hello"
-        assert asyncio.get_running_loop().time() - began_seconds >= 2 * SHORT_SECONDS
+        assert asyncio.get_running_loop().time() - start_seconds >= 2 * SHORT_SECONDS
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_reset_is_told_from_an_end_and_new_connections_pass():
+def test_reset_reaches_the_client_and_new_connections_work():
     async def scenario(link):
         reader, writer = await _connect(link)
         writer.write(b"hello")
@@ -87,10 +87,10 @@
         writer.write(b"again")
         assert await reader.readexactly(5) == b"again"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_closed_link_refuses_and_opens_at_the_same_port():
+def test_closed_link_refuses_connections_and_reopens_on_the_same_port():
     async def scenario(link):
         port = link.port
         await link.close()
@@ -100,4 +100,4 @@
         assert link.port == port
         await _connect(link)
 
-    play(scenario)
+    run_scenario(scenario)
