--- a/rackswitch/conftest.py
+++ b/rackswitch/conftest.py
@@ -1,4 +1,4 @@
-"""Profile of the randomised tests, memory between them, and the tests that fail at times."""
+"""Hypothesis profile, garbage collection between tests, and the list of known failures."""
 
 import gc
 from pathlib import Path
@@ -20,29 +20,29 @@
 )
 settings.load_profile("steady")
 
-KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
+KNOWN_FAILURES_PATH = Path(__file__).parents[1] / "KNOWN-RED.txt"
 
 
-def known_red() -> list[tuple[str, str]]:
-    """Return (test, reason) of each line of the list."""
-    lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
-    split = [line.split("|", 1) for line in lines if line.strip()]
-    return [(test.strip(), reason.strip()) for test, reason in split]
+def known_failures() -> list[tuple[str, str]]:
+    """Return (test, reason) for each line of KNOWN-RED.txt."""
+    lines = KNOWN_FAILURES_PATH.read_text().splitlines() if KNOWN_FAILURES_PATH.exists() else []
+    fields = [line.split("|", 1) for line in lines if line.strip()]
+    return [(test.strip(), reason.strip()) for test, reason in fields]
 
 
 def pytest_collection_modifyitems(items) -> None:
-    """Let CI pass over the listed tests, which still run."""
-    for test, reason in known_red():
+    """Mark the listed tests as expected failures; they still run."""
+    for test, reason in known_failures():
         for item in items:
             if item.nodeid.split("[")[0].endswith(test):
                 item.add_marker(pytest.mark.xfail(reason=reason, strict=False))
 
 
 def pytest_runtest_logstart() -> None:
-    """Keep what earlier tests left out of the collections of later ones.
+    """Exclude objects of earlier tests from garbage collection.
 
-    Daemons, targets and callers of a test share this process, and a collection holds them all up:
-    over what a whole run leaves behind it takes as long as some requests have.
+    A collection over the objects of all earlier tests would block the event loop for longer than
+    some request deadlines.
     """
     gc.collect()
     gc.freeze()
@@ -50,5 +50,5 @@
 
 def pytest_terminal_summary(terminalreporter) -> None:
     """Print the listed tests at the end of each run."""
-    for test, reason in known_red():
+    for test, reason in known_failures():
         terminalreporter.write_line(f"KNOWN RED: {test}: {reason}")
--- a/rackswitch/standins/__init__.py
+++ b/rackswitch/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, for the demo, tests and benchmarks."""
+"""Stand-ins for the platform, callers and trainers, for the demo, tests and benchmarks."""
--- a/rackswitch/standins/callers.py
+++ b/rackswitch/standins/callers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of callers, which check every answer against its own request."""
+"""Stand-in callers that check each answer against the request they sent."""
 
 import asyncio
 import json
@@ -14,8 +14,8 @@
 __all__ = ["CallerRecord", "CallerStandIn"]
 
 CALL_TIMEOUT_SECONDS = 30.0
-MICROSECONDS = 1_000_000
-HISTOGRAM_MAX_MICROSECONDS = 120 * MICROSECONDS
+MICROSECONDS_PER_SECOND = 1_000_000
+HISTOGRAM_MAX_MICROSECONDS = 120 * MICROSECONDS_PER_SECOND
 SSE_DATA = b"data: "
 
 
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class CallerRecord:
-    """What callers have seen, counted outside of the daemons."""
+    """Outcomes counted by the callers, independently of the daemons."""
 
     completed: int = 0
     not_run: int = 0
@@ -43,12 +43,12 @@
         """Return a percentile of the latency of completed requests, in milliseconds."""
         return self.latency.get_value_at_percentile(percentile) / 1000.0
 
-    def note(self, detail: str) -> None:
-        """Count one more of a kind of refusal or failure."""
+    def count_detail(self, detail: str) -> None:
+        """Count one refusal or failure by its detail."""
         self.details[detail] = self.details.get(detail, 0) + 1
 
     def violations(self) -> list[str]:
-        """Return a line for each kind of violation seen by the callers alone."""
+        """Return a line for each kind of violation found in the answers alone."""
         counts = {
             "answers passed off as whole that were cut": self.cut,
             "answers of another request": self.foreign,
@@ -57,14 +57,14 @@
 
 
 class CallerStandIn:
-    """A caller of any daemon, as through a balancer.
+    """A caller that sends each request to a random daemon, as a load balancer would.
 
     Parameters
     ----------
     token : str
-        Its bearer token.
+        Bearer token of the caller.
     urls : list of str
-        The daemons.
+        Base URLs of the daemons.
     """
 
     def __init__(self, token: str, urls: list[str], seed: int = 1):
@@ -73,7 +73,7 @@
         self._headers = {"Authorization": f"Bearer {token}"}
         self._rng = random.Random(seed)
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_SECONDS, sock_connect=1.0)
-        # A connection for each call, as a balancer would spread them over the daemons.
+        # One connection per call, so that calls spread over the daemons as behind a balancer.
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
         self._session = aiohttp.ClientSession(timeout=timeout, connector=connector)
 
@@ -82,23 +82,23 @@
         await self._session.close()
 
     def violations(self, runs_by_key: dict[str, int]) -> list[str]:
-        """Return all violations, given how often services ran each idempotency key."""
-        doubled = sum(1 for count in runs_by_key.values() if count > 1)
+        """Return all violations, given the number of runs by idempotency key."""
+        repeated = sum(1 for count in runs_by_key.values() if count > 1)
         false_refusals = sum(1 for key in self.record.not_run_keys if runs_by_key.get(key, 0) > 0)
         lost = sum(1 for key in self.record.completed_keys if runs_by_key.get(key, 0) == 0)
         lines = self.record.violations()
-        if doubled:
-            lines.append(f"{doubled} requests that may not be repeated ran twice")
+        if repeated:
+            lines.append(f"{repeated} non-repeatable requests ran more than once")
         if false_refusals:
-            lines.append(f"{false_refusals} requests said to be not run that ran")
+            lines.append(f"{false_refusals} requests reported as not run had run")
         if lost:
-            lines.append(f"{lost} requests said to be completed that never ran")
+            lines.append(f"{lost} requests reported as completed never ran")
         return lines
 
     async def complete(
         self, model: str, prompt: str, max_tokens: int, seed: int, stream: bool = True
     ) -> None:
-        """Ask for a completion and check it."""
+        """Request a completion and check its text."""
         loop = asyncio.get_running_loop()
         began_seconds = loop.time()
         body = {"model": model, "prompt": prompt, "max_tokens": max_tokens, "seed": seed}
@@ -107,20 +107,20 @@
         try:
             async with self._session.post(url, json=body, headers=self._headers) as answer:
                 if answer.status != 200:
-                    self._refused(await answer.read())
+                    self._record_refusal(await answer.read())
                     return
-                text = await (self._read_stream(answer) if stream else self._read_whole(answer))
+                text = await (self._read_stream(answer) if stream else self._read_json(answer))
         except (aiohttp.ClientError, TimeoutError) as error:
             self.record.failed += 1
-            self.record.note(type(error).__name__)
+            self.record.count_detail(type(error).__name__)
             return
         if text is None:
             return
         expected = "".join(token_text(token) for token in expected_tokens(prompt, seed, max_tokens))
-        self._judge(text, expected, loop.time() - began_seconds)
+        self._check_answer(text, expected, loop.time() - began_seconds)
 
     async def call_service(self, service: str, path: str, body: bytes, key: str | None) -> None:
-        """Call a plain service, not repeatable if there is a key; check the answer."""
+        """Call a plain service and check the answer; a call with a key is not repeatable."""
         loop = asyncio.get_running_loop()
         began_seconds = loop.time()
         headers = dict(self._headers)
@@ -134,24 +134,24 @@
                 content = await answer.read()
         except (aiohttp.ClientError, TimeoutError) as error:
             self.record.failed += 1
-            self.record.note(type(error).__name__)
+            self.record.count_detail(type(error).__name__)
             return
         if answer.status != 200:
-            ran = self._refused(content)
+            ran = self._record_refusal(content)
             if key is not None and ran == "no":
                 self.record.not_run_keys.add(key)
             return
         if key is not None:
             self.record.completed_keys.add(key)
         expected = expected_answer(path, body).decode()
-        self._judge(content.decode(), expected, loop.time() - began_seconds)
+        self._check_answer(content.decode(), expected, loop.time() - began_seconds)
 
-    async def _read_whole(self, answer: aiohttp.ClientResponse) -> str:
+    async def _read_json(self, answer: aiohttp.ClientResponse) -> str:
         body = await answer.json()
         return body["choices"][0]["text"]
 
     async def _read_stream(self, answer: aiohttp.ClientResponse) -> str | None:
-        """Return the text if the stream came to its end, else None."""
+        """Return the text, or None if the stream ended early."""
         parts: list[str] = []
         async for line in answer.content:
             if not line.startswith(SSE_DATA):
@@ -162,32 +162,32 @@
             chunk = json.loads(data)
             if "error" in chunk:
                 self.record.may_have_run += 1
-                self.record.note(chunk["error"]["detail"])
+                self.record.count_detail(chunk["error"]["detail"])
                 return None
             parts.append(chunk["choices"][0]["text"])
         self.record.failed += 1
-        self.record.note("stream without end")
+        self.record.count_detail("stream without end")
         return None
 
-    def _refused(self, content: bytes) -> str:
+    def _record_refusal(self, content: bytes) -> str:
         try:
             problem = json.loads(content)
         except ValueError:
             self.record.failed += 1
-            self.record.note(content[:60].decode(errors="replace"))
+            self.record.count_detail(content[:60].decode(errors="replace"))
             return "unknown"
         ran = problem.get("ran", "unknown")
         if ran == "no":
             self.record.not_run += 1
         else:
             self.record.may_have_run += 1
-        self.record.note(f"{problem.get('title')}: {problem.get('detail')}")
+        self.record.count_detail(f"{problem.get('title')}: {problem.get('detail')}")
         return ran
 
-    def _judge(self, text: str, expected: str, elapsed_seconds: float) -> None:
+    def _check_answer(self, text: str, expected: str, elapsed_seconds: float) -> None:
         if text == expected:
             self.record.completed += 1
-            self.record.latency.record_value(int(elapsed_seconds * MICROSECONDS))
+            self.record.latency.record_value(int(elapsed_seconds * MICROSECONDS_PER_SECOND))
         elif expected.startswith(text):
             self.record.cut += 1
         else:
--- a/rackswitch/standins/engine.py
+++ b/rackswitch/standins/engine.py
@@ -1,8 +1,8 @@
-"""Stand-in of a model engine with continuous batching.
+"""Stand-in model engine with continuous batching.
 
-Each token follows from the seed, the prompt and the tokens before it, so an
-answer can be checked from its request alone, resumed streams included. The
-engine keeps its own record of which versions made each token.
+Each token is determined by the seed, the prompt and the previous tokens, so an
+answer, including a resumed stream, can be checked from its request alone. The
+engine records which model versions generated each token.
 """
 
 import asyncio
@@ -30,8 +30,8 @@
 DONE = b"[DONE]"
 
 
-class _State:
-    """The generator of one request's tokens."""
+class _TokenGenerator:
+    """Generates the tokens of one request."""
 
     __slots__ = ("_digest",)
 
@@ -39,7 +39,7 @@
         self._digest = hashlib.blake2b(f"{seed}|{prompt}".encode(), digest_size=8)
 
     def next_token(self) -> tuple[int, bool]:
-        """Return the next token and whether it is the last."""
+        """Return the next token and whether it is the last one."""
         number = int.from_bytes(self._digest.digest(), "big")
         token = number % VOCABULARY
         self._digest.update(token.to_bytes(4, "big"))
@@ -47,18 +47,18 @@
 
 
 def token_text(token: int) -> str:
-    """Return a token's text."""
+    """Return the text of a token."""
     return f" {token}"
 
 
 def expected_tokens(prompt: str, seed: int, max_tokens: int) -> list[int]:
-    """Return the whole answer that any engine gives to a request."""
-    state = _State(prompt, seed)
+    """Return the complete token sequence of a request, the same on every engine."""
+    generator = _TokenGenerator(prompt, seed)
     tokens: list[int] = []
     while len(tokens) < max_tokens:
-        token, last = state.next_token()
+        token, is_last = generator.next_token()
         tokens.append(token)
-        if last:
+        if is_last:
             break
     return tokens
 
@@ -73,43 +73,43 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Running:
+class _QueuedRequest:
     request_id: str
     wire: _WireRequest
-    state: _State
+    generator: _TokenGenerator
     queue: asyncio.Queue[bytes | None] = field(default_factory=asyncio.Queue)
     made: int = 0
-    made_here: int = 0
+    generated_here: int = 0
     prefill_tokens: float = 0.0
     cancelled: bool = False
 
     def cancel(self) -> None:
-        """End the stream; its client is gone or is to be cut off."""
+        """End the stream early."""
         self.cancelled = True
         self.queue.put_nowait(None)
 
 
 @dataclass(slots=True)
-class _Swap:
+class _WeightLoadState:
     fail_next: int = 0
     highest_fencing: int = 0
 
 
 class EngineStandIn:
-    """An engine with a finite token rate.
+    """An engine with a limited token rate.
 
     Parameters
     ----------
     name, model : str
-        The engine and the model it runs.
+        Name of the engine and of the model it runs.
     tokens_per_second : float
-        Over all requests of the batch.
+        Token rate over all requests of the batch.
     batch_width : int
-        Requests that run side by side; the others wait by priority.
+        Maximum number of requests in the batch; others wait by priority.
     checks_fencing : bool
-        Whether an order with an old fencing number is refused.
+        Whether to refuse load orders with an old fencing number.
     store_url : str or None
-        Weight store to load versions from; without it loading only takes time.
+        Weight store to fetch versions from; None to simulate the load time only.
     """
 
     def __init__(
@@ -136,7 +136,7 @@
         self.made: dict[tuple[str, int], dict[int, set[int | None]]] = {}
         self.cache_hits = 0
         self.cache_misses = 0
-        self.swap = _Swap()
+        self.swap = _WeightLoadState()
         self.orders: list[tuple[int, int]] = []
         self.slow_factor = 1.0
         self._model = model
@@ -146,38 +146,38 @@
         self._load_seconds = load_seconds
         self._store_url = store_url
         self._cached_chunks = cached_chunks
-        self._waiting: list[_Running] = []
-        self._batch: list[_Running] = []
+        self._waiting: list[_QueuedRequest] = []
+        self._batch: list[_QueuedRequest] = []
         self._cache: OrderedDict[int, None] = OrderedDict()
-        self._reports: deque[tuple[float, float]] = deque([(0.0, 0.0)])
-        self._ticker: asyncio.Task[None] | None = None
+        self._load_history: deque[tuple[float, float]] = deque([(0.0, 0.0)])
+        self._generation_task: asyncio.Task[None] | None = None
         application = make_application()
         add_route(application, "POST", "/v1/completions", self._on_completion)
         add_route(application, "POST", "/update_weights", self._on_update_weights)
-        add_route(application, "GET", "/server_info", self._on_info)
+        add_route(application, "GET", "/server_info", self._on_server_info)
         add_route(application, "GET", "/record", self._on_record)
         self._server = WebServer(FaultyApplication(application, self.gate), host, port)
 
     @property
     def url(self) -> str:
-        """The engine's address."""
+        """Base URL of the engine."""
         return self._server.url
 
     async def start(self) -> None:
-        """Serve."""
+        """Start serving."""
         await self._server.start()
-        self._ticker = asyncio.create_task(self._run())
+        self._generation_task = asyncio.create_task(self._generate_continuously())
 
     async def stop(self) -> None:
-        """Die at once; what runs is lost."""
-        if self._ticker is not None:
-            self._ticker.cancel()
+        """Stop at once and drop running requests."""
+        if self._generation_task is not None:
+            self._generation_task.cancel()
         await self._server.crash()
 
     def break_streams(self) -> None:
-        """Cut every running stream in the middle."""
-        for running in [*self._batch, *self._waiting]:
-            running.cancel()
+        """End all running and waiting streams early."""
+        for queued_request in [*self._batch, *self._waiting]:
+            queued_request.cancel()
 
     async def _on_completion(self, request: Request) -> Response:
         try:
@@ -187,16 +187,16 @@
         if self.loading and self.version is None:
             return json_response({"error": "no weights"}, 503)
         request_id = (request.get_first_header(b"x-request-id") or b"none").decode()
-        running = self._enqueue(request_id, wire)
-        watcher = watch_disconnect(request, running.cancel)
+        queued_request = self._enqueue(request_id, wire)
+        watcher = watch_disconnect(request, queued_request.cancel)
 
         async def events() -> AsyncIterator[bytes]:
             try:
-                while (data := await running.queue.get()) is not None:
+                while (data := await queued_request.queue.get()) is not None:
                     yield b"data: " + data + b"\n\n"
                     if data == DONE:
                         return
-                raise ConnectionAbortedError("stream cut")
+                raise ConnectionAbortedError("stream cancelled")
             finally:
                 watcher.cancel()
 
@@ -204,18 +204,20 @@
         headers = [(b"endpoint-load-metrics", b"JSON " + load)]
         return Response(200, headers, StreamedContent(b"text/event-stream", events))
 
-    def _enqueue(self, request_id: str, wire: _WireRequest) -> _Running:
-        state = _State(wire.prompt, wire.seed)
+    def _enqueue(self, request_id: str, wire: _WireRequest) -> _QueuedRequest:
+        generator = _TokenGenerator(wire.prompt, wire.seed)
         for _ in wire.resume_token_ids:
-            state.next_token()
-        running = _Running(request_id, wire, state, made=len(wire.resume_token_ids))
-        running.prefill_tokens = self._uncached_tokens(wire.prompt)
+            generator.next_token()
+        queued_request = _QueuedRequest(
+            request_id, wire, generator, made=len(wire.resume_token_ids)
+        )
+        queued_request.prefill_tokens = self._uncached_tokens(wire.prompt)
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
-        self._waiting.append(running)
-        return running
+        self._waiting.append(queued_request)
+        return queued_request
 
     def _uncached_tokens(self, prompt: str) -> float:
-        missed = 0
+        missed_chunks = 0
         chunks = prefix_chunks(prompt)
         for chunk in chunks:
             if chunk in self._cache:
@@ -224,61 +226,71 @@
             else:
                 self._cache[chunk] = None
                 self.cache_misses += 1
-                missed += 1
+                missed_chunks += 1
         while len(self._cache) > self._cached_chunks:
             self._cache.popitem(last=False)
-        return missed * PREFIX_CHUNK_CHARACTERS / 4
+        return missed_chunks * PREFIX_CHUNK_CHARACTERS / 4
 
-    async def _run(self) -> None:
+    async def _generate_continuously(self) -> None:
         loop = asyncio.get_running_loop()
         last_seconds = loop.time()
-        credit = 0.0
+        token_budget = 0.0
         while True:
             await asyncio.sleep(TICK_SECONDS)
             now_seconds = loop.time()
             rate = self._tokens_per_second / self.slow_factor
-            credit = min(credit + (now_seconds - last_seconds) * rate, rate * 0.1 + 1)
+            token_budget = min(token_budget + (now_seconds - last_seconds) * rate, rate * 0.1 + 1)
             last_seconds = now_seconds
-            self._note_load(now_seconds)
+            self._record_load(now_seconds)
             if self.loading or self.gate.order.mode == "freeze":
-                credit = 0.0
+                token_budget = 0.0
                 continue
             self._fill_batch()
-            credit = self._generate(credit)
+            token_budget = self._generate(token_budget)
 
     def _fill_batch(self) -> None:
-        self._batch = [running for running in self._batch if not running.cancelled]
-        self._waiting = [running for running in self._waiting if not running.cancelled]
-        everyone = sorted([*self._batch, *self._waiting], key=lambda each: each.wire.priority)
-        self._batch = everyone[: self._batch_width]
-        self._waiting = everyone[self._batch_width :]
-
-    def _generate(self, credit: float) -> float:
-        while credit >= 1.0 and self._batch:
-            for running in list(self._batch):
-                if credit < 1.0:
+        self._batch = [
+            queued_request for queued_request in self._batch if not queued_request.cancelled
+        ]
+        self._waiting = [
+            queued_request for queued_request in self._waiting if not queued_request.cancelled
+        ]
+        all_requests = sorted([*self._batch, *self._waiting], key=lambda each: each.wire.priority)
+        self._batch = all_requests[: self._batch_width]
+        self._waiting = all_requests[self._batch_width :]
+
+    def _generate(self, token_budget: float) -> float:
+        while token_budget >= 1.0 and self._batch:
+            for queued_request in list(self._batch):
+                if token_budget < 1.0:
                     break
-                credit -= 1.0
-                if running.prefill_tokens > 0:
-                    # Prompt tokens are read some ten times faster than tokens are made.
-                    running.prefill_tokens -= 10.0
+                token_budget -= 1.0
+                if queued_request.prefill_tokens > 0:
+                    # Prefill is ten times as fast as generation.
+                    queued_request.prefill_tokens -= 10.0
                     continue
-                self._make_token(running)
-        return min(credit, 1.0) if not self._batch else credit
-
-    def _make_token(self, running: _Running) -> None:
-        token, last = running.state.next_token()
-        running.made += 1
-        running.made_here += 1
-        made = self.made.setdefault((running.wire.prompt, running.wire.seed), {})
-        made.setdefault(running.made, set()).add(self.version)
-        finish = "stop" if last else "length" if running.made >= running.wire.max_tokens else None
-        running.queue.put_nowait(self._wire_chunk(running, token, finish))
+                self._make_token(queued_request)
+        return min(token_budget, 1.0) if not self._batch else token_budget
+
+    def _make_token(self, queued_request: _QueuedRequest) -> None:
+        token, is_last = queued_request.generator.next_token()
+        queued_request.made += 1
+        queued_request.generated_here += 1
+        made = self.made.setdefault((queued_request.wire.prompt, queued_request.wire.seed), {})
+        made.setdefault(queued_request.made, set()).add(self.version)
+        finish = (
+            "stop"
+            if is_last
+            else "length"
+            if queued_request.made >= queued_request.wire.max_tokens
+            else None
+        )
+        queued_request.queue.put_nowait(self._wire_chunk(queued_request, token, finish))
         if finish is not None:
-            running.queue.put_nowait(DONE)
-            self._batch.remove(running)
+            queued_request.queue.put_nowait(DONE)
+            self._batch.remove(queued_request)
 
-    def _wire_chunk(self, running: _Running, token: int, finish: str | None) -> bytes:
+    def _wire_chunk(self, queued_request: _QueuedRequest, token: int, finish: str | None) -> bytes:
         choice = {
             "index": 0,
             "text": token_text(token),
@@ -287,35 +299,38 @@
         }
         return msgspec.json.encode(
             {
-                "id": running.request_id,
+                "id": queued_request.request_id,
                 "object": "text_completion",
                 "choices": [choice],
                 "system_fingerprint": self._fingerprint(),
-                "usage": {"completion_tokens": running.made_here},
+                "usage": {"completion_tokens": queued_request.generated_here},
             }
         )
 
     def _fingerprint(self) -> str | None:
         return None if self.version is None else f"{self._model}@{self.version}"
 
-    def _note_load(self, now_seconds: float) -> None:
-        self._reports.append((now_seconds, self._queued_tokens()))
-        while len(self._reports) > 1 and self._reports[1][0] <= now_seconds - REPORT_LAG_SECONDS:
-            self._reports.popleft()
+    def _record_load(self, now_seconds: float) -> None:
+        self._load_history.append((now_seconds, self._queued_tokens()))
+        while (
+            len(self._load_history) > 1
+            and self._load_history[1][0] <= now_seconds - REPORT_LAG_SECONDS
+        ):
+            self._load_history.popleft()
 
     def _queued_tokens(self) -> float:
-        queued = 0.0
-        for running in [*self._batch, *self._waiting]:
-            expected = min(running.wire.max_tokens, MEAN_LENGTH_TOKENS)
-            queued += max(1.0, expected - running.made_here)
-        return queued
+        total_tokens = 0.0
+        for queued_request in [*self._batch, *self._waiting]:
+            expected = min(queued_request.wire.max_tokens, MEAN_LENGTH_TOKENS)
+            total_tokens += max(1.0, expected - queued_request.generated_here)
+        return total_tokens
 
-    async def _on_info(self, request: Request) -> Response:
+    async def _on_server_info(self, request: Request) -> Response:
         return json_response(
             {
                 "system_fingerprint": self._fingerprint(),
                 "loading": self.loading,
-                "queued_tokens": self._reports[0][1],
+                "queued_tokens": self._load_history[0][1],
             }
         )
 
@@ -342,7 +357,7 @@
         if self._store_url is not None and not await self._fetch(version):
             return False
         if self.swap.fail_next > 0:
-            # Half of the weights are swapped: the version is not known any more.
+            # A failed load leaves partly replaced weights, so the version is unknown.
             self.swap.fail_next -= 1
             self.version = None
             return False
@@ -363,6 +378,6 @@
 
 
 def prefix_chunks(prompt: str) -> list[int]:
-    """Return one number for each whole chunk's prefix of a prompt."""
+    """Return a hash of the prompt prefix up to the end of each full chunk."""
     ends = range(PREFIX_CHUNK_CHARACTERS, len(prompt) + 1, PREFIX_CHUNK_CHARACTERS)
     return [hash(prompt[:end]) for end in ends]
--- a/rackswitch/standins/faults.py
+++ b/rackswitch/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a test orders a stand-in to show."""
+"""Faults that tests inject into a stand-in."""
 
 import asyncio
 import random
@@ -18,18 +18,18 @@
 
 
 class FaultOrder(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """What a stand-in is to do wrong from now on.
+    """Faults that a stand-in shows from now on.
 
     Attributes
     ----------
     mode : str
-        ``ok``, ``freeze`` (answers nothing until set to another mode), ``refuse`` (503),
-        ``cut_before`` (drops the connection instead of working) or ``cut_after`` (works,
-        then drops the connection instead of answering).
+        ``ok``, ``freeze`` (no answers until the mode changes), ``refuse`` (503),
+        ``cut_before`` (drops the connection without handling the call) or ``cut_after``
+        (handles the call, then drops the connection without answering).
     share : float
-        Share of the calls that `mode` strikes.
+        Share of calls to which `mode` applies.
     slow_seconds : float
-        Added to each call.
+        Delay added to each call.
     """
 
     mode: str = "ok"
@@ -38,7 +38,7 @@
 
 
 class FaultGate:
-    """Holds the order in force and decides for each call."""
+    """Holds the current fault order and applies it to each call."""
 
     __slots__ = ("_changed", "_rng", "order")
 
@@ -48,13 +48,13 @@
         self._changed = asyncio.Event()
 
     def set(self, order: FaultOrder) -> None:
-        """Change the order; calls that are frozen go on."""
+        """Change the order and release frozen calls."""
         self.order = order
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def pass_through(self) -> str:
-        """Wait as ordered and return the mode that strikes this call."""
+    async def wait_and_choose_mode(self) -> str:
+        """Apply the ordered delay or freeze; return the fault mode for this call."""
         if self.order.slow_seconds > 0:
             await asyncio.sleep(self.order.slow_seconds)
         while self.order.mode == "freeze":
@@ -65,14 +65,14 @@
 
 
 class FaultyApplication:
-    """Wraps an ASGI application with a fault gate and the path that sets it.
+    """Adds a fault gate, and the path that configures it, to an ASGI application.
 
     Parameters
     ----------
     application : Application
-        The stand-in's handlers.
+        Handlers of the stand-in.
     gate : FaultGate
-        Where orders are kept.
+        Holds the fault order.
     """
 
     __slots__ = ("_application", "_gate")
@@ -96,30 +96,30 @@
         receive: Callable[[], Awaitable[Any]],
         send: Callable[[Any], Awaitable[None]],
     ) -> None:
-        """Serve one ASGI call, with the fault in force."""
+        """Serve one ASGI call with the current fault."""
         if scope["type"] != "http" or scope["path"] == FAULT_PATH:
             await self._application(scope, receive, send)
             return
-        mode = await self._gate.pass_through()
+        mode = await self._gate.wait_and_choose_mode()
         if mode == "refuse":
             headers = [(b"rackswitch-ran", b"no"), (b"content-length", b"0")]
             await send({"type": "http.response.start", "status": 503, "headers": headers})
             await send({"type": "http.response.body", "body": b""})
             return
         if mode == "cut_after":
-            await self._application(scope, receive, _swallow)
+            await self._application(scope, receive, _discard_message)
         if mode in ("cut_after", "cut_before"):
             await _drop_connection(send)
             return
         await self._application(scope, receive, send)
 
 
-async def _swallow(message: Any) -> None:
-    """Take an answer that is never sent."""
+async def _discard_message(message: Any) -> None:
+    """Discard an ASGI message."""
 
 
 async def _drop_connection(send: Callable[[Any], Awaitable[None]]) -> None:
-    """End the response short of its announced length, which closes the connection."""
+    """Close the connection by ending the response before its declared length."""
     headers = [(b"content-length", b"1000000")]
     await send({"type": "http.response.start", "status": 200, "headers": headers})
     await send({"type": "http.response.body", "body": b"", "more_body": False})
--- a/rackswitch/standins/faulty_kv.py
+++ b/rackswitch/standins/faulty_kv.py
@@ -1,7 +1,7 @@
-"""A key-value client without a network, whose faults follow from a seed.
+"""In-memory key-value client with seeded random faults.
 
-It runs on any event loop clock, so randomised tests drive the daemon's own
-code through hours of faults in seconds.
+It uses the event loop's clock, so randomised tests on a virtual clock can
+simulate hours of faults in seconds.
 """
 
 import asyncio
@@ -22,23 +22,23 @@
 __all__ = ["FaultyKv", "KvFaults"]
 
 TIMEOUT_SECONDS = 1.0
-MAX_LATE_SECONDS = 6.0
+MAX_LATE_EFFECT_SECONDS = 6.0
 
 
 @dataclass(slots=True)
 class KvFaults:
-    """Shares of calls that go wrong, changed at will while a test runs.
+    """Probabilities of faults; a test may change them while it runs.
 
     Attributes
     ----------
     lost_request, lost_answer, late_effect : float
-        Unanswered calls: without effect, with it, with it only some seconds later.
+        Unanswered calls: without effect, with effect, with a delayed effect.
     refused : float
-        Calls refused with certainty that there was no effect.
+        Calls refused without effect.
     stale_read : float
-        Reads answered with an older state.
+        Reads answered with an earlier state.
     down : bool
-        Whether nothing is answered at all.
+        Whether no call is answered.
     """
 
     lost_request: float = 0.0
@@ -51,16 +51,16 @@
 
 
 class FaultyKv:
-    """One daemon's connection to a shared `KvStore`.
+    """The client of one daemon for a shared `KvStore`.
 
     Parameters
     ----------
     store : KvStore
-        The service's state.
+        State of the service.
     rng : random.Random
-        Decides which calls go wrong.
+        Random generator that selects the calls with faults.
     faults : KvFaults
-        How many.
+        Probabilities of the faults.
     """
 
     def __init__(self, store: KvStore, rng: random.Random, faults: KvFaults):
@@ -68,8 +68,8 @@
         self.faults = faults
         self._store = store
         self._rng = rng
-        self._older: dict[str, KvRead] = {}
-        self._late: set[asyncio.Task[None]] = set()
+        self._stale_reads: dict[str, KvRead] = {}
+        self._late_effects: set[asyncio.Task[None]] = set()
 
     async def read(
         self,
@@ -78,19 +78,19 @@
         keys_only: bool = False,
         may_be_stale: bool = False,
     ) -> KvRead | KvUnavailable:
-        """Read one key, or all under a prefix; values always come along here."""
+        """Read one key or all keys under a prefix; values are always included."""
         if not await self._answers():
             return KvUnavailable("no answer", False)
         self._expire()
-        if key in self._older and self._rng.random() < self.faults.stale_read:
-            return self._older[key]
+        if key in self._stale_reads and self._rng.random() < self.faults.stale_read:
+            return self._stale_reads[key]
         read = self._store.read(key, is_prefix)
         if self._rng.random() < 0.5:
-            self._older[key] = read
+            self._stale_reads[key] = read
         return read
 
     async def read_from(self, prefix: str, after_key: str) -> KvRead | KvUnavailable:
-        """Read the keys under a prefix that come after a key (empty: all of them)."""
+        """Read the keys under a prefix that sort after a key; an empty key reads all."""
         read = await self.read(prefix, is_prefix=True)
         if isinstance(read, KvUnavailable):
             return read
@@ -98,49 +98,49 @@
         return KvRead(later, read.revision)
 
     async def txn(self, parts: list[TxnPart]) -> list[TxnPartDone] | KvUnavailable:
-        """Carry out parts in one call, each on its own conditions."""
+        """Run transaction parts in one call, each under its own conditions."""
         self.calls += 1
         await asyncio.sleep(self.faults.delay_seconds * (0.5 + self._rng.random()))
-        if self._hits(self.faults.refused):
+        if self._occurs(self.faults.refused):
             return KvUnavailable("refused", False)
-        if self.faults.down or self._hits(self.faults.lost_request):
-            return await self._unanswered()
-        if self._hits(self.faults.late_effect):
+        if self.faults.down or self._occurs(self.faults.lost_request):
+            return await self._time_out()
+        if self._occurs(self.faults.late_effect):
             self._apply_later(parts)
-            return await self._unanswered()
+            return await self._time_out()
         self._expire()
         done = self._store.txn(parts)
-        if self._hits(self.faults.lost_answer):
-            return await self._unanswered()
+        if self._occurs(self.faults.lost_answer):
+            return await self._time_out()
         await asyncio.sleep(self.faults.delay_seconds)
         return done
 
     async def grant_lease(self, life_seconds: float) -> LeaseGranted | KvUnavailable:
-        """Make a lease."""
+        """Grant a lease."""
         if not await self._answers():
             return KvUnavailable("no answer", True)
         now_seconds = asyncio.get_running_loop().time()
         return LeaseGranted(self._store.grant(life_seconds, now_seconds), life_seconds)
 
     async def keep_lease(self, lease_id: int) -> bool | KvUnavailable:
-        """Prolong a lease; False if it is gone."""
+        """Renew a lease; return False if it no longer exists."""
         if not await self._answers():
             return KvUnavailable("no answer", True)
         return self._store.keep(lease_id, asyncio.get_running_loop().time()) > 0
 
     async def revoke_lease(self, lease_id: int) -> KvUnavailable | None:
-        """End a lease, which deletes its keys."""
+        """Revoke a lease and delete its keys."""
         if not await self._answers():
             return KvUnavailable("no answer", True)
         self._store.end_lease(lease_id)
         return None
 
     async def watch(self, key: str, from_revision: int) -> AsyncIterator[WatchNews | KvUnavailable]:
-        """Yield nothing and break at once: tests make do with reads."""
+        """Report the watch as unavailable; tests use reads instead."""
         self.calls += 1
-        yield KvUnavailable("watches are not offered here", False)
+        yield KvUnavailable("watches are not supported by this stand-in", False)
 
-    def _hits(self, share: float) -> bool:
+    def _occurs(self, share: float) -> bool:
         return self._rng.random() < share
 
     def _expire(self) -> None:
@@ -149,21 +149,21 @@
     async def _answers(self) -> bool:
         self.calls += 1
         await asyncio.sleep(self.faults.delay_seconds * (0.5 + self._rng.random()))
-        if self.faults.down or self._hits(self.faults.lost_request + self.faults.lost_answer):
+        if self.faults.down or self._occurs(self.faults.lost_request + self.faults.lost_answer):
             await asyncio.sleep(TIMEOUT_SECONDS)
             return False
         return True
 
-    async def _unanswered(self) -> KvUnavailable:
+    async def _time_out(self) -> KvUnavailable:
         await asyncio.sleep(TIMEOUT_SECONDS)
         return KvUnavailable("no answer", True)
 
     def _apply_later(self, parts: list[TxnPart]) -> None:
         async def apply() -> None:
-            await asyncio.sleep(self._rng.random() * MAX_LATE_SECONDS)
+            await asyncio.sleep(self._rng.random() * MAX_LATE_EFFECT_SECONDS)
             self._expire()
             self._store.txn(parts)
 
         task = asyncio.create_task(apply())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        self._late_effects.add(task)
+        task.add_done_callback(self._late_effects.discard)
--- a/rackswitch/standins/kv.py
+++ b/rackswitch/standins/kv.py
@@ -1,4 +1,4 @@
-"""Stand-in of the key-value service (etcd version 3 JSON gateway, in memory)."""
+"""In-memory stand-in for the key-value service (etcd version 3 JSON gateway)."""
 
 import asyncio
 import time
@@ -19,7 +19,7 @@
 __all__ = ["KvStandIn"]
 
 MAX_VALUE_BYTES = 1_000_000
-LEASE_SWEEP_SECONDS = 0.1
+LEASE_SWEEP_INTERVAL_SECONDS = 0.1
 RATE_WINDOW_SECONDS = 1.0
 
 
@@ -30,16 +30,16 @@
 
 
 class KvStandIn:
-    """An in-memory key-value service with faults, rate limit and call counts.
+    """An in-memory key-value service with injected faults, a rate limit and call counts.
 
     Parameters
     ----------
     host, port : str, int
-        Where to listen.
+        Listening address.
     seed : int
-        Seed of the faults.
+        Seed of the random faults.
     calls_per_second : float
-        Beyond this rate calls are refused with 429.
+        Rate limit; calls above it get 429.
     """
 
     def __init__(self, host: str, port: int, seed: int = 1, calls_per_second: float = 2500.0):
@@ -64,11 +64,11 @@
 
     @property
     def url(self) -> str:
-        """The service's address."""
+        """Base URL of the service."""
         return self._server.url
 
     async def start(self) -> None:
-        """Serve."""
+        """Start serving and expiring leases."""
         await self._server.start()
         self._sweeper = asyncio.create_task(self._sweep_leases())
 
@@ -79,21 +79,21 @@
         await self._server.crash()
 
     def value(self, key: str) -> bytes | None:
-        """Return a key's value, for assertions in tests."""
+        """Return the value of a key, or None if it does not exist."""
         found = self.store.read(key).entries
         return found[0].value if found else None
 
     def lapse_leases(self) -> None:
-        """End every lease now, whatever its holder believes."""
+        """End all leases without notifying their holders."""
         for lease_id in list(self.store.leases):
             self.store.end_lease(lease_id)
 
     def break_watches(self) -> None:
-        """End every waiting watch without a word about what it missed."""
+        """End all watches without sending pending events."""
         for watch in list(self._watches):
             watch.queue.put_nowait(b"")
 
-    def _over_rate(self) -> bool:
+    def _exceeds_rate_limit(self) -> bool:
         self.calls += 1
         second = time.monotonic() // RATE_WINDOW_SECONDS
         count = self._window[1] + 1 if self._window[0] == second else 1
@@ -103,73 +103,77 @@
             return True
         return False
 
-    async def _body(self, request: Request) -> Any:
+    async def _read_json(self, request: Request) -> Any:
         return msgspec.json.decode(await request.read() or b"{}")
 
     async def _on_range(self, request: Request) -> Response:
-        if self._over_rate():
+        if self._exceeds_rate_limit():
             return Response(429)
-        body = await self._body(request)
-        read = self.store.read(_text(body["key"]), is_prefix="range_end" in body)
-        kvs = [_wire_entry(entry) for entry in read.entries]
+        body = await self._read_json(request)
+        read = self.store.read(_decode_text(body["key"]), is_prefix="range_end" in body)
+        kvs = [_encode_entry(entry) for entry in read.entries]
         if body.get("keys_only"):
-            for wire in kvs:
-                del wire["value"]
-        return json_response({"header": self._header(), "kvs": kvs})
+            for encoded_entry in kvs:
+                del encoded_entry["value"]
+        return json_response({"header": self._response_header(), "kvs": kvs})
 
     async def _on_txn(self, request: Request) -> Response:
-        if self._over_rate():
+        if self._exceeds_rate_limit():
             return Response(429)
         self.writes += 1
-        body = await self._body(request)
-        steps = body.get("success", [])
-        nested = [step["request_txn"] for step in steps if "request_txn" in step]
-        parts = [_part(each) for each in nested or [body]]
+        body = await self._read_json(request)
+        requests = body.get("success", [])
+        nested_transactions = [
+            request_operation["request_txn"]
+            for request_operation in requests
+            if "request_txn" in request_operation
+        ]
+        parts = [_parse_part(transaction) for transaction in nested_transactions or [body]]
         if any(_is_too_large(part) for part in parts):
             return Response(413)
-        done = [_wire_done(each) for each in self.store.txn(parts)]
-        self._tell_watches()
-        header = {"header": self._header()}
-        if not nested:
-            return json_response(header | done[0])
-        responses = [{"response_txn": each} for each in done]
+        results = [_encode_result(result) for result in self.store.txn(parts)]
+        self._notify_watches()
+        header = {"header": self._response_header()}
+        if not nested_transactions:
+            return json_response(header | results[0])
+        responses = [{"response_txn": result} for result in results]
         return json_response(header | {"succeeded": True, "responses": responses})
 
     async def _on_grant(self, request: Request) -> Response:
-        if self._over_rate():
+        if self._exceeds_rate_limit():
             return Response(429)
-        life_seconds = float((await self._body(request))["TTL"])
-        lease_id = self.store.grant(life_seconds, time.monotonic())
-        return json_response({"ID": str(lease_id), "TTL": str(life_seconds)})
+        ttl_seconds = float((await self._read_json(request))["TTL"])
+        lease_id = self.store.grant(ttl_seconds, time.monotonic())
+        return json_response({"ID": str(lease_id), "TTL": str(ttl_seconds)})
 
     async def _on_keepalive(self, request: Request) -> Response:
-        if self._over_rate():
+        if self._exceeds_rate_limit():
             return Response(429)
-        lease_id = int((await self._body(request))["ID"])
-        life_seconds = self.store.keep(lease_id, time.monotonic())
-        return json_response({"result": {"TTL": str(life_seconds)}})
+        lease_id = int((await self._read_json(request))["ID"])
+        ttl_seconds = self.store.keep(lease_id, time.monotonic())
+        return json_response({"result": {"TTL": str(ttl_seconds)}})
 
     async def _on_revoke(self, request: Request) -> Response:
-        if self._over_rate():
+        if self._exceeds_rate_limit():
             return Response(429)
-        self.store.end_lease(int((await self._body(request))["ID"]))
+        self.store.end_lease(int((await self._read_json(request))["ID"]))
         return json_response({})
 
     async def _on_watch(self, request: Request) -> Response:
-        if self._over_rate():
+        if self._exceeds_rate_limit():
             return Response(429)
-        create = (await self._body(request))["create_request"]
-        watch = _Watch(_text(create["key"]))
+        create = (await self._read_json(request))["create_request"]
+        watch = _Watch(_decode_text(create["key"]))
         self._watches.add(watch)
         for entry in self.store.read(watch.key).entries:
             if entry.mod_revision >= int(create.get("start_revision", 0)):
-                watch.queue.put_nowait(self._event(entry))
+                watch.queue.put_nowait(self._encode_event(entry))
 
         watcher = watch_disconnect(request, lambda: watch.queue.put_nowait(b""))
 
         async def lines() -> AsyncIterator[bytes]:
             try:
-                yield msgspec.json.encode({"result": {"header": self._header()}}) + b"\n"
+                yield msgspec.json.encode({"result": {"header": self._response_header()}}) + b"\n"
                 while line := await watch.queue.get():
                     yield line
             finally:
@@ -189,62 +193,70 @@
             }
         )
 
-    def _header(self) -> dict[str, str]:
+    def _response_header(self) -> dict[str, str]:
         return {"revision": str(self.store.revision)}
 
-    def _tell_watches(self) -> None:
+    def _notify_watches(self) -> None:
         for entry in self.store.changed:
-            event = self._event(entry)
+            event = self._encode_event(entry)
             for watch in self._watches:
                 if watch.key == entry.key:
                     watch.queue.put_nowait(event)
         self.store.changed.clear()
 
-    def _event(self, entry: KvEntry) -> bytes:
-        events = [{"type": "PUT", "kv": _wire_entry(entry)}]
-        return msgspec.json.encode({"result": {"header": self._header(), "events": events}}) + b"\n"
+    def _encode_event(self, entry: KvEntry) -> bytes:
+        events = [{"type": "PUT", "kv": _encode_entry(entry)}]
+        return (
+            msgspec.json.encode({"result": {"header": self._response_header(), "events": events}})
+            + b"\n"
+        )
 
     async def _sweep_leases(self) -> None:
         while True:
-            await asyncio.sleep(LEASE_SWEEP_SECONDS)
+            await asyncio.sleep(LEASE_SWEEP_INTERVAL_SECONDS)
             self.store.expire(time.monotonic())
 
 
-def _text(data: str) -> str:
+def _decode_text(data: str) -> str:
     return b64decode(data).decode()
 
 
-def _part(body: Any) -> TxnPart:
+def _parse_part(body: Any) -> TxnPart:
     compares = []
     for compare in body.get("compare", []):
         name = compare["target"].lower()
         revision = int(compare.get(f"{name}_revision", 0))
-        compares.append(Compare(_text(compare["key"]), name, revision))
-    operations = [_operation(step) for step in body.get("success", [])]
-    read_keys = [_text(step["request_range"]["key"]) for step in body.get("failure", [])]
+        compares.append(Compare(_decode_text(compare["key"]), name, revision))
+    operations = [
+        _parse_operation(request_operation) for request_operation in body.get("success", [])
+    ]
+    read_keys = [
+        _decode_text(request_operation["request_range"]["key"])
+        for request_operation in body.get("failure", [])
+    ]
     return TxnPart(tuple(compares), tuple(operations), tuple(read_keys))
 
 
-def _operation(step: Any) -> Operation:
-    if "request_delete_range" in step:
-        deletion = step["request_delete_range"]
-        return Operation(_text(deletion["key"]), None, is_prefix="range_end" in deletion)
-    put = step["request_put"]
-    return Operation(_text(put["key"]), b64decode(put["value"]), int(put.get("lease", 0)))
+def _parse_operation(request_operation: Any) -> Operation:
+    if "request_delete_range" in request_operation:
+        deletion = request_operation["request_delete_range"]
+        return Operation(_decode_text(deletion["key"]), None, is_prefix="range_end" in deletion)
+    put = request_operation["request_put"]
+    return Operation(_decode_text(put["key"]), b64decode(put["value"]), int(put.get("lease", 0)))
 
 
 def _is_too_large(part: TxnPart) -> bool:
     return any(len(operation.value or b"") > MAX_VALUE_BYTES for operation in part.operations)
 
 
-def _wire_done(done: TxnPartDone) -> dict[str, Any]:
+def _encode_result(done: TxnPartDone) -> dict[str, Any]:
     responses = []
     if done.present is not None:
-        responses.append({"response_range": {"kvs": [_wire_entry(done.present)]}})
+        responses.append({"response_range": {"kvs": [_encode_entry(done.present)]}})
     return {"succeeded": done.succeeded, "responses": responses}
 
 
-def _wire_entry(entry: KvEntry) -> dict[str, str]:
+def _encode_entry(entry: KvEntry) -> dict[str, str]:
     return {
         "key": b64encode(entry.key.encode()).decode(),
         "value": b64encode(entry.value).decode(),
--- a/rackswitch/standins/loopback.py
+++ b/rackswitch/standins/loopback.py
@@ -1,18 +1,17 @@
-"""Addresses on loopback for stand-ins that come back where they were."""
+"""Loopback addresses for stand-ins that restart at the same address."""
 
 import itertools
 import os
 
 __all__ = ["own_loopback_host"]
 
-_NUMBERS = itertools.count()
+_COUNTER = itertools.count()
 
 
 def own_loopback_host() -> str:
     """Return a loopback address that nothing else in this run uses.
 
-    A port of the common address that is left for a moment may be taken by any connection that
-    somebody on this machine opens meanwhile.
+    On 127.0.0.1, another process may take the port while a stand-in restarts.
     """
-    process = os.getpid()
-    return f"127.{1 + process // 250 % 250}.{1 + process % 250}.{1 + next(_NUMBERS) % 250}"
+    process_id = os.getpid()
+    return f"127.{1 + process_id // 250 % 250}.{1 + process_id % 250}.{1 + next(_COUNTER) % 250}"
--- a/rackswitch/standins/main.py
+++ b/rackswitch/standins/main.py
@@ -1,4 +1,4 @@
-"""The program ``rackswitch-standin``: one stand-in as a process of its own."""
+"""Command ``rackswitch-standin``: runs one stand-in as a separate process."""
 
 import asyncio
 import signal
@@ -36,7 +36,7 @@
 
 
 class StandIns:
-    """Starts one stand-in and serves until SIGTERM or SIGINT."""
+    """Runs one stand-in until SIGTERM or SIGINT."""
 
     def kv(self, port: int, host: str = "127.0.0.1", seed: int = 1) -> None:
         """Serve the key-value service."""
@@ -91,7 +91,7 @@
         asyncio.run(run())
 
     def store(self, port: int, model: str, host: str = "127.0.0.1", seed: int = 1) -> None:
-        """Serve the weight store, with version 1 of a model published."""
+        """Serve the weight store with version 1 of a model published."""
 
         async def run() -> None:
             store = WeightStoreStandIn(host, port, seed)
@@ -110,6 +110,6 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the command line interface."""
     set_up_logs()
     fire.Fire(StandIns)
--- a/rackswitch/standins/platform_api.py
+++ b/rackswitch/standins/platform_api.py
@@ -1,4 +1,4 @@
-"""Stand-in of the operators' API that one daemon at a time calls."""
+"""Stand-in for the operator platform's API for usage reports and engine orders."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiCall:
-    """A call as it arrived."""
+    """A call as received."""
 
     path: str
     holder: str
@@ -27,14 +27,14 @@
 
 @dataclass(slots=True)
 class ApiFaults:
-    """What goes wrong from now on.
+    """Faults that the stand-in shows from now on.
 
     Attributes
     ----------
     status : int
-        What every call is answered without effect; 0 for none.
+        Status of every answer; 0 for the usual 200.
     lost_answers : int
-        So many of the next calls are taken and not answered.
+        Number of next calls to accept without answering.
     """
 
     status: int = 0
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class PlatformApiStandIn:
-    """Takes reports of usage and orders of engines, and keeps them in order."""
+    """Records usage reports and engine orders in order of arrival."""
 
     faults: ApiFaults = field(default_factory=ApiFaults)
     calls: list[ApiCall] = field(default_factory=list)
@@ -54,21 +54,21 @@
 
     @property
     def url(self) -> str:
-        """Where it listens."""
+        """Base URL of the API."""
         return self._server.url
 
     async def start(self) -> None:
-        """Listen."""
+        """Start serving."""
         await self._server.start()
 
     async def stop(self) -> None:
-        """Drop all connections."""
+        """Stop at once and drop all connections."""
         await self._server.crash()
 
     def usage(self) -> dict[int, dict[str, int]]:
-        """Return the reports that were taken, by window."""
-        taken = [call for call in self.calls if call.path == "/usage" and call.answered == 200]
-        return {call.body["window"]: call.body["counts"] for call in taken}
+        """Return the accepted usage reports by window."""
+        accepted = [call for call in self.calls if call.path == "/usage" and call.answered == 200]
+        return {call.body["window"]: call.body["counts"] for call in accepted}
 
     async def _serve(self, scope: dict[str, Any], receive: Any, send: Any) -> None:
         if scope["type"] != "http":
--- a/rackswitch/standins/platform_fleet.py
+++ b/rackswitch/standins/platform_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways with stand-ins of the operator platform, all in one process."""
+"""Gateways and stand-ins for the operator platform in one process."""
 
 import asyncio
 import socket
@@ -23,7 +23,7 @@
     "MODEL",
     "RESULTS_PATH",
     "VERSION_PREFIX",
-    "JobAnswer",
+    "ResultsPage",
     "PlatformFleet",
     "desired_state",
     "job_body",
@@ -38,14 +38,14 @@
 
 
 def free_port(host: str) -> int:
-    """Return a port of an address that nothing listens on."""
-    with socket.socket() as probe:
-        probe.bind((host, 0))
-        return probe.getsockname()[1]
+    """Return an unused port of a local address."""
+    with socket.socket() as listener:
+        listener.bind((host, 0))
+        return listener.getsockname()[1]
 
 
 def stand_in_settings(name: str, kv_url: str = "") -> NodeSettings:
-    """Return settings with the platform's usual bounds; nothing is listened on."""
+    """Return settings with typical limits and no listening addresses."""
     return NodeSettings(
         daemon=name,
         machine_class="front",
@@ -65,14 +65,26 @@
 
 
 def desired_state(version: int, **changes: Any) -> dict[str, Any]:
-    """Return a desired state as the operator writes it."""
-    common = {"host": HOST, "timeout_ms": 1500, "goal_ms": 200, "priority": 2}
-    plain = {**common, "service": "desk"}
+    """Return a desired state in the operator's format."""
+    common_fields = {"host": HOST, "timeout_ms": 1500, "goal_ms": 200, "priority": 2}
+    plain_route = {**common_fields, "service": "desk"}
     routes = [
-        {**plain, "name": "lookup", "path_prefix": "/look/", "kind": "safe", "max_attempts": 3},
-        {**plain, "name": "lodge", "path_prefix": "/lodge/", "kind": "unsafe", "max_attempts": 2},
         {
-            **common,
+            **plain_route,
+            "name": "lookup",
+            "path_prefix": "/look/",
+            "kind": "safe",
+            "max_attempts": 3,
+        },
+        {
+            **plain_route,
+            "name": "lodge",
+            "path_prefix": "/lodge/",
+            "kind": "unsafe",
+            "max_attempts": 2,
+        },
+        {
+            **common_fields,
             "name": "samples",
             "path_prefix": "/jobs/",
             "kind": "rollout",
@@ -101,7 +113,7 @@
 
 
 def job_body(job_id: str, pieces: list[int], oldest_version: int = 1) -> bytes:
-    """Return a job whose items bring so many pieces each, as a trainer submits it."""
+    """Return the submission of a job with one item per number of pieces."""
     items = [
         {
             "id": f"{job_id}-{number}",
@@ -130,8 +142,8 @@
 
 
 @dataclass(slots=True)
-class JobAnswer:
-    """A page of results as a trainer reads it."""
+class ResultsPage:
+    """A page of job results."""
 
     status: int
     total: int = 0
@@ -144,16 +156,16 @@
     Parameters
     ----------
     daemons, engines, services : int
-        How many gateways, engines and plain services.
+        Number of gateways, engines and plain services.
     policy : PolicySettings, optional
-        Mechanisms of the gateways that are switched on; all by default.
+        Optional mechanisms of the gateways; all enabled by default.
     usage_window_seconds : float
-        Length of the windows in which usage is reported; 0 for no reports.
+        Length of a usage reporting window; 0 disables reports.
 
     Attributes
     ----------
     key : str
-        What callers and trainers show from now on; nothing if it is empty.
+        API key sent with requests from now on; empty for none.
     """
 
     def __init__(
@@ -196,11 +208,11 @@
 
     def _is_ready(self, gateway: Gateway) -> bool:
         members = gateway.context.daemon.membership.live()
-        held = gateway.presence.is_sure()
-        return gateway.copies.is_complete and held and len(members) == len(self._names)
+        lease_is_held = gateway.presence.is_sure()
+        return gateway.copies.is_complete and lease_is_held and len(members) == len(self._names)
 
     async def start_gateway(self, name: str, log_descriptor: int | None = None) -> Gateway:
-        """Start one gateway, in place of an earlier one of the same name."""
+        """Start a gateway, replacing any earlier one of the same name."""
         host = own_loopback_host()
         port = free_port(host)
         settings = replace(
@@ -230,7 +242,7 @@
         )
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop all gateways and stand-ins."""
         for gateway in self.gateways.values():
             await gateway.crash()
         for target in (*self.engines, *self.services):
@@ -251,9 +263,9 @@
         deadline_ms: int = 1500,
         host: str = HOST,
     ) -> tuple[int, Mapping[str, str], bytes]:
-        """Send a request as a caller does; return status, headers and body."""
+        """Send a request as a caller; return status, headers and body."""
         assert self._session is not None
-        sent = {
+        request_headers = {
             "Host": host,
             "X-Rackswitch-Deadline-Ms": str(deadline_ms),
             **({"X-Rackswitch-Request-Id": request_id} if request_id else {}),
@@ -261,26 +273,31 @@
             **(headers or {}),
         }
         url = self.gateways[daemon].url + path
-        async with self._session.request(method, url, data=body or None, headers=sent) as answer:
+        async with self._session.request(
+            method, url, data=body or None, headers=request_headers
+        ) as answer:
             return answer.status, answer.headers, await answer.read()
 
     async def submit(
         self, daemon: str, job_id: str, pieces: list[int], oldest_version: int = 1
     ) -> int:
-        """Submit a job whose items bring so many pieces each; return the status."""
+        """Submit a job with one item per number of pieces; return the status."""
         body = job_body(job_id, pieces, oldest_version)
         status, _, _ = await self.request(daemon, "POST", "/jobs/new", body, job_id)
         return status
 
     async def operate(self, state: dict[str, Any]) -> None:
-        """Write a desired state, and wait until every gateway has it in force."""
+        """Write a desired state and wait until every gateway has applied it."""
         self.store.put("op/config", state)
         async with asyncio.timeout(READY_TIMEOUT_SECONDS):
-            while any(g.context.table_revision < state["version"] for g in self.gateways.values()):
+            while any(
+                gateway.context.table_revision < state["version"]
+                for gateway in self.gateways.values()
+            ):
                 await asyncio.sleep(0.01)
 
     def name_version(self, version: int) -> None:
-        """Name a version of the model, as its trainer does."""
+        """Publish a version of the model as its trainer."""
         self.store.put(VERSION_PREFIX + MODEL, {"model": MODEL, "version": version})
 
     async def end_job(self, daemon: str, job_id: str) -> int:
@@ -290,7 +307,7 @@
 
     async def read(
         self, daemon: str, job_id: str, position: int = 0, wait_ms: int = 0
-    ) -> JobAnswer:
+    ) -> ResultsPage:
         """Read a job's results once."""
         status, _, body = await self.request(
             daemon,
@@ -299,15 +316,15 @@
             headers={"X-Rackswitch-Wait-Ms": str(wait_ms)},
         )
         if status != 200:
-            return JobAnswer(status)
+            return ResultsPage(status)
         page = msgspec.json.decode(body)
         assert page["next_token"] == position + len(page["results"])
-        return JobAnswer(200, page["total"], page["results"])
+        return ResultsPage(200, page["total"], page["results"])
 
     async def read_all(
         self, daemon: str, job_id: str, timeout_seconds: float = 10.0
     ) -> list[dict[str, Any]]:
-        """Read until a job is whole."""
+        """Read results until the job is complete."""
         results: list[dict[str, Any]] = []
         async with asyncio.timeout(timeout_seconds):
             while True:
--- a/rackswitch/standins/platform_target.py
+++ b/rackswitch/standins/platform_target.py
@@ -1,7 +1,7 @@
-"""Stand-ins of the operator platform's engines and plain services.
+"""Stand-in engines and plain services of the operator platform.
 
-They record what they were asked, so that tests can check from the outside
-what ran where, how often and with which bytes.
+They record every request, so that tests can check what ran where, how often
+and with which bytes.
 """
 
 import asyncio
@@ -18,38 +18,38 @@
 
 __all__ = ["OrderSeen", "PlatformTargetStandIn", "Run", "TargetFaults"]
 
-EVENT_SECONDS = 0.004
+EVENT_INTERVAL_SECONDS = 0.004
 LOAD_SECONDS = 0.1
 MAX_BODY_BYTES = 1_000_000
 
 
 @dataclass(slots=True)
 class TargetFaults:
-    """What a target does wrong from now on.
+    """Faults that a target shows from now on.
 
     Attributes
     ----------
     refuse : bool
-        Says of every request that it did not run it.
+        Refuse every request and state that it was not run.
     mute : bool
-        Takes requests, runs them and never answers.
+        Run requests and never answer.
     foreign : bool
-        Answers with another request's identity.
+        Answer with the id of another request.
     encoded : bool
-        Claims that its answers are encoded.
+        Add a content-encoding header to answers that are not encoded.
     break_after : int
-        Breaks streams off inside the event after so many; 0 for never.
+        Interrupt streams inside the event after this many; 0 for never.
     status : int
-        Status of its answers.
+        Status of the answers.
     end_on : bytes
-        Ends as soon as it begins a request with this body, and starts again after
-        `back_after_seconds` at the same address; nothing if it is empty.
+        Crash on a request with this body and restart at the same address after
+        `back_after_seconds`; empty for never.
     keeps_identity : bool
-        Whether it is then listed under the identity that it had.
+        Whether the restarted target is listed under its previous instance name.
     load_words : (int, int)
-        What it says how many requests it runs and how many wait there.
+        Reported load: requests running and requests waiting.
     work_seconds : float
-        How long it works on a request before it answers.
+        Time from a request to its answer.
     """
 
     refuse: bool = False
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class OrderSeen:
-    """An order as it arrived."""
+    """A load order as received."""
 
     holder: str
     fence: int
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """A request as it ran here."""
+    """A request as the target ran it."""
 
     request_id: str
     method: str
@@ -87,8 +87,8 @@
     headers: tuple[tuple[str, str], ...] = ()
 
     def values(self, name: str) -> list[str]:
-        """Return the values of all headers of a name."""
-        return [value for own, value in self.headers if own == name.lower()]
+        """Return the values of all headers with a name."""
+        return [value for header_name, value in self.headers if header_name == name.lower()]
 
 
 @dataclass(slots=True)
@@ -104,16 +104,16 @@
     Parameters
     ----------
     instance, service : str
-        How it lists itself.
+        Instance and service name of its entry in the store.
     store : PlatformStoreStandIn
-        Where it lists itself.
+        Store that holds the entry.
     models : tuple of str
-        The models that it runs, at version 1.
+        Models that it runs, at version 1.
 
     Attributes
     ----------
     listed_address : str
-        Where it says that it can be reached, if that is not where it listens.
+        Address to publish instead of the one it listens on; empty for none.
     """
 
     def __init__(
@@ -133,38 +133,35 @@
         self._state = _State({model: 1 for model in models})
         self._host = own_loopback_host()
         self._server = WebServer(self._serve, self._host, 0)
-        self._born_unix_ms = int(time.time() * 1000)
+        self._started_unix_ms = int(time.time() * 1000)
         self._restarts: set[asyncio.Task[None]] = set()
         self.ended_at_seconds: list[float] = []
-        """When its process ended under a request (event loop time)."""
+        """Times of crashes on a request (event loop time)."""
 
     @property
     def versions(self) -> dict[str, int]:
-        """The versions it has."""
+        """Loaded version by model."""
         return self._state.versions
 
     @property
     def address(self) -> str:
-        """Where it listens, as HOST:PORT."""
+        """Listening address as HOST:PORT."""
         return self._server.url.removeprefix("http://")
 
     async def start(self) -> None:
-        """Listen and appear in the list."""
+        """Listen and publish the entry in the store."""
         await self._server.start()
         self.list_itself()
 
     async def crash(self) -> None:
-        """Drop all connections and vanish."""
+        """Drop all connections and delete the entry."""
         for restart in self._restarts:
             restart.cancel()
         await self._server.crash()
         self._store.delete(f"servers/{self.instance}")
 
     async def end_and_start_again(self) -> None:
-        """End without a word, and come back at the same address as another start.
-
-        It knows nothing of before then, and its counts start anew.
-        """
+        """Crash, then restart at the same address with fresh state."""
         self.ended_at_seconds.append(asyncio.get_running_loop().time())
         port = self._server.port
         await self._server.crash()
@@ -172,13 +169,13 @@
         if not self.faults.keeps_identity:
             self._store.delete(f"servers/{self.instance}")
             self.instance = f"{self.instance.partition('.')[0]}.{len(self.ended_at_seconds)}"
-        self._born_unix_ms = int(time.time() * 1000)
+        self._started_unix_ms = int(time.time() * 1000)
         self._state = _State({model: 1 for model in self.versions})
         self._server = WebServer(self._serve, self._host, port)
         await self.start()
 
     def list_itself(self, state: str = "ready") -> None:
-        """Write the entry that the platform lists."""
+        """Write the target's entry to the store."""
         models = [
             {"name": name, "version": version, "adapters": []}
             for name, version in self.versions.items()
@@ -193,7 +190,7 @@
             "cold_left_ms": 0,
             "models": models,
             "seq": 1,
-            "born": self._born_unix_ms,
+            "born": self._started_unix_ms,
         }
         self._store.put(f"servers/{self.instance}", entry)
 
@@ -224,7 +221,7 @@
             "seq": self._state.orders_taken,
             "waiting": waiting,
             "running": running,
-            "born": self._born_unix_ms,
+            "born": self._started_unix_ms,
         }
         await exchange.respond(200, (), msgspec.json.encode(report))
 
@@ -275,7 +272,7 @@
             headers.append(("content-encoding", "gzip"))
         if model and self.faults.status == 200:
             if int(run.last_event_id or 0) < int(body):
-                # Behind its last event nothing is left of a text, so no version makes any of it.
+                # Without further events no version contributes to the text.
                 headers.append(("x-rackswitch-weight-versions", str(run.version)))
             headers.append(("content-type", "text/event-stream"))
             await exchange.stream(200, tuple(headers), self._events(body, run))
@@ -283,16 +280,20 @@
         await exchange.respond(self.faults.status, tuple(headers), b"answer to " + body)
 
     async def _events(self, body: bytes, run: Run):
-        """Yield the events that a body asks for: its text is their number."""
+        """Yield as many events as the number in the body."""
         first = int(run.last_event_id or 0) + 1
         version = run.version
         for number in range(first, int(body) + 1):
-            await asyncio.sleep(EVENT_SECONDS)
-            present = next(iter(self.versions.values()))
-            mark = f"x-rackswitch-weight-versions: {present}\n" if present != version else ""
-            version = present
-            event = f"{mark}id: {number}\ndata: piece {number}\n\n".encode()
+            await asyncio.sleep(EVENT_INTERVAL_SECONDS)
+            current_version = next(iter(self.versions.values()))
+            version_line = (
+                f"x-rackswitch-weight-versions: {current_version}\n"
+                if current_version != version
+                else ""
+            )
+            version = current_version
+            event = f"{version_line}id: {number}\ndata: piece {number}\n\n".encode()
             if self.faults.break_after and number - first >= self.faults.break_after:
                 yield event[: len(event) // 2]
-                raise ConnectionError("broken off on order")
+                raise ConnectionError("stream interrupted by an injected fault")
             yield event
--- a/rackswitch/standins/services.py
+++ b/rackswitch/standins/services.py
@@ -1,4 +1,4 @@
-"""Stand-ins of a plain service, the scorer, the weight store and the VM list."""
+"""Stand-ins for a plain service, a scorer, the weight store and the VM list."""
 
 import asyncio
 import hashlib
@@ -23,18 +23,18 @@
 
 
 def expected_answer(path: str, body: bytes) -> bytes:
-    """Return the plain service's answer to a call."""
+    """Return the answer of the plain service to a call."""
     digest = hashlib.blake2b(path.encode() + b"\n" + body, digest_size=16).hexdigest()
     return msgspec.json.encode({"digest": digest})
 
 
 def expected_score(prompt: str, text: str) -> float:
-    """Return the scorer's score of a sample."""
+    """Return the score of a sample."""
     digest = hashlib.blake2b(f"{prompt}\n{text}".encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big") / 2**32
 
 
-class _StandIn:
+class _WebStandIn:
     """A web server with a fault gate."""
 
     def __init__(self, host: str, port: int, seed: int):
@@ -44,25 +44,25 @@
 
     @property
     def url(self) -> str:
-        """The address."""
+        """Base URL of the service."""
         return self._server.url
 
     async def start(self) -> None:
-        """Serve."""
+        """Start serving."""
         await self._server.start()
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once and drop all connections."""
         await self._server.crash()
 
 
-class PlainServiceStandIn(_StandIn):
-    """A plain service that counts what it ran, by idempotency key.
+class PlainServiceStandIn(_WebStandIn):
+    """A plain service that counts its runs by idempotency key and by path.
 
     Parameters
     ----------
     work_seconds : float
-        How long a call takes.
+        Duration of a call.
     """
 
     def __init__(self, host: str, port: int, seed: int = 1, work_seconds: float = 0.005):
@@ -88,8 +88,8 @@
         return json_response({"runs_by_key": self.runs_by_key})
 
 
-class ScorerStandIn(_StandIn):
-    """Scores samples by a digest."""
+class ScorerStandIn(_WebStandIn):
+    """A scorer that derives each score from a digest of the sample."""
 
     def __init__(self, host: str, port: int, seed: int = 1):
         super().__init__(host, port, seed)
@@ -105,21 +105,21 @@
         )
 
 
-class WeightStoreStandIn(_StandIn):
-    """Keeps published versions; reads of weights are limited in rate.
+class WeightStoreStandIn(_WebStandIn):
+    """A weight store with a rate limit on reads of weights.
 
     Parameters
     ----------
     reads_per_second : float
-        Reads of weights beyond this rate get 429.
+        Rate limit; reads above it get 429.
     """
 
     def __init__(self, host: str, port: int, seed: int = 1, reads_per_second: float = 200.0):
         super().__init__(host, port, seed)
         self.versions: dict[str, set[int]] = {}
         self._reads_per_second = reads_per_second
-        self._allowance = reads_per_second
-        self._filled_at_seconds = time.monotonic()
+        self._available_reads = reads_per_second
+        self._refilled_at_seconds = time.monotonic()
         add_route(self.application, "GET", "/models/{model}/versions", self._on_list)
         add_route(self.application, "GET", "/models/{model}/versions/{version}", self._on_read)
         add_route(self.application, "PUT", "/models/{model}/versions/{version}", self._on_publish)
@@ -134,12 +134,12 @@
         if version not in self.versions.get(model, set()):
             return Response(404)
         now_seconds = time.monotonic()
-        earned = (now_seconds - self._filled_at_seconds) * self._reads_per_second
-        self._allowance = min(self._reads_per_second, self._allowance + earned)
-        self._filled_at_seconds = now_seconds
-        if self._allowance < 1.0:
+        refill = (now_seconds - self._refilled_at_seconds) * self._reads_per_second
+        self._available_reads = min(self._reads_per_second, self._available_reads + refill)
+        self._refilled_at_seconds = now_seconds
+        if self._available_reads < 1.0:
             return Response(429, [(b"retry-after", b"1")])
-        self._allowance -= 1.0
+        self._available_reads -= 1.0
         return Response(200, content=Content(b"application/octet-stream", b"weights"))
 
     async def _on_publish(self, request: Request) -> Response:
@@ -149,28 +149,28 @@
         return Response(204)
 
 
-class VmListStandIn(_StandIn):
-    """The list of VMs, which shows a change only after a lag.
+class VmListStandIn(_WebStandIn):
+    """A VM list that shows each change after a delay.
 
     Parameters
     ----------
     lag_seconds : float
-        How late the list is.
+        Delay until a change is listed.
     """
 
     def __init__(self, host: str, port: int, seed: int = 1, lag_seconds: float = 0.5):
         super().__init__(host, port, seed)
         self._lag_seconds = lag_seconds
         self._vms: dict[str, dict[str, Any]] = {}
-        self._shown_from_seconds: dict[str, float] = {}
-        self._shown: dict[str, dict[str, Any]] = {}
+        self._listed_from_seconds: dict[str, float] = {}
+        self._listed: dict[str, dict[str, Any]] = {}
         add_route(self.application, "GET", "/vms", self._on_list)
         add_route(self.application, "PUT", "/vms/{name}", self._on_put)
 
     def put(self, vm: dict[str, Any]) -> None:
         """Add or change a VM."""
         self._vms[vm["name"]] = vm
-        self._shown_from_seconds[vm["name"]] = time.monotonic() + self._lag_seconds
+        self._listed_from_seconds[vm["name"]] = time.monotonic() + self._lag_seconds
 
     async def _on_put(self, request: Request) -> Response:
         name = path_value(request, "name")
@@ -182,6 +182,6 @@
     async def _on_list(self, request: Request) -> Response:
         now_seconds = time.monotonic()
         for name, vm in self._vms.items():
-            if now_seconds >= self._shown_from_seconds[name]:
-                self._shown[name] = vm
-        return json_response({"vms": list(self._shown.values())})
+            if now_seconds >= self._listed_from_seconds[name]:
+                self._listed[name] = vm
+        return json_response({"vms": list(self._listed.values())})
--- a/rackswitch/standins/trainer.py
+++ b/rackswitch/standins/trainer.py
@@ -1,4 +1,4 @@
-"""Stand-in of a trainer, with an outside ledger of all it received."""
+"""Stand-in trainer that records and checks all samples it receives."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 )
 from rackswitch.standins.services import expected_score
 
-__all__ = ["LabelSeen", "TrainerRecord", "TrainerStandIn", "false_labels"]
+__all__ = ["ReceivedLabel", "TrainerRecord", "TrainerStandIn", "false_labels"]
 
 RETRY_SECONDS = 0.1
 CALL_TIMEOUT_SECONDS = 8.0
@@ -27,19 +27,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LabelSeen:
-    """A received sample's identity and label, to be held against the engines' records."""
+class ReceivedLabel:
+    """Identity and label of a received sample, to compare with the engines' records."""
 
     prompt: str
     seed: int
     spans: tuple[tuple[int, int], ...]
 
 
-def false_labels(seen: list[LabelSeen], engines: Iterable[EngineStandIn]) -> int:
-    """Count labels that name, for any token, a version that no engine made it with."""
+def false_labels(received: list[ReceivedLabel], engines: Iterable[EngineStandIn]) -> int:
+    """Count labels that name a version with which no engine generated the token."""
     records = [engine.made for engine in engines]
     count = 0
-    for label in seen:
+    for label in received:
         versions = [version for version, tokens in label.spans for _ in range(tokens)]
         made = [record.get((label.prompt, label.seed), {}) for record in records]
         count += not all(
@@ -51,12 +51,12 @@
 
 @dataclass(slots=True)
 class TrainerRecord:
-    """What the trainer has seen, counted outside of the daemons.
+    """Counts of received samples and errors, independent of the daemons.
 
     Attributes
     ----------
     idle_seconds : float
-        Time spent waiting for a step to become whole.
+        Time spent waiting for steps to complete.
     """
 
     samples: int = 0
@@ -74,7 +74,7 @@
     lengths: list[int] = field(default_factory=list)
 
     def violations(self) -> list[str]:
-        """Return a line for each kind of violation seen."""
+        """Return a line for each kind of violation found."""
         counts = {
             "samples received twice": self.duplicated,
             "samples never planned": self.foreign,
@@ -86,18 +86,18 @@
 
 
 class TrainerStandIn:
-    """Trains in steps: plans, draws until the step is whole, publishes a version.
+    """Trains in steps: submits a plan, draws samples until complete, publishes a version.
 
     Parameters
     ----------
     name, token, model : str
-        Its identity, and the model it trains.
+        Name and bearer token of the trainer, and the model it trains.
     urls : list of str
-        The daemons behind the balancer.
+        Base URLs of the daemons.
     store_url : str
-        Where new versions are published.
+        Base URL of the weight store.
     staleness_bound_versions : int
-        The bound, for the outside check.
+        Maximum staleness of a sample, for the check.
     """
 
     def __init__(
@@ -118,7 +118,7 @@
         seed: int = 1,
     ):
         self.record = TrainerRecord()
-        self.labels: list[LabelSeen] = []
+        self.labels: list[ReceivedLabel] = []
         self.last_refusals: deque[tuple[str, int, bytes]] = deque(maxlen=6)
         self.urls = urls
         self.version = 1
@@ -127,11 +127,11 @@
         self._headers = {"Authorization": f"Bearer {token}", "Content-Type": "application/json"}
         self._model = model
         self._store_url = store_url
-        self._bound = staleness_bound_versions
+        self._staleness_bound_versions = staleness_bound_versions
         self._groups = groups
         self._group_size = group_size
         self._max_tokens = max_tokens
-        self._most_samples = most_samples
+        self._max_samples = most_samples
         self._scored = scored
         self._train_seconds = train_seconds
         self._rng = random.Random(seed)
@@ -141,10 +141,10 @@
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_SECONDS, sock_connect=1.0)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             for step in range(first_step, first_step + steps):
-                await self._step(session, step)
+                await self._run_step(session, step)
 
     def plan_of(self, step: int) -> StepPlan:
-        """Return a step's plan, which depends on the step alone."""
+        """Return the plan of a step; it depends only on the trainer's name and the step."""
         rng = random.Random(f"{self._name}/{step}")
         groups = []
         for _ in range(self._groups):
@@ -160,18 +160,18 @@
             )
         return StepPlan(step=step, groups=tuple(groups))
 
-    async def _step(self, session: aiohttp.ClientSession, step: int) -> None:
+    async def _run_step(self, session: aiohttp.ClientSession, step: int) -> None:
         loop = asyncio.get_running_loop()
         began_seconds = loop.time()
         plan = self.plan_of(step)
-        await self._plan(session, plan)
+        await self._submit_plan(session, plan)
         if step > 1:
-            # The next step's plan lets the service start on it early.
-            await self._plan(session, self.plan_of(step + 1))
-        seen: set[int] = set()
+            # Submitting the next plan early lets the service generate ahead.
+            await self._submit_plan(session, self.plan_of(step + 1))
+        received: set[int] = set()
         acknowledged = 0
         while True:
-            batch = await self._draw(session, plan, acknowledged)
+            batch = await self._draw_batch(session, plan, acknowledged)
             if batch.step_complete:
                 break
             if batch.batch <= acknowledged:
@@ -179,27 +179,27 @@
             acknowledged = batch.batch
             self.record.batches += 1
             for sample in batch.samples:
-                self._receive(plan, seen, sample)
+                self._receive(plan, received, sample)
         self.record.idle_seconds += loop.time() - began_seconds
         self.record.steps += 1
-        if len(seen) != plan.total_samples:
-            self.record.foreign += plan.total_samples - len(seen)
+        if len(received) != plan.total_samples:
+            self.record.foreign += plan.total_samples - len(received)
         await asyncio.sleep(self._train_seconds)
         await self._publish(session)
 
-    def _receive(self, plan: StepPlan, seen: set[int], sample: Sample) -> None:
+    def _receive(self, plan: StepPlan, received: set[int], sample: Sample) -> None:
         record = self.record
         record.samples += 1
         if sample.step != plan.step or not 0 <= sample.index < plan.total_samples:
             record.foreign += 1
             return
-        if sample.index in seen:
+        if sample.index in received:
             record.duplicated += 1
-        seen.add(sample.index)
+        received.add(sample.index)
         staleness = self.version - sample.label.oldest_version
         record.staleness_sum += max(0, staleness)
         record.staleness_max = max(record.staleness_max, staleness)
-        record.too_stale += staleness > self._bound
+        record.too_stale += staleness > self._staleness_bound_versions
         record.versions.update(version for version, _ in sample.label.spans)
         record.lengths.append(sample.tokens)
         self._check_text(plan, sample)
@@ -209,15 +209,15 @@
         tokens = expected_tokens(group.prompt, sample.seed, group.max_tokens)
         text = "".join(token_text(token) for token in tokens)
         self.record.wrong_text += text != sample.text
-        self.labels.append(LabelSeen(group.prompt, sample.seed, sample.label.spans))
+        self.labels.append(ReceivedLabel(group.prompt, sample.seed, sample.label.spans))
         if self._scored:
             self.record.wrong_score += sample.score != expected_score(group.prompt, text)
 
-    async def _plan(self, session: aiohttp.ClientSession, plan: StepPlan) -> None:
+    async def _submit_plan(self, session: aiohttp.ClientSession, plan: StepPlan) -> None:
         while await self._post(session, "plans", msgspec.json.encode(plan)) is None:
             await asyncio.sleep(RETRY_SECONDS)
 
-    async def _draw(
+    async def _draw_batch(
         self, session: aiohttp.ClientSession, plan: StepPlan, acknowledged: int
     ) -> Batch:
         draw = Draw(
@@ -225,7 +225,7 @@
             acknowledged_batch=acknowledged,
             policy_version=self.version,
             trainer_epoch=self.epoch,
-            most_samples=self._most_samples,
+            most_samples=self._max_samples,
             wait_seconds=1.0,
         )
         while True:
@@ -238,7 +238,7 @@
     async def _post(
         self, session: aiohttp.ClientSession, operation: str, body: bytes
     ) -> bytes | None:
-        """Call any daemon, as through a balancer; None if that brought no answer."""
+        """Call a random daemon; return None if the call failed or was refused."""
         url = f"{self._rng.choice(self.urls)}/v1/trainers/{self._name}/{operation}"
         try:
             async with session.post(url, data=body, headers=self._headers) as answer:
