--- a/benchmarks/bench_admission.py
+++ b/benchmarks/bench_admission.py
@@ -1,4 +1,4 @@
-"""Too many calls for four targets: what callers get by polling, by the shipped decisions, ideally.
+"""Admission above the capacity of four targets: polling, the production code and the ideal.
 
 python benchmarks/bench_admission.py
 """
@@ -17,20 +17,20 @@
 RESULTS = Path(__file__).parent / "results"
 LOADS = (0.7, 1.0, 1.5, 2.0, 3.0)
 RUN_SECONDS = 30.0
-WARM_SECONDS = 8.0
+WARM_UP_SECONDS = 8.0
 SEED = 1
-WAYS = {"polled": PolledPlay, "shipped": AdmissionPlay, "ideal": IdealPlay}
+STRATEGIES = {"polled": PolledPlay, "shipped": AdmissionPlay, "ideal": IdealPlay}
 
 
 def main() -> None:
     rows = {}
     for load in LOADS:
-        for name, way in WAYS.items():
-            play = way(load, SEED, RUN_SECONDS)
-            play.run()
-            found = asdict(figures(play, WARM_SECONDS))
-            rows[f"{name} {load}"] = found
-            print(name, load, json.dumps(found, default=str))
+        for name, simulation_class in STRATEGIES.items():
+            simulation = simulation_class(load, SEED, RUN_SECONDS)
+            simulation.run()
+            result = asdict(figures(simulation, WARM_UP_SECONDS))
+            rows[f"{name} {load}"] = result
+            print(name, load, json.dumps(result, default=str))
     (RESULTS / "admission.json").write_text(json.dumps(rows, indent=1) + "\n")
 
 
--- a/benchmarks/bench_callers.py
+++ b/benchmarks/bench_callers.py
@@ -1,7 +1,7 @@
-"""Latency that a daemon adds, its cost a token, and the cost of claims.
+"""Latency and CPU time that a daemon adds to a stream, and the cost of claims.
 
-Everything runs in one process, one way after the other; a way's processor time less
-that of the direct way is what lies between client and engine.
+All paths run in one process, one after the other. The CPU time of a path minus that of the
+direct path is the cost of what lies between caller and engine.
 
     python benchmarks/bench_callers.py
 """
@@ -24,12 +24,12 @@
 
 RESULTS = Path(__file__).parent / "results"
 REQUESTS = 300
-WIDTH = 8
+CONCURRENCY = 8
 TOKENS = 64
 
 
 class PassThrough:
-    """The bare relay on the same libraries: no checks, no choice, no limits."""
+    """A plain relay on the same libraries, without checks, routing or limits."""
 
     def __init__(self, engine_url: str):
         self._engine_url = engine_url
@@ -54,57 +54,59 @@
         await self.server.crash()
 
 
-async def many(calls: list, width: int) -> None:
-    gate = asyncio.Semaphore(width)
+async def run_concurrently(calls: list, concurrency: int) -> None:
+    semaphore = asyncio.Semaphore(concurrency)
 
-    async def one(call) -> None:
-        async with gate:
+    async def run_call(call) -> None:
+        async with semaphore:
             await call()
 
-    await asyncio.gather(*(one(call) for call in calls))
+    await asyncio.gather(*(run_call(call) for call in calls))
 
 
-async def streamed(url: str) -> dict[str, float]:
+async def measure_streams(url: str) -> dict[str, float]:
     caller = CallerStandIn(CALLER_TOKEN, [url])
     model = REGISTER.application
     calls = [lambda n=n: caller.complete(model, f"text {n}", TOKENS, n) for n in range(REQUESTS)]
-    await many(calls[:20], WIDTH)
+    await run_concurrently(calls[:20], CONCURRENCY)
     caller.record = type(caller.record)()
-    cpu, wall = time.process_time(), time.perf_counter()
-    await many(calls, WIDTH)
+    cpu_began_seconds, wall_began_seconds = time.process_time(), time.perf_counter()
+    await run_concurrently(calls, CONCURRENCY)
     row = {
         "completed": caller.record.completed,
         "p50_ms": caller.record.percentile_ms(50),
         "p99_ms": caller.record.percentile_ms(99),
-        "cpu_seconds": round(time.process_time() - cpu, 3),
-        "wall_seconds": round(time.perf_counter() - wall, 3),
+        "cpu_seconds": round(time.process_time() - cpu_began_seconds, 3),
+        "wall_seconds": round(time.perf_counter() - wall_began_seconds, 3),
     }
     await caller.close()
     return row
 
 
-async def claimed(fleet: EmbeddedFleet, with_key: bool, width: int) -> dict[str, float]:
+async def measure_claims(
+    fleet: EmbeddedFleet, with_key: bool, concurrency: int
+) -> dict[str, float]:
     caller = CallerStandIn(CALLER_TOKEN, fleet.urls())
     calls = []
     for number in range(REQUESTS):
-        key = f"{width}-{number}" if with_key else None
+        key = f"{concurrency}-{number}" if with_key else None
         path = f"p{number}"
         calls.append(
             lambda path=path, key=key: caller.call_service(REGISTER.service, path, b"x", key)
         )
-    kv_calls = fleet.kv.calls
-    began = time.perf_counter()
-    await many(calls, width)
+    kv_calls_before = fleet.kv.calls
+    began_seconds = time.perf_counter()
+    await run_concurrently(calls, concurrency)
     await asyncio.sleep(0.2)
-    background = 6.0 * (time.perf_counter() - began)
+    background_kv_calls = 6.0 * (time.perf_counter() - began_seconds)
     row = {
         "claimed": with_key,
-        "width": width,
+        "width": concurrency,
         "completed": caller.record.completed,
         "p50_ms": caller.record.percentile_ms(50),
         "p99_ms": caller.record.percentile_ms(99),
         "kv_calls_per_request": round(
-            max(0.0, fleet.kv.calls - kv_calls - background) / REQUESTS, 2
+            max(0.0, fleet.kv.calls - kv_calls_before - background_kv_calls) / REQUESTS, 2
         ),
     }
     await caller.close()
@@ -125,19 +127,21 @@
         ("pass_through", relay.server.url),
         ("daemon", fleet.daemons["d0"].url),
     ):
-        results[name] = await streamed(url)
+        results[name] = await measure_streams(url)
         print(name, json.dumps(results[name]), flush=True)
     direct_cpu = results["direct"]["cpu_seconds"]
     total_tokens = 0
     for engine in fleet.engines.values():
         total_tokens += sum(len(made) for made in engine.made.values())
     for name in ("pass_through", "daemon"):
-        cost = results[name]["cpu_seconds"] - direct_cpu
-        results[name]["tokens_per_core_second"] = round(total_tokens / 3 / max(cost, 1e-3))
+        added_cpu_seconds = results[name]["cpu_seconds"] - direct_cpu
+        results[name]["tokens_per_core_second"] = round(
+            total_tokens / 3 / max(added_cpu_seconds, 1e-3)
+        )
     rows = []
-    for width in (1, 8, 64):
+    for concurrency in (1, 8, 64):
         for with_key in (False, True):
-            rows.append(await claimed(fleet, with_key, width))
+            rows.append(await measure_claims(fleet, with_key, concurrency))
             print(json.dumps(rows[-1]), flush=True)
     results["claims"] = rows
     print(json.dumps(results))
--- a/benchmarks/bench_faults.py
+++ b/benchmarks/bench_faults.py
@@ -1,4 +1,4 @@
-"""Times to leave a target and to take a role over, with the default settings.
+"""Times to stop using a removed target and to take over a role, with the default settings.
 
 python benchmarks/bench_faults.py
 """
@@ -15,7 +15,7 @@
 from rackswitch.telemetry import set_up_logs
 
 RESULTS = Path(__file__).parent / "results"
-TRIES = 5
+REMOVALS = 5
 DAEMONS = 9
 CALLS = 150
 ROLE = ledger_role("nightly")
@@ -36,46 +36,46 @@
     return fleet
 
 
-async def leaving(fleet: EmbeddedFleet) -> list[float]:
-    """Time from the platform's list being changed to no daemon giving the target work."""
+async def measure_removal(fleet: EmbeddedFleet) -> list[float]:
+    """Return the times from marking a VM as leaving to no daemon using its target."""
     loop = asyncio.get_running_loop()
     times = []
-    for number in range(TRIES):
+    for number in range(REMOVALS):
         name = f"layout-{number}"
         vm = {"name": name, "zone": ASSOCIATION.zones[0], "role": "target", "state": "leaving"}
         fleet.vm_list.put(vm)
-        began = loop.time()
+        began_seconds = loop.time()
         while any(
             name in [row.name for row, _ in daemon.targets.usable("layout")]
             for daemon in fleet.daemons.values()
         ):
             await asyncio.sleep(0.02)
-        times.append(loop.time() - began)
+        times.append(loop.time() - began_seconds)
     return times
 
 
-async def take_over(fleet: EmbeddedFleet, planned: bool) -> list[float]:
-    """Time from a holder's end to another holding its role."""
+async def measure_takeover(fleet: EmbeddedFleet, planned: bool) -> list[float]:
+    """Return the times from stopping a role holder to another daemon holding the role."""
     loop = asyncio.get_running_loop()
     times = []
     for _ in range(2):
         holder = None
         while holder is None:
             await asyncio.sleep(0.05)
-            held = [name for name, d in fleet.daemons.items() if d.roles.may_act(ROLE)]
-            holder = held[0] if held else None
+            holders = [name for name, d in fleet.daemons.items() if d.roles.may_act(ROLE)]
+            holder = holders[0] if holders else None
         daemon = fleet.daemons.pop(holder)
-        began = loop.time()
-        end = asyncio.create_task(daemon.stop() if planned else daemon.crash())
-        while not any(each.roles.may_act(ROLE) for each in fleet.daemons.values()):
+        began_seconds = loop.time()
+        stop_task = asyncio.create_task(daemon.stop() if planned else daemon.crash())
+        while not any(other.roles.may_act(ROLE) for other in fleet.daemons.values()):
             await asyncio.sleep(0.02)
-        times.append(loop.time() - began)
-        await end
+        times.append(loop.time() - began_seconds)
+        await stop_task
     return times
 
 
-async def engine_fault(fault: str) -> dict[str, object]:
-    """Callers' outcomes while one of four engines of the application fails."""
+async def measure_engine_fault(fault: str) -> dict[str, object]:
+    """Return callers' outcomes while one of four engines of the application fails."""
     fleet = await start()
     caller = CallerStandIn(CALLER_TOKEN, fleet.urls())
     engine = fleet.engines["intake-0"]
@@ -107,17 +107,17 @@
     return row
 
 
-def summary(times: list[float]) -> dict[str, float]:
+def summarize(times: list[float]) -> dict[str, float]:
     return {"mean_seconds": round(sum(times) / len(times), 2), "most_seconds": round(max(times), 2)}
 
 
 async def measure() -> dict[str, object]:
     fleet = await start()
     results: dict[str, object] = {"daemons": DAEMONS, "vm_list_lag_seconds": 0.2}
-    results["leaving_target"] = summary(await leaving(fleet))
+    results["leaving_target"] = summarize(await measure_removal(fleet))
     print(json.dumps(results), flush=True)
-    results["take_over_after_crash"] = summary(await take_over(fleet, planned=False))
-    results["take_over_after_planned_stop"] = summary(await take_over(fleet, planned=True))
+    results["take_over_after_crash"] = summarize(await measure_takeover(fleet, planned=False))
+    results["take_over_after_planned_stop"] = summarize(await measure_takeover(fleet, planned=True))
     await fleet.stop()
     return results
 
@@ -128,7 +128,7 @@
     print(json.dumps(results), flush=True)
     faults = []
     for fault in ("none", "dies", "freezes", "slows tenfold"):
-        faults.append(asyncio.run(engine_fault(fault)))
+        faults.append(asyncio.run(measure_engine_fault(fault)))
         print(json.dumps(faults[-1]), flush=True)
     results["engine_faults"] = faults
     RESULTS.mkdir(exist_ok=True)
--- a/benchmarks/bench_limits.py
+++ b/benchmarks/bench_limits.py
@@ -1,6 +1,7 @@
-"""Excess and waste of a global rate limit while the demand moves between daemons.
+"""Excess and unused share of a global rate limit while demand moves between daemons.
 
-Ours against an equal static split and a central counter, on the same seeded demand.
+Compares lending between daemons with an equal static split and a central counter, on the same
+seeded demand.
 
     python benchmarks/bench_limits.py
 """
@@ -15,74 +16,93 @@
 RESULTS = Path(__file__).parent / "results"
 LIMIT = 300.0
 RUN_SECONDS = 120.0
-MOVE_SECONDS = 15.0
-NEWS_DELAY_SECONDS = (0.1, 1.2)
-LEND_PERIOD_SECONDS = 0.25
+DEMAND_SHIFT_INTERVAL_SECONDS = 15.0
+ANNOUNCEMENT_DELAY_SECONDS = (0.1, 1.2)
+ANNOUNCEMENT_INTERVAL_SECONDS = 0.25
 OUTAGE_SECONDS = (60.0, 80.0)
 
 
 @dataclass(slots=True)
 class Result:
-    passed: int = 0
+    admitted: int = 0
     offered: int = 0
     wasted: float = 0.0
     excess: float = 0.0
     calls: int = 0
 
 
-def demand(daemons: int, now: float) -> list[float]:
-    """Return each daemon's demand: twice the limit, on a fifth of the daemons in turn."""
-    period = int(now // MOVE_SECONDS)
-    busy = max(1, daemons // 5)
-    chosen = {(period * busy + n) % daemons for n in range(busy)}
-    return [2 * LIMIT / busy if n in chosen else 0.01 * LIMIT / daemons for n in range(daemons)]
+def demand(daemons: int, now_seconds: float) -> list[float]:
+    """Return each daemon's demand: in total twice the limit, on a fifth of the daemons in turn."""
+    period = int(now_seconds // DEMAND_SHIFT_INTERVAL_SECONDS)
+    busy_count = max(1, daemons // 5)
+    busy_daemons = {(period * busy_count + n) % daemons for n in range(busy_count)}
+    return [
+        2 * LIMIT / busy_count if n in busy_daemons else 0.01 * LIMIT / daemons
+        for n in range(daemons)
+    ]
 
 
 class Lending:
-    """The shipped shares, with news and loans that take their time."""
+    """The production ledger of shares, with delayed announcements and loans."""
 
     def __init__(self, daemons: int, rng: random.Random):
         self.limits = [RateLimit(ShareLedger(LIMIT / daemons)) for _ in range(daemons)]
         self.rng = rng
         self.sequence = 0
-        self.pending: list[tuple[float, int, int, int, float]] = []
-        self.next_announce = 0.0
-        self.lent: dict[tuple[int, int], float] = {}
+        self.pending_announcements: list[tuple[float, int, int, int, float]] = []
+        self.next_announcement_seconds = 0.0
+        self.lent_until_seconds: dict[tuple[int, int], float] = {}
         self.calls = 0
 
-    def take(self, daemon: int, now: float) -> bool:
-        return self.limits[daemon].try_take(now) is None
-
-    def tick(self, now: float) -> None:
-        if now >= self.next_announce:
-            self.next_announce = now + LEND_PERIOD_SECONDS
-            self.announce(now)
-        due = [item for item in self.pending if item[0] <= now]
-        self.pending = [item for item in self.pending if item[0] > now]
-        for _, borrower, lender, sequence, missing in due:
-            self.lend(borrower, lender, sequence, missing, now)
-
-    def announce(self, now: float) -> None:
+    def try_admit(self, daemon: int, now_seconds: float) -> bool:
+        return self.limits[daemon].try_take(now_seconds) is None
+
+    def tick(self, now_seconds: float) -> None:
+        if now_seconds >= self.next_announcement_seconds:
+            self.next_announcement_seconds = now_seconds + ANNOUNCEMENT_INTERVAL_SECONDS
+            self.announce(now_seconds)
+        due_announcements = [
+            announcement
+            for announcement in self.pending_announcements
+            if announcement[0] <= now_seconds
+        ]
+        self.pending_announcements = [
+            announcement
+            for announcement in self.pending_announcements
+            if announcement[0] > now_seconds
+        ]
+        for _, borrower, lender, sequence, deficit_units in due_announcements:
+            self.lend(borrower, lender, sequence, deficit_units, now_seconds)
+
+    def announce(self, now_seconds: float) -> None:
         for borrower, limit in enumerate(self.limits):
-            missing = limit.missing_units(now)
-            if missing <= 0:
+            deficit_units = limit.missing_units(now_seconds)
+            if deficit_units <= 0:
                 continue
             self.sequence += 1
-            limit.book.announce(self.sequence, now)
+            limit.book.announce(self.sequence, now_seconds)
             for lender in range(len(self.limits)):
                 if lender != borrower:
-                    at = now + self.rng.uniform(*NEWS_DELAY_SECONDS)
-                    self.pending.append((at, borrower, lender, self.sequence, missing))
-
-    def lend(self, borrower: int, lender: int, sequence: int, missing: float, now: float) -> None:
-        if self.lent.get((lender, borrower), 0.0) > now:
+                    arrives_at_seconds = now_seconds + self.rng.uniform(*ANNOUNCEMENT_DELAY_SECONDS)
+                    self.pending_announcements.append(
+                        (arrives_at_seconds, borrower, lender, self.sequence, deficit_units)
+                    )
+
+    def lend(
+        self, borrower: int, lender: int, sequence: int, deficit_units: float, now_seconds: float
+    ) -> None:
+        if self.lent_until_seconds.get((lender, borrower), 0.0) > now_seconds:
             return
-        book = self.limits[lender].book
-        wanted = 2 * missing / max(1, len(self.limits) - 1)
-        loan = book.lend(wanted, self.limits[lender].demand(now), now)
+        lender_ledger = self.limits[lender].book
+        requested_units = 2 * deficit_units / max(1, len(self.limits) - 1)
+        loan = lender_ledger.lend(
+            requested_units, self.limits[lender].demand(now_seconds), now_seconds
+        )
         if loan is not None:
-            self.lent[(lender, borrower)] = now + 2.0
-            self.limits[borrower].book.borrow(str(lender), loan.loan_id, loan.units, sequence, now)
+            self.lent_until_seconds[(lender, borrower)] = now_seconds + 2.0
+            self.limits[borrower].book.borrow(
+                str(lender), loan.loan_id, loan.units, sequence, now_seconds
+            )
 
 
 class StaticSplit:
@@ -90,54 +110,54 @@
         self.limits = [RateLimit(ShareLedger(LIMIT / daemons)) for _ in range(daemons)]
         self.calls = 0
 
-    def take(self, daemon: int, now: float) -> bool:
-        return self.limits[daemon].try_take(now) is None
+    def try_admit(self, daemon: int, now_seconds: float) -> bool:
+        return self.limits[daemon].try_take(now_seconds) is None
 
-    def tick(self, now: float) -> None:
+    def tick(self, now_seconds: float) -> None:
         pass
 
 
 class CentralCounter:
-    """One bucket in the key-value service, one call a request; closed in an outage."""
+    """One token bucket in the key-value service, one call per request; refuses during an outage."""
 
     def __init__(self, daemons: int, rng: random.Random):
         self.limit = RateLimit(ShareLedger(LIMIT))
         self.calls = 0
 
-    def take(self, daemon: int, now: float) -> bool:
+    def try_admit(self, daemon: int, now_seconds: float) -> bool:
         self.calls += 1
-        if OUTAGE_SECONDS[0] <= now < OUTAGE_SECONDS[1]:
+        if OUTAGE_SECONDS[0] <= now_seconds < OUTAGE_SECONDS[1]:
             return False
-        return self.limit.try_take(now) is None
+        return self.limit.try_take(now_seconds) is None
 
-    def tick(self, now: float) -> None:
+    def tick(self, now_seconds: float) -> None:
         pass
 
 
-def run(kind: type, daemons: int) -> dict[str, object]:
+def run(limiter_class: type, daemons: int) -> dict[str, object]:
     rng = random.Random(5)
-    limiter = kind(daemons, random.Random(6))
-    passed = [0] * int(RUN_SECONDS)
+    limiter = limiter_class(daemons, random.Random(6))
+    admitted = [0] * int(RUN_SECONDS)
     offered = 0
-    now = 0.0
-    while now < RUN_SECONDS:
-        now += 0.01
-        limiter.tick(now)
-        for daemon, rate in enumerate(demand(daemons, now)):
+    now_seconds = 0.0
+    while now_seconds < RUN_SECONDS:
+        now_seconds += 0.01
+        limiter.tick(now_seconds)
+        for daemon, rate in enumerate(demand(daemons, now_seconds)):
             expected = rate * 0.01
             count = int(expected) + (rng.random() < expected % 1)
             for _ in range(count):
                 offered += 1
-                if now < RUN_SECONDS and limiter.take(daemon, now):
-                    passed[int(now)] += 1
-    total = sum(passed)
-    windows = [sum(passed[n : n + 5]) / 5 for n in range(1, len(passed) - 5)]
+                if now_seconds < RUN_SECONDS and limiter.try_admit(daemon, now_seconds):
+                    admitted[int(now_seconds)] += 1
+    total = sum(admitted)
+    window_rates = [sum(admitted[n : n + 5]) / 5 for n in range(1, len(admitted) - 5)]
     return {
-        "limiter": kind.__name__,
+        "limiter": limiter_class.__name__,
         "daemons": daemons,
         "used_share": round(total / (LIMIT * RUN_SECONDS), 3),
         "unused_share": round(1 - min(1.0, total / (LIMIT * RUN_SECONDS)), 3),
-        "excess_most_over_5_s": round(max(0.0, max(windows) / LIMIT - 1), 3),
+        "excess_most_over_5_s": round(max(0.0, max(window_rates) / LIMIT - 1), 3),
         "kv_calls_per_request": round(limiter.calls / offered, 2),
     }
 
@@ -145,8 +165,8 @@
 def main() -> None:
     rows = []
     for daemons in (9, 30, 100, 330):
-        for kind in (Lending, StaticSplit, CentralCounter):
-            rows.append(run(kind, daemons))
+        for limiter_class in (Lending, StaticSplit, CentralCounter):
+            rows.append(run(limiter_class, daemons))
             print(json.dumps(rows[-1]), flush=True)
     RESULTS.mkdir(exist_ok=True)
     (RESULTS / "limits.json").write_text(json.dumps(rows, indent=1) + "\n")
--- a/benchmarks/bench_log.py
+++ b/benchmarks/bench_log.py
@@ -1,9 +1,9 @@
-"""What the decision log costs: a line, a request at the peak rate, and a reader that stalls.
+"""CPU time per line of the decision log, at several rates and with a stalled reader.
 
     python benchmarks/bench_log.py
 
-A request writes one routine line; at the peak 1,700 a second reach 330 daemons, some 5 a
-second each, so the rates here are far beyond: 200 a second is what is written one by one.
+A request writes one routine line. At the peak rate a daemon serves about 5 requests per second;
+routine lines above 200 per second are counted instead of written.
 """
 
 import json
@@ -21,7 +21,7 @@
 
 
 class RateClock:
-    """A steady clock by which lines come at a rate."""
+    """A simulated clock on which lines are written at a fixed rate."""
 
     def __init__(self, rate_per_second: float):
         self.now_seconds = 0.0
@@ -30,11 +30,11 @@
     def __call__(self) -> float:
         return self.now_seconds
 
-    def step(self) -> None:
+    def advance(self) -> None:
         self.now_seconds += self._step_seconds
 
 
-def served(number: int) -> RequestEnded:
+def request_ended_event(number: int) -> RequestEnded:
     return RequestEnded(
         request=f"9c41d07be2a3{number:06d}",
         route="lookup",
@@ -49,7 +49,7 @@
     )
 
 
-def failed(number: int) -> AttemptFailed:
+def attempt_failed_event(number: int) -> AttemptFailed:
     return AttemptFailed(
         request=f"9c41d07be2a3{number:06d}",
         service="desk",
@@ -62,38 +62,40 @@
     )
 
 
-def drain(descriptor: int, stop: threading.Event) -> None:
+def read_until_stopped(descriptor: int, stop: threading.Event) -> None:
     while not stop.is_set():
         if not os.read(descriptor, 1 << 16):
             return
 
 
-def seconds_a_line(make: type[Event] | object, rate_per_second: float, reads: bool) -> dict:
-    """Return the processor time of a line, and what became of all lines."""
+def measure_log(
+    make_event: type[Event] | object, rate_per_second: float, reader_reads: bool
+) -> dict:
+    """Return the CPU time per line and the number of folded and dropped lines."""
     reader, writer = os.pipe()
     stop = threading.Event()
-    if reads:
-        threading.Thread(target=drain, args=(reader, stop), daemon=True).start()
+    if reader_reads:
+        threading.Thread(target=read_until_stopped, args=(reader, stop), daemon=True).start()
     clock = RateClock(rate_per_second)
     telemetry = Telemetry("d")
     log = DecisionLog("d", writer, telemetry.events.count, clock)
-    events = [make(number) for number in range(LINES)]  # type: ignore[operator]
-    worst = 0.0
-    began = time.thread_time()
+    events = [make_event(number) for number in range(LINES)]  # type: ignore[operator]
+    max_write_seconds = 0.0
+    cpu_began_seconds = time.thread_time()
     for number, event in enumerate(events):
-        one = time.perf_counter()
+        write_began_seconds = time.perf_counter()
         log.write(event)
-        worst = max(worst, time.perf_counter() - one)
-        clock.step()
+        max_write_seconds = max(max_write_seconds, time.perf_counter() - write_began_seconds)
+        clock.advance()
         if number % 50 == 0:
             log.pump()
-    spent = time.thread_time() - began
+    cpu_seconds = time.thread_time() - cpu_began_seconds
     stop.set()
     result = {
         "rate_per_second": rate_per_second,
-        "reader": "reads" if reads else "stalls",
-        "us_a_line": round(spent / LINES * 1e6, 2),
-        "worst_write_ms": round(worst * 1e3, 2),
+        "reader": "reads" if reader_reads else "stalls",
+        "us_a_line": round(cpu_seconds / LINES * 1e6, 2),
+        "worst_write_ms": round(max_write_seconds * 1e3, 2),
         "folded": log.folded_total,
         "dropped": log.dropped_total,
     }
@@ -101,27 +103,31 @@
     return result
 
 
-def without_a_log() -> float:
-    """Return the processor time of making and counting an event that is written nowhere."""
+def measure_counting_only() -> float:
+    """Return the CPU time of counting an event without writing it."""
     telemetry = Telemetry("d")
     log = DecisionLog("d", None, telemetry.events.count)
-    events = [served(number) for number in range(LINES)]
-    began = time.thread_time()
+    events = [request_ended_event(number) for number in range(LINES)]
+    cpu_began_seconds = time.thread_time()
     for event in events:
         log.write(event)
-    spent = time.thread_time() - began
+    cpu_seconds = time.thread_time() - cpu_began_seconds
     telemetry.close()
-    return round(spent / LINES * 1e6, 2)
+    return round(cpu_seconds / LINES * 1e6, 2)
 
 
 def main() -> None:
     result = {
         "lines": LINES,
-        "counted_only_us": without_a_log(),
+        "counted_only_us": measure_counting_only(),
         "routine": [
-            seconds_a_line(served, rate, reads) for rate in RATES_PER_SECOND for reads in (1, 0)
+            measure_log(request_ended_event, rate, reader_reads)
+            for rate in RATES_PER_SECOND
+            for reader_reads in (1, 0)
+        ],
+        "failures": [
+            measure_log(attempt_failed_event, 5000.0, reader_reads) for reader_reads in (1, 0)
         ],
-        "failures": [seconds_a_line(failed, 5000.0, reads) for reads in (1, 0)],
     }
     text = json.dumps(result, indent=1)
     (RESULTS / "log.json").write_text(text + "\n")
--- a/benchmarks/bench_placing.py
+++ b/benchmarks/bench_placing.py
@@ -1,8 +1,8 @@
-"""Placing by what targets tell, on uneven targets with noise and a slow spell.
+"""Compares placement policies on targets of different speeds, with noise and a slow period.
 
-A target is a queue in order of arrival before some slots, so a request's finish is known as it is
-sent, and the bound is a choice with knowledge of all that is and will be. The daemons' decisions
-are the shipped code.
+A target is a FIFO queue with a number of slots, so the finish time of a request is known when it
+is sent. The "perfect" policy uses that time and is the bound. Daemons' decisions use the
+production code.
 
     python benchmarks/bench_placing.py
 """
@@ -28,261 +28,293 @@
 )
 
 RESULTS = Path(__file__).parent / "results"
-DECIDERS = 77
+DAEMONS = 77
 TICK_SECONDS = 0.05
-PLAYED_SECONDS = 30.0
-GRID_SECONDS = 2 * PLAYED_SECONDS
+SIMULATED_SECONDS = 30.0
+PACE_SERIES_SECONDS = 2 * SIMULATED_SECONDS
 MIN_PACE, MAX_PACE = 0.55, 1.2
 NOISE_FACTOR, NOISE_SHARE, NOISE_SECONDS = 2.5, 0.15, 0.6
 SLOW_FACTOR, SLOW_SHARE = 6.0, 0.2
 SLOW_FROM_SECONDS, SLOW_UNTIL_SECONDS = 10.0, 18.0
 CALL_SECONDS = (0.025, 0.1)
 PIECE_SECONDS = 0.04
-USUAL_PIECES = 22.0
-GAPS_HEARD_SECONDS = 0.2
-"""Of a text not each gap is played, but enough of them."""
+TYPICAL_PIECES = 22.0
+PIECE_REPORT_INTERVAL_SECONDS = 0.2
+"""Only one piece interval per this time is simulated, to limit the number of events."""
 
 RUN_COST_SHARE = 0.01
-"""As the schedule weighs it where targets tell no pace."""
+"""Slowdown per running request, for targets that report no pace."""
 
 
 @dataclass(slots=True)
-class PlayedTarget:
-    """A target whose pace over time is drawn beforehand."""
+class SimulatedTarget:
+    """A target with a precomputed random pace over time."""
 
     listed: ListedTarget
     paces: list[float]
-    free_at: list[float] = field(default_factory=list)
-    spans: list[tuple[float, float]] = field(default_factory=list)
+    slot_ends_at_seconds: list[float] = field(default_factory=list)
+    work_intervals: list[tuple[float, float]] = field(default_factory=list)
 
     def pace(self, at_seconds: float) -> float:
         return self.paces[min(len(self.paces) - 1, int(at_seconds / TICK_SECONDS))]
 
     def begin_at(self, now_seconds: float) -> float:
-        if len(self.free_at) < self.listed.slots:
+        if len(self.slot_ends_at_seconds) < self.listed.slots:
             return now_seconds
-        return max(now_seconds, self.free_at[0])
+        return max(now_seconds, self.slot_ends_at_seconds[0])
 
     def finish_at(self, now_seconds: float, work_seconds: float) -> float:
-        """Return when work would be through that is sent now."""
-        at_seconds, left_seconds = self.begin_at(now_seconds), work_seconds
+        """Return the finish time of work sent now."""
+        at_seconds, remaining_seconds = self.begin_at(now_seconds), work_seconds
         while True:
-            tick_end = (int(at_seconds / TICK_SECONDS + 1e-9) + 1) * TICK_SECONDS
+            tick_ends_at_seconds = (int(at_seconds / TICK_SECONDS + 1e-9) + 1) * TICK_SECONDS
             pace = self.pace(at_seconds + 1e-9)
-            if left_seconds * pace <= tick_end - at_seconds:
-                return at_seconds + left_seconds * pace
-            left_seconds -= (tick_end - at_seconds) / pace
-            at_seconds = tick_end
+            if remaining_seconds * pace <= tick_ends_at_seconds - at_seconds:
+                return at_seconds + remaining_seconds * pace
+            remaining_seconds -= (tick_ends_at_seconds - at_seconds) / pace
+            at_seconds = tick_ends_at_seconds
 
     def send(self, now_seconds: float, work_seconds: float) -> tuple[float, float]:
-        """Take work on; return when it begins and when it is through."""
-        begins, ends = self.begin_at(now_seconds), self.finish_at(now_seconds, work_seconds)
-        if len(self.free_at) == self.listed.slots:
-            heapq.heapreplace(self.free_at, ends)
+        """Accept work; return its start and finish times."""
+        begins_at_seconds, ends_at_seconds = (
+            self.begin_at(now_seconds),
+            self.finish_at(now_seconds, work_seconds),
+        )
+        if len(self.slot_ends_at_seconds) == self.listed.slots:
+            heapq.heapreplace(self.slot_ends_at_seconds, ends_at_seconds)
         else:
-            heapq.heappush(self.free_at, ends)
-        self.spans = [span for span in self.spans if span[1] > now_seconds - 1.0]
-        self.spans.append((begins, ends))
-        return begins, ends
-
-    def word(self, at_seconds: float) -> ReportedLoad:
-        running = sum(begins <= at_seconds < ends for begins, ends in self.spans)
-        waiting = sum(at_seconds < begins for begins, _ in self.spans)
+            heapq.heappush(self.slot_ends_at_seconds, ends_at_seconds)
+        self.work_intervals = [
+            interval for interval in self.work_intervals if interval[1] > now_seconds - 1.0
+        ]
+        self.work_intervals.append((begins_at_seconds, ends_at_seconds))
+        return begins_at_seconds, ends_at_seconds
+
+    def reported_load(self, at_seconds: float) -> ReportedLoad:
+        running = sum(
+            begins_at_seconds <= at_seconds < ends_at_seconds
+            for begins_at_seconds, ends_at_seconds in self.work_intervals
+        )
+        waiting = sum(
+            at_seconds < begins_at_seconds for begins_at_seconds, _ in self.work_intervals
+        )
         return ReportedLoad(running, waiting, self.listed.slots, self.pace(at_seconds), at_seconds)
 
 
 @dataclass(slots=True)
-class Decider:
-    """What one daemon knows."""
+class SimulatedDaemon:
+    """A daemon's estimates of the targets."""
 
-    targets: list[PlayedTarget]
+    targets: list[SimulatedTarget]
     rng: random.Random
-    picture: LoadEstimator = field(default_factory=LoadEstimator)
+    estimator: LoadEstimator = field(default_factory=LoadEstimator)
     paces: EnginePaces = field(default_factory=EnginePaces)
-    known: list[Target] = field(default_factory=list)
+    known_targets: list[Target] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.known = [Target(t.listed.instance, "u", "z") for t in self.targets]
+        self.known_targets = [Target(t.listed.instance, "u", "z") for t in self.targets]
 
 
-Choice = Callable[[Decider, WorkKind, float, float], int]
+Choice = Callable[[SimulatedDaemon, WorkKind, float, float], int]
 
 
-def at_random(decider: Decider, kind: WorkKind, work_seconds: float, now: float) -> int:
-    return decider.rng.randrange(len(decider.targets))
+def choose_at_random(
+    daemon: SimulatedDaemon, kind: WorkKind, work_seconds: float, now_seconds: float
+) -> int:
+    return daemon.rng.randrange(len(daemon.targets))
 
 
-def by_policy(name: str) -> Choice:
-    def choose(decider: Decider, kind: WorkKind, work_seconds: float, now: float) -> int:
-        policy = POLICIES.get(name)(decider.rng)
-        chosen = policy.choose(RoutedRequest(0.0, 20.0, (), now), decider.known)
-        return decider.known.index(chosen)
+def choose_by_policy(name: str) -> Choice:
+    def choose(
+        daemon: SimulatedDaemon, kind: WorkKind, work_seconds: float, now_seconds: float
+    ) -> int:
+        policy = POLICIES.get(name)(daemon.rng)
+        chosen = policy.choose(RoutedRequest(0.0, 20.0, (), now_seconds), daemon.known_targets)
+        return daemon.known_targets.index(chosen)
 
     return choose
 
 
-def today(decider: Decider, kind: WorkKind, work_seconds: float, now: float) -> int:
-    """Calls by `at_hand`; items by own runs and learnt paces, as all words are thrown away."""
+def choose_by_own_requests(
+    daemon: SimulatedDaemon, kind: WorkKind, work_seconds: float, now_seconds: float
+) -> int:
+    """Choose by own requests and learnt paces, without load reports; calls use `at_hand`."""
     if kind is WorkKind.CALL:
-        return by_policy("at_hand")(decider, kind, work_seconds, now)
+        return choose_by_policy("at_hand")(daemon, kind, work_seconds, now_seconds)
 
     def finish(number: int) -> tuple[bool, float, float]:
-        own = decider.known[number].own_requests
-        pace = decider.paces.get(decider.targets[number].listed.start, now)
-        is_full = own >= decider.targets[number].listed.slots
-        return is_full, pace * (1 + RUN_COST_SHARE * own), own
+        own_requests_count = daemon.known_targets[number].own_requests
+        pace = daemon.paces.get(daemon.targets[number].listed.start, now_seconds)
+        is_full = own_requests_count >= daemon.targets[number].listed.slots
+        return is_full, pace * (1 + RUN_COST_SHARE * own_requests_count), own_requests_count
 
-    return min(range(len(decider.targets)), key=finish)
+    return min(range(len(daemon.targets)), key=finish)
 
 
-def by_picture(decider: Decider, kind: WorkKind, work_seconds: float, now: float) -> int:
+def choose_by_estimate(
+    daemon: SimulatedDaemon, kind: WorkKind, work_seconds: float, now_seconds: float
+) -> int:
     units = work_seconds / PIECE_SECONDS if kind is WorkKind.TEXT else 1.0
-    usual = decider.picture.usual_units("s", kind)
-    places = [decider.picture.place(t.listed, kind, usual, now) for t in decider.targets]
-    run_seconds = decider.picture.usual_run_seconds("s", kind)
-    return places.index(choose_target(places, units, run_seconds, decider.rng))
+    typical_units = daemon.estimator.usual_units("s", kind)
+    estimates = [
+        daemon.estimator.place(t.listed, kind, typical_units, now_seconds) for t in daemon.targets
+    ]
+    typical_run_seconds = daemon.estimator.usual_run_seconds("s", kind)
+    return estimates.index(choose_target(estimates, units, typical_run_seconds, daemon.rng))
 
 
-def perfect(decider: Decider, kind: WorkKind, work_seconds: float, now: float) -> int:
+def choose_with_full_knowledge(
+    daemon: SimulatedDaemon, kind: WorkKind, work_seconds: float, now_seconds: float
+) -> int:
     return min(
-        range(len(decider.targets)),
-        key=lambda number: decider.targets[number].finish_at(now, work_seconds),
+        range(len(daemon.targets)),
+        key=lambda number: daemon.targets[number].finish_at(now_seconds, work_seconds),
     )
 
 
 CHOICES: dict[str, Choice] = {
-    "random": at_random,
-    "two_choices": by_policy("two_choices"),
-    "today": today,
-    "nearly_best": by_picture,
-    "perfect": perfect,
+    "random": choose_at_random,
+    "two_choices": choose_by_policy("two_choices"),
+    "today": choose_by_own_requests,
+    "nearly_best": choose_by_estimate,
+    "perfect": choose_with_full_knowledge,
 }
 
 
-def make_targets(count: int, slots: int, rng: random.Random) -> list[PlayedTarget]:
-    ticks = round(GRID_SECONDS / TICK_SECONDS)
-    spell_ticks = round(NOISE_SECONDS / TICK_SECONDS)
-    slow = set(rng.sample(range(count), round(SLOW_SHARE * count)))
+def make_targets(count: int, slots: int, rng: random.Random) -> list[SimulatedTarget]:
+    ticks = round(PACE_SERIES_SECONDS / TICK_SECONDS)
+    noise_ticks = round(NOISE_SECONDS / TICK_SECONDS)
+    slow_targets = set(rng.sample(range(count), round(SLOW_SHARE * count)))
     targets = []
     for number in range(count):
-        usual = rng.uniform(MIN_PACE, MAX_PACE)
-        paces = [usual] * ticks
-        for tick in range(0, ticks, spell_ticks):
+        typical_pace = rng.uniform(MIN_PACE, MAX_PACE)
+        paces = [typical_pace] * ticks
+        for tick in range(0, ticks, noise_ticks):
             if rng.random() < NOISE_SHARE:
-                paces[tick : tick + spell_ticks] = [usual * NOISE_FACTOR] * spell_ticks
-        if number in slow:
-            span = range(
+                paces[tick : tick + noise_ticks] = [typical_pace * NOISE_FACTOR] * noise_ticks
+        if number in slow_targets:
+            slow_ticks = range(
                 int(SLOW_FROM_SECONDS / TICK_SECONDS), int(SLOW_UNTIL_SECONDS / TICK_SECONDS)
             )
-            for tick in span:
+            for tick in slow_ticks:
                 paces[tick] *= SLOW_FACTOR
         listed = ListedTarget(f"t{number}", "s", "h", 1, "z", slots)
-        targets.append(PlayedTarget(listed, paces[:ticks]))
+        targets.append(SimulatedTarget(listed, paces[:ticks]))
     return targets
 
 
-class Play:
-    """Sends work in the order of time, and lets each decider learn of its own."""
+class Simulation:
+    """Sends work in order of time and delivers its outcomes to the daemon that sent it."""
 
-    def __init__(self, name: str, targets: list[PlayedTarget], deciders: int, seed: int):
+    def __init__(self, name: str, targets: list[SimulatedTarget], daemons: int, seed: int):
         self.choose = CHOICES[name]
         self.targets = targets
-        self.deciders = [Decider(targets, random.Random(seed + n)) for n in range(deciders)]
-        self.news: list[tuple[float, int, Callable[[], None]]] = []
-        self.count = 0
-
-    def send(self, decider: Decider, kind: WorkKind, work_seconds: float, now: float) -> float:
-        """Place a piece of work; return when it is through."""
-        self._learn(now)
-        number = self.choose(decider, kind, work_seconds, now)
-        target, known = self.targets[number], decider.known[number]
+        self.daemons = [SimulatedDaemon(targets, random.Random(seed + n)) for n in range(daemons)]
+        self.pending_events: list[tuple[float, int, Callable[[], None]]] = []
+        self.event_count = 0
+
+    def send(
+        self, daemon: SimulatedDaemon, kind: WorkKind, work_seconds: float, now_seconds: float
+    ) -> float:
+        """Place a piece of work; return its finish time."""
+        self._run_due_events(now_seconds)
+        number = self.choose(daemon, kind, work_seconds, now_seconds)
+        target, known_target = self.targets[number], daemon.known_targets[number]
         units = work_seconds / PIECE_SECONDS if kind is WorkKind.TEXT else 1.0
-        place = decider.picture.place(target.listed, kind, units, now)
-        sent = decider.picture.sent(target.listed, kind, place, now)
-        known.begin(20.0, ())
-        begins, ends = target.send(now, work_seconds)
+        estimate = daemon.estimator.place(target.listed, kind, units, now_seconds)
+        sent_request = daemon.estimator.sent(target.listed, kind, estimate, now_seconds)
+        known_target.begin(20.0, ())
+        begins_at_seconds, ends_at_seconds = target.send(now_seconds, work_seconds)
         start = target.listed.start
 
-        def told(at_seconds: float) -> None:
-            decider.picture.heard(start, "s", target.word(at_seconds))
+        def record_load(at_seconds: float) -> None:
+            daemon.estimator.heard(start, "s", target.reported_load(at_seconds))
 
-        def ended() -> None:
-            known.end(20.0)
-            decider.picture.done(sent)
-            decider.picture.worked(sent, units, ends)
+        def record_end() -> None:
+            known_target.end(20.0)
+            daemon.estimator.done(sent_request)
+            daemon.estimator.worked(sent_request, units, ends_at_seconds)
 
-        def piece(at_seconds: float) -> None:
-            gap_seconds = PIECE_SECONDS * target.pace(at_seconds)
-            decider.paces.note(start, gap_seconds, at_seconds)
-            decider.picture.piece(start, "s", gap_seconds, at_seconds)
+        def record_piece(at_seconds: float) -> None:
+            interval_seconds = PIECE_SECONDS * target.pace(at_seconds)
+            daemon.paces.note(start, interval_seconds, at_seconds)
+            daemon.estimator.piece(start, "s", interval_seconds, at_seconds)
 
         if kind is WorkKind.TEXT:
-            self._later(begins, lambda: told(begins))
-            for number in range(1, int((ends - begins) / GAPS_HEARD_SECONDS)):
-                at_seconds = begins + number * GAPS_HEARD_SECONDS
-                self._later(at_seconds, partial(piece, at_seconds))
+            self._schedule(begins_at_seconds, lambda: record_load(begins_at_seconds))
+            for number in range(
+                1, int((ends_at_seconds - begins_at_seconds) / PIECE_REPORT_INTERVAL_SECONDS)
+            ):
+                at_seconds = begins_at_seconds + number * PIECE_REPORT_INTERVAL_SECONDS
+                self._schedule(at_seconds, partial(record_piece, at_seconds))
         else:
-            self._later(ends, lambda: told(ends))
-        self._later(ends, ended)
-        return ends
+            self._schedule(ends_at_seconds, lambda: record_load(ends_at_seconds))
+        self._schedule(ends_at_seconds, record_end)
+        return ends_at_seconds
 
-    def _later(self, at_seconds: float, news: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.news, (at_seconds, self.count, news))
+    def _schedule(self, at_seconds: float, event: Callable[[], None]) -> None:
+        self.event_count += 1
+        heapq.heappush(self.pending_events, (at_seconds, self.event_count, event))
 
-    def _learn(self, now: float) -> None:
-        while self.news and self.news[0][0] <= now:
-            heapq.heappop(self.news)[2]()
+    def _run_due_events(self, now_seconds: float) -> None:
+        while self.pending_events and self.pending_events[0][0] <= now_seconds:
+            heapq.heappop(self.pending_events)[2]()
 
 
-def play_calls(name: str, seed: int) -> list[float]:
+def simulate_calls(name: str, seed: int) -> list[float]:
     rng = random.Random(seed)
-    play = Play(name, make_targets(9, 6, rng), DECIDERS, seed)
-    times, now = [], 0.0
-    while now < PLAYED_SECONDS:
-        now += rng.expovariate(350.0)
+    simulation = Simulation(name, make_targets(9, 6, rng), DAEMONS, seed)
+    latencies_seconds, now_seconds = [], 0.0
+    while now_seconds < SIMULATED_SECONDS:
+        now_seconds += rng.expovariate(350.0)
         work_seconds = rng.uniform(*CALL_SECONDS)
-        decider = rng.choice(play.deciders)
-        times.append(play.send(decider, WorkKind.CALL, work_seconds, now) - now)
-    return times
+        daemon = rng.choice(simulation.daemons)
+        latencies_seconds.append(
+            simulation.send(daemon, WorkKind.CALL, work_seconds, now_seconds) - now_seconds
+        )
+    return latencies_seconds
 
 
-def play_steps(name: str, seed: int) -> list[float]:
-    """Steps of several owners, each of items of very different length; the longest go first."""
+def simulate_steps(name: str, seed: int) -> list[float]:
+    """Simulate steps of several owners, with items of varying length sent longest first."""
     rng = random.Random(seed)
-    play = Play(name, make_targets(20, 12, rng), 8, seed)
+    simulation = Simulation(name, make_targets(20, 12, rng), 8, seed)
     starts = sorted(
-        (rng.uniform(0.0, PLAYED_SECONDS), owner) for owner in range(8) for _ in range(12)
+        (rng.uniform(0.0, SIMULATED_SECONDS), owner) for owner in range(8) for _ in range(12)
     )
-    times = []
-    for now, owner in starts:
+    latencies_seconds = []
+    for now_seconds, owner in starts:
         pieces = sorted(
-            (max(2.0, rng.lognormvariate(0.0, 0.6) * USUAL_PIECES) for _ in range(32)),
+            (max(2.0, rng.lognormvariate(0.0, 0.6) * TYPICAL_PIECES) for _ in range(32)),
             reverse=True,
         )
-        ends = [
-            play.send(play.deciders[owner], WorkKind.TEXT, count * PIECE_SECONDS, now)
+        ends_at_seconds = [
+            simulation.send(
+                simulation.daemons[owner], WorkKind.TEXT, count * PIECE_SECONDS, now_seconds
+            )
             for count in pieces
         ]
-        times.append(max(ends) - now)
-    return times
+        latencies_seconds.append(max(ends_at_seconds) - now_seconds)
+    return latencies_seconds
 
 
-def percentile(times: list[float], share: float) -> float:
-    return round(1000 * sorted(times)[int(share * len(times))])
+def percentile(latencies_seconds: list[float], share: float) -> float:
+    return round(1000 * sorted(latencies_seconds)[int(share * len(latencies_seconds))])
 
 
 def main() -> None:
     rows = []
-    for load, play in (("calls", play_calls), ("steps", play_steps)):
+    for load, simulate in (("calls", simulate_calls), ("steps", simulate_steps)):
         for name in CHOICES:
-            times = [took for seed in range(5) for took in play(name, seed)]
+            latencies_seconds = [
+                elapsed_seconds for seed in range(5) for elapsed_seconds in simulate(name, seed)
+            ]
             rows.append(
                 {
                     "load": load,
                     "choice": name,
-                    "p50_ms": percentile(times, 0.5),
-                    "p99_ms": percentile(times, 0.99),
+                    "p50_ms": percentile(latencies_seconds, 0.5),
+                    "p99_ms": percentile(latencies_seconds, 0.99),
                 }
             )
             print(json.dumps(rows[-1]), flush=True)
--- a/benchmarks/bench_routing.py
+++ b/benchmarks/bench_routing.py
@@ -1,7 +1,7 @@
-"""Routing policies on the same seeded arrivals, and goodput past saturation.
+"""Compares routing policies on the same seeded arrivals, and goodput above saturation.
 
-Engines are a small fluid model in steps of 5 ms: a batch of 16 shares a token rate, the
-rest wait, cached prefixes cost no reading. The daemons' decisions are the shipped code.
+Engines are a fluid model in steps of 5 ms: a batch of 16 requests shares a token rate, other
+requests wait, and cached prefixes need no prefill. Routing decisions use the production code.
 
     python benchmarks/bench_routing.py
 """
@@ -25,73 +25,73 @@
 RESULTS = Path(__file__).parent / "results"
 STEP_SECONDS = 0.005
 BATCH_WIDTH = 16
-READ_TOKENS_PER_SECOND = 30000.0
+PREFILL_TOKENS_PER_SECOND = 30000.0
 CACHED_CHUNKS = 120
 CHUNK_TOKENS = 64
 POLL_SECONDS = 0.5
-PIGGYBACK = True
+REPORT_LOAD_WITH_ANSWERS = True
 DEADLINE_SECONDS = 6.0
 RUN_SECONDS = 40.0
 
 
 @dataclass(slots=True)
-class Work:
-    arrived: float
-    read_tokens: float
+class QueuedRequest:
+    arrived_seconds: float
+    prefill_tokens: float
     tokens: float
     cost: float
-    origin: Target
-    started: float = 0.0
-    made: float = 0.0
+    target: Target
+    started_seconds: float = 0.0
+    generated_tokens: float = 0.0
 
 
 @dataclass(slots=True)
 class Engine:
     name: str
-    rate: float
-    running: list[Work] = field(default_factory=list)
-    waiting: deque[Work] = field(default_factory=deque)
+    tokens_per_second: float
+    running: list[QueuedRequest] = field(default_factory=list)
+    waiting: deque[QueuedRequest] = field(default_factory=deque)
     cache: OrderedDict[int, None] = field(default_factory=OrderedDict)
-    hits: int = 0
-    looked: int = 0
+    cache_hits: int = 0
+    cache_lookups: int = 0
 
     def outstanding(self) -> float:
-        return sum(work.tokens for work in [*self.running, *self.waiting])
+        return sum(request.tokens for request in [*self.running, *self.waiting])
 
-    def add(self, work: Work, prefixes: tuple[int, ...]) -> None:
-        missed = 0
+    def add(self, request: QueuedRequest, prefixes: tuple[int, ...]) -> None:
+        missed_prefixes = 0
         for prefix in prefixes:
-            self.looked += 1
+            self.cache_lookups += 1
             if prefix in self.cache:
-                self.hits += 1
+                self.cache_hits += 1
                 self.cache.move_to_end(prefix)
             else:
-                missed += 1
+                missed_prefixes += 1
                 self.cache[prefix] = None
         while len(self.cache) > CACHED_CHUNKS:
             self.cache.popitem(last=False)
-        work.read_tokens = missed * CHUNK_TOKENS
-        self.waiting.append(work)
+        request.prefill_tokens = missed_prefixes * CHUNK_TOKENS
+        self.waiting.append(request)
 
-    def advance(self, now: float) -> list[Work]:
-        """Move on one step; return what was finished."""
+    def advance(self, now_seconds: float) -> list[QueuedRequest]:
+        """Advance by one step; return the finished requests."""
         while self.waiting and len(self.running) < BATCH_WIDTH:
-            work = self.waiting.popleft()
-            work.started = now
-            self.running.append(work)
+            request = self.waiting.popleft()
+            request.started_seconds = now_seconds
+            self.running.append(request)
         if not self.running:
             return []
-        share = self.rate * STEP_SECONDS / len(self.running)
-        read = READ_TOKENS_PER_SECOND * STEP_SECONDS / len(self.running)
-        for work in self.running:
-            if work.read_tokens > 0:
-                work.read_tokens -= read
+        generated_per_request = self.tokens_per_second * STEP_SECONDS / len(self.running)
+        prefill_per_request = PREFILL_TOKENS_PER_SECOND * STEP_SECONDS / len(self.running)
+        for request in self.running:
+            if request.prefill_tokens > 0:
+                request.prefill_tokens -= prefill_per_request
             else:
-                work.tokens -= share
-                work.made += share
-        done = [work for work in self.running if work.tokens <= 0]
-        self.running = [work for work in self.running if work.tokens > 0]
-        return done
+                request.tokens -= generated_per_request
+                request.generated_tokens += generated_per_request
+        finished = [request for request in self.running if request.tokens <= 0]
+        self.running = [request for request in self.running if request.tokens > 0]
+        return finished
 
 
 @dataclass(slots=True)
@@ -99,95 +99,108 @@
     name: str
     engines: int
     daemons: int
-    one_way: float
+    one_way_seconds: float
 
 
 PROFILES = (Profile("association", 4, 8, 0.001), Profile("register", 3, 6, 0.0015))
 MEAN_TOKENS = 60.0
-ENGINE_RATE = 1500.0
+ENGINE_TOKENS_PER_SECOND = 1500.0
 
 
-def arrivals(profile: Profile, load: float, seed: int) -> list[tuple[float, int, int, float]]:
-    """Return (time, daemon, prompt family, tokens) of an open-loop run."""
+def generate_arrivals(
+    profile: Profile, load: float, seed: int
+) -> list[tuple[float, int, int, float]]:
+    """Return (time, daemon, prompt family, tokens) for open-loop arrivals."""
     rng = random.Random(seed)
-    rate = load * profile.engines * ENGINE_RATE / MEAN_TOKENS
-    now, result = 0.0, []
-    while now < RUN_SECONDS:
-        now += rng.expovariate(rate)
-        family = rng.randrange(40) if rng.random() < 0.7 else 1000 + len(result)
+    requests_per_second = load * profile.engines * ENGINE_TOKENS_PER_SECOND / MEAN_TOKENS
+    now_seconds, arrivals = 0.0, []
+    while now_seconds < RUN_SECONDS:
+        now_seconds += rng.expovariate(requests_per_second)
+        family = rng.randrange(40) if rng.random() < 0.7 else 1000 + len(arrivals)
         tokens = max(1.0, rng.expovariate(1 / MEAN_TOKENS))
-        result.append((now, rng.randrange(profile.daemons), family, tokens))
-    return result
+        arrivals.append((now_seconds, rng.randrange(profile.daemons), family, tokens))
+    return arrivals
 
 
 def run(
-    profile: Profile, policy: str, load: float, seed: int, slow: bool, admits: bool = False
+    profile: Profile,
+    policy: str,
+    load: float,
+    seed: int,
+    has_slow_engine: bool,
+    admission_enabled: bool = False,
 ) -> dict[str, object]:
     rng = random.Random(seed + 1)
-    engines = [Engine(f"e{n}", ENGINE_RATE) for n in range(profile.engines)]
-    if slow:
-        engines[0].rate /= 10
+    engines = [Engine(f"e{n}", ENGINE_TOKENS_PER_SECOND) for n in range(profile.engines)]
+    if has_slow_engine:
+        engines[0].tokens_per_second /= 10
     views = [
-        [Target(e.name, "", "", profile.one_way) for e in engines] for _ in range(profile.daemons)
+        [Target(e.name, "", "", profile.one_way_seconds) for e in engines]
+        for _ in range(profile.daemons)
     ]
-    perfect = policy == "perfect"
-    chooser = None if perfect else POLICIES.get(policy)(rng)
-    queue = deque(arrivals(profile, load, seed))
-    times: list[float] = []
-    good = refused = offered = 0
-    now, next_poll, polled = 0.0, 0.0, 0
-    while now < RUN_SECONDS + DEADLINE_SECONDS:
-        now += STEP_SECONDS
-        if now >= next_poll:
-            next_poll += POLL_SECONDS
-            polled += 1
+    is_perfect = policy == "perfect"
+    chooser = None if is_perfect else POLICIES.get(policy)(rng)
+    queue = deque(generate_arrivals(profile, load, seed))
+    latencies_seconds: list[float] = []
+    within_deadline = refused = offered = 0
+    now_seconds, next_poll_seconds, poll_count = 0.0, 0.0, 0
+    while now_seconds < RUN_SECONDS + DEADLINE_SECONDS:
+        now_seconds += STEP_SECONDS
+        if now_seconds >= next_poll_seconds:
+            next_poll_seconds += POLL_SECONDS
+            poll_count += 1
             for number, view in enumerate(views):
-                index = (polled + number) % len(engines)
-                report = LoadReport(engines[index].outstanding(), 1, False, now)
+                index = (poll_count + number) % len(engines)
+                report = LoadReport(engines[index].outstanding(), 1, False, now_seconds)
                 view[index].take_report(report)
-        while queue and queue[0][0] <= now:
-            at, daemon, family, tokens = queue.popleft()
+        while queue and queue[0][0] <= now_seconds:
+            arrived_seconds, daemon, family, tokens = queue.popleft()
             offered += 1
             prefixes = tuple(family * 100 + chunk for chunk in range(8))
-            routed = RoutedRequest(8.0 * CHUNK_TOKENS, MEAN_TOKENS * 2, prefixes, now)
+            routed = RoutedRequest(8.0 * CHUNK_TOKENS, MEAN_TOKENS * 2, prefixes, now_seconds)
             view = views[daemon]
-            if perfect:
+            if is_perfect:
                 best = min(
-                    range(len(engines)), key=lambda i: engines[i].outstanding() / engines[i].rate
+                    range(len(engines)),
+                    key=lambda i: engines[i].outstanding() / engines[i].tokens_per_second,
                 )
                 target = view[best]
             else:
-                target = chooser.choose(routed, usable_targets(view, now))
-                if admits:
-                    verdict = admit(routed, target, at + DEADLINE_SECONDS, 2)
-                    if isinstance(verdict, NotRun):
+                target = chooser.choose(routed, usable_targets(view, now_seconds))
+                if admission_enabled:
+                    decision = admit(routed, target, arrived_seconds + DEADLINE_SECONDS, 2)
+                    if isinstance(decision, NotRun):
                         refused += 1
                         continue
             target.begin(MEAN_TOKENS, prefixes)
             engine = engines[view.index(target)]
-            if PIGGYBACK:
-                # The engine tells its load with each answer.
-                target.take_report(LoadReport(engine.outstanding() + tokens, 1, False, now))
-            engine.add(Work(at, 0.0, tokens, MEAN_TOKENS, target), prefixes)
+            if REPORT_LOAD_WITH_ANSWERS:
+                # The engine reports its load with each answer.
+                target.take_report(LoadReport(engine.outstanding() + tokens, 1, False, now_seconds))
+            engine.add(QueuedRequest(arrived_seconds, 0.0, tokens, MEAN_TOKENS, target), prefixes)
         for engine in engines:
-            for work in engine.advance(now):
-                elapsed = now - work.arrived
-                times.append(elapsed)
-                good += elapsed <= DEADLINE_SECONDS
-                work.origin.end(work.cost)
-                work.origin.succeeded(int(work.made), now - work.started)
-    times.sort()
-    hits = sum(engine.hits for engine in engines) / max(1, sum(e.looked for e in engines))
+            for request in engine.advance(now_seconds):
+                elapsed_seconds = now_seconds - request.arrived_seconds
+                latencies_seconds.append(elapsed_seconds)
+                within_deadline += elapsed_seconds <= DEADLINE_SECONDS
+                request.target.end(request.cost)
+                request.target.succeeded(
+                    int(request.generated_tokens), now_seconds - request.started_seconds
+                )
+    latencies_seconds.sort()
+    hit_share = sum(engine.cache_hits for engine in engines) / max(
+        1, sum(e.cache_lookups for e in engines)
+    )
     return {
         "profile": profile.name,
         "policy": policy,
         "load": load,
-        "slow_engine": slow,
-        "admission": admits,
-        "p50_ms": round(1000 * times[len(times) // 2]),
-        "p99_ms": round(1000 * times[int(len(times) * 0.99)]),
-        "cache_hits": round(hits, 3),
-        "goodput_per_second": round(good / RUN_SECONDS, 1),
+        "slow_engine": has_slow_engine,
+        "admission": admission_enabled,
+        "p50_ms": round(1000 * latencies_seconds[len(latencies_seconds) // 2]),
+        "p99_ms": round(1000 * latencies_seconds[int(len(latencies_seconds) * 0.99)]),
+        "cache_hits": round(hit_share, 3),
+        "goodput_per_second": round(within_deadline / RUN_SECONDS, 1),
         "refused_share": round(refused / offered, 3),
     }
 
@@ -196,8 +209,8 @@
     rows = []
     for profile in PROFILES:
         for policy in [*POLICIES.names(), "perfect"]:
-            for slow in (False, True):
-                rows.append(run(profile, policy, 0.7, 11, slow))
+            for has_slow_engine in (False, True):
+                rows.append(run(profile, policy, 0.7, 11, has_slow_engine))
                 print(json.dumps(rows[-1]), flush=True)
         for policy in ("round_robin", "prefix_home"):
             for load in (0.5, 1.0, 1.5, 2.0, 3.0):
--- a/benchmarks/bench_service_plan.py
+++ b/benchmarks/bench_service_plan.py
@@ -1,8 +1,6 @@
-"""How long one plan of loads takes, over all models of a service.
+"""Time to plan the weight loads of all models of a service.
 
-A holder plans each tenth of a second while versions are named, on the loop that serves callers.
-Before a plan was bounded and looked the fastest engine up once: 0.09, 1.06 and 8,626 ms for the
-sizes below; after: 0.05, 0.21 and 25 ms (busy machine, least of five).
+Planning runs on the event loop that serves callers, so it must be short.
 """
 
 import time
@@ -16,13 +14,13 @@
 )
 
 SIZES = ((6, 3), (22, 4), (600, 8))
-"""Engines and models: a small site, a large one, the full size that is aimed at."""
+"""(engines, models) of a small site, a large site and the maximum size."""
 
 REPEATS = 5
 
 
 def measure(engines: int, models: int) -> tuple[float, int]:
-    """Return the least seconds of a plan in which every model has a new version, and its loads."""
+    """Return the shortest planning time, with a new version of every model, and the load count."""
     names = [f"m{number}" for number in range(models)]
     carriers = [
         CarrierView(f"e{number}", dict.fromkeys(names, 1), 0.04 + 0.01 * (number % 3 == 0))
@@ -38,12 +36,13 @@
 
 
 def main() -> None:
-    """Print a line a size."""
+    """Print one line per size."""
     for engines, models in SIZES:
         seconds, loads = measure(engines, models)
-        most = loads_at_once(engines)
+        max_loads = loads_at_once(engines)
         print(
-            f"{engines} engines, {models} models: {seconds * 1e3:.2f} ms, {loads} of {most} loads"
+            f"{engines} engines, {models} models: {seconds * 1e3:.2f} ms,"
+            f" {loads} of {max_loads} loads"
         )
 
 
--- a/benchmarks/bench_sharing.py
+++ b/benchmarks/bench_sharing.py
@@ -1,7 +1,8 @@
-"""Step times of trainers whose owners share uneven engines, against one that knows all.
+"""Step times of trainers whose owners share engines of different speeds.
 
-Engines are a small fluid model in steps of 10 ms: six runs at once, a queue by urgency,
-each further run slows the others a little. The owners' decisions are the shipped code.
+Engines are a fluid model in steps of 10 ms: six concurrent runs, a queue ordered by urgency, and
+a small slowdown per additional run. The owners' decisions use the production code. The bound is a
+single owner that knows all lengths.
 
     python benchmarks/bench_sharing.py
 """
@@ -43,10 +44,10 @@
 RUN_SECONDS = 60.0
 INTERVAL_SECONDS, DUE_SECONDS, TRAIN_SECONDS = 4.0, 7.5, 1.0
 SLOTS = 6
-USUAL_SECONDS = 0.04
+TYPICAL_PIECE_SECONDS = 0.04
 BATCH_SHARE = 0.01
 FIRST_PIECE_TIMEOUT_SECONDS = 2.0
-MEDIAN_PIECES, LONG_SHARE, LONG_TIMES = 18, 0.1, 5
+MEDIAN_PIECES, LONG_SHARE, LONG_FACTOR = 18, 0.1, 5
 LENGTH_SPREAD = 0.25
 MEAN_PIECES = 26.0
 GROUPS = ((4, 4), (5, 5), (4, 4), (10, 9))
@@ -54,26 +55,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """Which of the mechanisms are on."""
+class Variant:
+    """Enabled mechanisms."""
 
     name: str
     by_slack: bool = True
-    shares_room: bool = True
-    tells_urgency: bool = True
-    knows_all: bool = False
-    one_owner: bool = False
-
-
-WAYS = (
-    Way("before", False, False, False),
-    Way("order alone", True, False, False),
-    Way("room alone", False, True, False),
-    Way("urgency alone", False, False, True),
-    Way("order and room", tells_urgency=False),
-    Way("all"),
-    Way("one with guesses", one_owner=True),
-    Way("one that knows all", tells_urgency=False, knows_all=True),
+    shares_capacity: bool = True
+    sends_urgency: bool = True
+    has_full_knowledge: bool = False
+    has_single_owner: bool = False
+
+
+VARIANTS = (
+    Variant("before", False, False, False),
+    Variant("order alone", True, False, False),
+    Variant("room alone", False, True, False),
+    Variant("urgency alone", False, False, True),
+    Variant("order and room", sends_urgency=False),
+    Variant("all"),
+    Variant("one with guesses", has_single_owner=True),
+    Variant("one that knows all", sends_urgency=False, has_full_knowledge=True),
 )
 
 
@@ -83,8 +84,8 @@
     ledger: JobLedger
     progress: ItemProgress
     began_seconds: float
-    made: float = 0.0
-    gaps: PieceIntervals = field(default_factory=PieceIntervals)
+    generated_pieces: float = 0.0
+    intervals: PieceIntervals = field(default_factory=PieceIntervals)
 
 
 @dataclass(slots=True)
@@ -95,7 +96,7 @@
     queue: list[tuple[int, int, Run]] = field(default_factory=list)
 
     def seconds_per_piece(self) -> float:
-        return USUAL_SECONDS * self.pace * (1 + BATCH_SHARE * len(self.running))
+        return TYPICAL_PIECE_SECONDS * self.pace * (1 + BATCH_SHARE * len(self.running))
 
     def load(self) -> EngineLoad:
         return EngineLoad(len(self.running), len(self.queue))
@@ -103,11 +104,11 @@
 
 @dataclass(slots=True)
 class Owner:
-    """One daemon with the jobs that it owns."""
+    """A daemon and the jobs that it owns."""
 
     jobs: dict[str, JobLedger] = field(default_factory=dict)
     due_seconds: dict[str, float] = field(default_factory=dict)
-    class_of: dict[str, int] = field(default_factory=dict)
+    rank_by_job: dict[str, int] = field(default_factory=dict)
     occupancy: EngineOccupancy = field(default_factory=EngineOccupancy)
     forecast: LengthForecast = field(default_factory=LengthForecast)
     next_plan_seconds: float = 0.0
@@ -120,30 +121,30 @@
     items_per_group: int
     step: int = 0
     next_seconds: float = 0.0
-    asked_seconds: dict[str, float] = field(default_factory=dict)
-    took_seconds: list[float] = field(default_factory=list)
+    submitted_seconds: dict[str, float] = field(default_factory=dict)
+    step_seconds: list[float] = field(default_factory=list)
 
 
-class Play:
-    """One run of trainers, owners and engines on one clock."""
+class Simulation:
+    """Simulates trainers, owners and engines on one clock."""
 
-    def __init__(self, way: Way, load: float, seed: int):
-        self.way = way
+    def __init__(self, variant: Variant, load: float, seed: int):
+        self.variant = variant
         self.rng = random.Random(seed)
         self.engines = {f"e{n}": Engine(f"e{n}", self.rng.uniform(0.8, 1.6)) for n in range(19)}
         self.now = 0.0
-        self.sends = 0
+        self.send_count = 0
         self.lengths: dict[int, int] = {}
-        self.waits_seconds: list[float] = []
-        one = Owner()
-        rate = sum(SLOTS / (USUAL_SECONDS * e.pace * 1.06) for e in self.engines.values())
+        self.queue_waits_seconds: list[float] = []
+        shared_owner = Owner()
+        rate = sum(SLOTS / (TYPICAL_PIECE_SECONDS * e.pace * 1.06) for e in self.engines.values())
         items = load * rate * INTERVAL_SECONDS / MEAN_PIECES
         groups = sum(groups for groups, _ in GROUPS)
         per_group = max(1, round(items / groups))
         self.trainers = [
             Trainer(
                 n,
-                one if way.knows_all or way.one_owner else Owner(),
+                shared_owner if variant.has_full_knowledge or variant.has_single_owner else Owner(),
                 per_group,
                 next_seconds=n * 1.0,
             )
@@ -151,56 +152,62 @@
         ]
         self.owners = list({id(t.owner): t.owner for t in self.trainers}.values())
 
-    def play(self) -> None:
+    def simulate(self) -> None:
         while self.now < RUN_SECONDS:
             for trainer in self.trainers:
-                self._ask(trainer)
+                self._submit_job(trainer)
             for owner in self.owners:
                 if self.now >= owner.next_plan_seconds:
                     self._plan(owner)
                     owner.next_plan_seconds = self.now + TICK_SECONDS
             for engine in self.engines.values():
-                self._work(engine)
+                self._advance_engine(engine)
             for trainer in self.trainers:
-                self._look(trainer)
+                self._check_jobs(trainer)
             self.now += STEP_SECONDS
 
-    def _ask(self, trainer: Trainer) -> None:
-        if self.now < trainer.next_seconds or len(trainer.asked_seconds) > 1:
+    def _submit_job(self, trainer: Trainer) -> None:
+        if self.now < trainer.next_seconds or len(trainer.submitted_seconds) > 1:
             return
-        groups, wanted = GROUPS[trainer.number]
+        groups, wanted_groups = GROUPS[trainer.number]
         job_id = f"t{trainer.number}-{trainer.step}"
         items = tuple(
             self._item(f"{job_id}-{group}-{n}", f"g{group}")
             for group in range(groups)
             for n in range(trainer.items_per_group)
         )
-        job = Job(job_id=job_id, host="h", path="/", items=items, model="m", wanted_groups=wanted)
+        job = Job(
+            job_id=job_id, host="h", path="/", items=items, model="m", wanted_groups=wanted_groups
+        )
         trainer.owner.jobs[job_id] = JobLedger(job)
         trainer.owner.due_seconds[job_id] = self.now + DUE_SECONDS
-        trainer.owner.class_of[job_id] = RANKS[trainer.number]
-        trainer.asked_seconds[job_id] = self.now
+        trainer.owner.rank_by_job[job_id] = RANKS[trainer.number]
+        trainer.submitted_seconds[job_id] = self.now
         trainer.step += 1
         trainer.next_seconds = max(trainer.next_seconds + INTERVAL_SECONDS, self.now)
 
     def _item(self, item_id: str, group: str) -> JobItem:
         pieces = MEDIAN_PIECES * self.rng.lognormvariate(0.0, LENGTH_SPREAD)
         if self.rng.random() < LONG_SHARE:
-            pieces *= LONG_TIMES
+            pieces *= LONG_FACTOR
         pieces = max(1, round(pieces))
-        guess = pieces if self.way.knows_all else pieces * self.rng.lognormvariate(0.0, 0.5)
+        expected_pieces = (
+            pieces
+            if self.variant.has_full_knowledge
+            else pieces * self.rng.lognormvariate(0.0, 0.5)
+        )
         item = JobItem(
             item_id=item_id, path="/", headers=(), body=b"", tokens=10_000,
-            expected_tokens=guess * 50, group=group,
+            expected_tokens=expected_pieces * 50, group=group,
         )  # fmt: skip
         self.lengths[id(item)] = pieces
         return item
 
-    def _rooms(self, owner: Owner) -> list[EngineCapacity]:
-        rooms = []
+    def _engine_capacities(self, owner: Owner) -> list[EngineCapacity]:
+        capacities = []
         for engine in self.engines.values():
             own = owner.occupancy.own.get(engine.name, 0)
-            if self.way.shares_room:
+            if self.variant.shares_capacity:
                 others = owner.occupancy.others_last(engine.name) or 0
             else:
                 others = owner.occupancy.others(engine.name, self.now)
@@ -208,153 +215,160 @@
                 run.owner is owner and self.now >= run.began_seconds + BEGIN_PATIENCE_SECONDS
                 for _, _, run in engine.queue
             )
-            room = free_capacity(SLOTS, own, queued, others, float("inf"), self.way.shares_room)
-            rooms.append(
+            capacity = free_capacity(
+                SLOTS, own, queued, others, float("inf"), self.variant.shares_capacity
+            )
+            capacities.append(
                 EngineCapacity(
                     engine.name,
                     "s",
-                    room.slots,
-                    USUAL_SECONDS * engine.pace,
+                    capacity.slots,
+                    TYPICAL_PIECE_SECONDS * engine.pace,
                     {"m": 1},
                     SLOTS,
                     own + others,
                 )  # fmt: skip
             )
-        return rooms
+        return capacities
 
     def _plan(self, owner: Owner) -> None:
-        rooms = self._rooms(owner)
+        capacities = self._engine_capacities(owner)
         services = dict.fromkeys(owner.jobs, "s")
-        paces = available_paces(rooms)
-        order = SlackOrder(services, owner.due_seconds, owner.class_of, paces, owner.forecast)
+        paces = available_paces(capacities)
+        order = SlackOrder(services, owner.due_seconds, owner.rank_by_job, paces, owner.forecast)
         starts = plan_starts(
-            owner.jobs.values(), rooms, services, owner.due_seconds, self.now, owner.forecast,
-            order=order if self.way.by_slack else None,
+            owner.jobs.values(), capacities, services, owner.due_seconds, self.now, owner.forecast,
+            order=order if self.variant.by_slack else None,
         )  # fmt: skip
         for start in starts:
             start.ledger.started(start.progress)
             owner.occupancy.began(start.instance)
             urgency = 5
-            if self.way.tells_urgency:
-                rank = owner.class_of[start.ledger.job.job_id]
+            if self.variant.sends_urgency:
+                rank = owner.rank_by_job[start.ledger.job.job_id]
                 levels = urgency_levels(rank, ())
                 slack = order.start_by_seconds(start.ledger, start.progress) - self.now
                 surplus = order.is_surplus(start.ledger, start.progress)
                 urgency = urgency_of(slack, surplus, rank == min(RANKS), levels)
-            self.sends += 1
+            self.send_count += 1
             run = Run(owner, start.ledger, start.progress, self.now)
-            heapq.heappush(self.engines[start.instance].queue, (urgency, self.sends, run))
+            heapq.heappush(self.engines[start.instance].queue, (urgency, self.send_count, run))
         waiting = any(ledger.waiting(self.now) for ledger in owner.jobs.values())
-        if self.way.shares_room:
-            rooms = [room for room in rooms if room.runs < room.slots]
-        spare = {} if waiting else spare_capacities(rooms)
+        if self.variant.shares_capacity:
+            capacities = [capacity for capacity in capacities if capacity.runs < capacity.slots]
+        spare = {} if waiting else spare_capacities(capacities)
         if "s" in spare:
-            self._move(owner, spare["s"])
+            self._move_runs(owner, spare["s"])
 
-    def _move(self, owner: Owner, spare) -> None:
+    def _move_runs(self, owner: Owner, spare) -> None:
         for engine in self.engines.values():
             for run in list(engine.running):
-                left = owner.forecast.remaining_pieces(run.progress)
-                pace = run.gaps.seconds_per_piece()
+                pieces_left = owner.forecast.remaining_pieces(run.progress)
+                pace = run.intervals.seconds_per_piece()
                 if run.owner is owner and should_move(
-                    pace, spare, engine.name, left, run.progress.moves
+                    pace, spare, engine.name, pieces_left, run.progress.moves
                 ):
                     run.progress.moves += 1
                     spare.free_slots -= 1
-                    self._end(engine, run)
+                    self._end_run(engine, run)
                     run.ledger.broke(run.progress, engine.name, self.now)
 
-    def _end(self, engine: Engine, run: Run) -> None:
+    def _end_run(self, engine: Engine, run: Run) -> None:
         if run in engine.running:
             engine.running.remove(run)
         run.owner.occupancy.ended(engine.name)
         run.owner.next_plan_seconds = self.now
 
-    def _work(self, engine: Engine) -> None:
+    def _advance_engine(self, engine: Engine) -> None:
         for entry in list(engine.queue):
             run = entry[2]
             ended = run.ledger.ended
             if ended or self.now >= run.began_seconds + FIRST_PIECE_TIMEOUT_SECONDS:
                 engine.queue.remove(entry)
                 heapq.heapify(engine.queue)
-                self._end(engine, run)
+                self._end_run(engine, run)
                 if not ended:
                     run.ledger.broke(run.progress, engine.name, self.now)
         while engine.queue and len(engine.running) < SLOTS:
             run = heapq.heappop(engine.queue)[2]
             engine.running.append(run)
-            self.waits_seconds.append(self.now - run.began_seconds)
+            self.queue_waits_seconds.append(self.now - run.began_seconds)
             run.owner.occupancy.heard(engine.name, engine.load(), self.now)
-        made = STEP_SECONDS / engine.seconds_per_piece()
+        pieces_per_step = STEP_SECONDS / engine.seconds_per_piece()
         for run in list(engine.running):
             if run.ledger.ended:
-                self._end(engine, run)
+                self._end_run(engine, run)
                 continue
-            run.made += made
-            while run.made >= 1.0:
-                run.made -= 1.0
-                self._piece(engine, run)
+            run.generated_pieces += pieces_per_step
+            while run.generated_pieces >= 1.0:
+                run.generated_pieces -= 1.0
+                self._accept_piece(engine, run)
 
-    def _piece(self, engine: Engine, run: Run) -> None:
+    def _accept_piece(self, engine: Engine, run: Run) -> None:
         progress = run.progress
         if progress.phase is not ItemPhase.RUNNING:
             return
         progress.accept(TextPiece(progress.last_number + 1, "", 1), 0)
-        run.gaps.piece_came(self.now)
+        run.intervals.piece_came(self.now)
         if progress.last_number >= self.lengths[id(progress.item)]:
             run.owner.forecast.note(progress.item.expected_tokens, progress.last_number)
-            self._end(engine, run)
+            self._end_run(engine, run)
             run.ledger.whole(progress)
 
-    def _look(self, trainer: Trainer) -> None:
-        for job_id, asked_seconds in list(trainer.asked_seconds.items()):
+    def _check_jobs(self, trainer: Trainer) -> None:
+        for job_id, submitted_seconds in list(trainer.submitted_seconds.items()):
             ledger = trainer.owner.jobs[job_id]
-            lacking = {
+            incomplete_groups = {
                 progress.item.group for progress in ledger.items.values() if progress.result is None
             }
-            groups, wanted = GROUPS[trainer.number]
-            if groups - len(lacking) < wanted:
+            groups, wanted_groups = GROUPS[trainer.number]
+            if groups - len(incomplete_groups) < wanted_groups:
                 continue
-            trainer.took_seconds.append(self.now - asked_seconds)
+            trainer.step_seconds.append(self.now - submitted_seconds)
             ledger.end()
-            del trainer.asked_seconds[job_id], trainer.owner.jobs[job_id]
-            if len(trainer.asked_seconds) == 1:
+            del trainer.submitted_seconds[job_id], trainer.owner.jobs[job_id]
+            if len(trainer.submitted_seconds) == 1:
                 trainer.next_seconds = max(trainer.next_seconds, self.now + TRAIN_SECONDS)
 
 
-def figures(way: Way, load: float, seeds: range) -> dict[str, float]:
-    """Return what the trainers and the engines' queues saw, over all seeds."""
+def summarize(variant: Variant, load: float, seeds: range) -> dict[str, float]:
+    """Return step times and queue waits over all seeds."""
     by_rank: dict[int, list[float]] = {rank: [] for rank in RANKS}
-    waits: list[float] = []
+    queue_waits_seconds: list[float] = []
     for seed in seeds:
-        play = Play(way, load, seed)
-        play.play()
-        waits += play.waits_seconds
-        for trainer in play.trainers:
-            # A step that is open at the end has taken at least so long.
-            open_ = [play.now - asked for asked in trainer.asked_seconds.values()]
-            late = [took for took in open_ if took > DUE_SECONDS]
-            by_rank[RANKS[trainer.number]] += trainer.took_seconds + late
-    times = [took for all_ in by_rank.values() for took in all_]
-    found = {
+        simulation = Simulation(variant, load, seed)
+        simulation.simulate()
+        queue_waits_seconds += simulation.queue_waits_seconds
+        for trainer in simulation.trainers:
+            # An unfinished step counts with its time so far if it is already late.
+            open_step_seconds = [
+                simulation.now - submitted for submitted in trainer.submitted_seconds.values()
+            ]
+            late_step_seconds = [seconds for seconds in open_step_seconds if seconds > DUE_SECONDS]
+            by_rank[RANKS[trainer.number]] += trainer.step_seconds + late_step_seconds
+    times = [seconds for rank_times in by_rank.values() for seconds in rank_times]
+    result = {
         "steps": len(times),
         "mean_seconds": sum(times) / len(times),
         "p95_seconds": quantiles(times, n=20)[-1],
-        "late_share": sum(took > DUE_SECONDS for took in times) / len(times),
-        "queue_p99_seconds": quantiles(waits, n=100)[-1],
+        "late_share": sum(seconds > DUE_SECONDS for seconds in times) / len(times),
+        "queue_p99_seconds": quantiles(queue_waits_seconds, n=100)[-1],
+    }
+    result |= {
+        f"p95_seconds_rank_{rank}": quantiles(durations, n=20)[-1]
+        for rank, durations in by_rank.items()
     }
-    found |= {f"p95_seconds_rank_{rank}": quantiles(t, n=20)[-1] for rank, t in by_rank.items()}
-    return {name: round(value, 3) for name, value in found.items()}
+    return {name: round(value, 3) for name, value in result.items()}
 
 
 def main() -> None:
-    """Play all ways at three loads."""
+    """Simulate all variants at three loads."""
     seeds = range(int(sys.argv[1]) if len(sys.argv) > 1 else 3)
     results = {}
     for load in (0.7, 0.9, 1.1):
-        for way in WAYS:
-            results[f"{way.name} at {load}"] = found = figures(way, load, seeds)
-            print(f"{way.name:20} {load}", found, flush=True)
+        for variant in VARIANTS:
+            results[f"{variant.name} at {load}"] = result = summarize(variant, load, seeds)
+            print(f"{variant.name:20} {load}", result, flush=True)
     RESULTS.mkdir(exist_ok=True)
     (RESULTS / "sharing.json").write_text(json.dumps(results, indent=2) + "\n")
 
--- a/benchmarks/bench_table.py
+++ b/benchmarks/bench_table.py
@@ -1,4 +1,4 @@
-"""Size and cost of the table and its deltas against the number of rows.
+"""Size and processing time of the table and its deltas by number of rows.
 
 python benchmarks/bench_table.py
 """
@@ -24,14 +24,14 @@
 REPEATS = 20
 
 
-def timed_ms(work) -> float:
-    began = time.perf_counter()
+def mean_ms(function) -> float:
+    began_seconds = time.perf_counter()
     for _ in range(REPEATS):
-        work()
-    return round(1000 * (time.perf_counter() - began) / REPEATS, 2)
+        function()
+    return round(1000 * (time.perf_counter() - began_seconds) / REPEATS, 2)
 
 
-def table_of(targets: int) -> TableDocument:
+def build_table(targets: int) -> TableDocument:
     rows = [
         TargetRow(
             name=f"layout-{n}", url=f"http://10.0.{n // 250}.{n % 250}:8000", zone="z", serves="m"
@@ -40,8 +40,8 @@
     ]
     tenants = [TenantRow(name=f"tenant-{n}", token_sha256="0" * 64) for n in range(targets // 4)]
     changes = tuple(RowChange(row=row) for row in [*rows, *tenants])
-    first = Edit(edit_id="first", operator="o", at_unix_seconds=0.0, changes=changes)
-    document = apply_edit(TableDocument(), first).document
+    initial_edit = Edit(edit_id="first", operator="o", at_unix_seconds=0.0, changes=changes)
+    document = apply_edit(TableDocument(), initial_edit).document
     for number in range(600):
         change = RowChange(row=DaemonRow(name=f"d{number % 330}", draining=bool(number % 2)))
         edit = Edit(
@@ -57,7 +57,7 @@
 def main() -> None:
     rows = []
     for targets in (10, 100, 600, 2000):
-        document = table_of(targets)
+        document = build_table(targets)
         encoded = msgspec.json.encode(document)
         delta = msgspec.json.encode(delta_since(document, document.revision - 1))
         edit = Edit(
@@ -72,11 +72,11 @@
                 "rows": len(document.rows),
                 "table_bytes": len(encoded),
                 "delta_bytes": len(delta),
-                "encode_ms": timed_ms(lambda document=document: msgspec.json.encode(document)),
-                "decode_ms": timed_ms(
+                "encode_ms": mean_ms(lambda document=document: msgspec.json.encode(document)),
+                "decode_ms": mean_ms(
                     lambda encoded=encoded: msgspec.json.decode(encoded, type=TableDocument)
                 ),
-                "apply_edit_ms": timed_ms(
+                "apply_edit_ms": mean_ms(
                     lambda document=document, edit=edit: apply_edit(document, edit)
                 ),
             }
--- a/benchmarks/bench_table_edit.py
+++ b/benchmarks/bench_table_edit.py
@@ -1,9 +1,8 @@
-"""What taking a large table into force costs the loop, and looking a key up in it.
+"""Time to decode and index a large table, and to look up an API key in it.
 
     python benchmarks/bench_table_edit.py
 
-A table that grows by 1,400 routes in one edit is decoded on every gateway. While that lasts the
-loop answers nobody: on a VM with 0.52 of a processor the time below is to be doubled.
+Every gateway decodes an edited table on its event loop, which blocks requests meanwhile.
 """
 
 import time
@@ -17,8 +16,8 @@
 ROUNDS = 15
 
 
-def state(routes: int, tenants: int) -> bytes:
-    """Return a desired state as the operators write it."""
+def encode_desired_state(routes: int, tenants: int) -> bytes:
+    """Return an encoded desired state in the operator's format."""
     return msgspec.json.encode(
         {
             "version": 2,
@@ -42,29 +41,34 @@
     )
 
 
-def median_ms(work) -> float:
-    """Return the median time of a piece of work."""
+def median_ms(function) -> float:
+    """Return the median run time of a function."""
     times = []
     for _ in range(ROUNDS):
-        began = time.perf_counter()
-        work()
-        times.append((time.perf_counter() - began) * 1000)
+        began_seconds = time.perf_counter()
+        function()
+        times.append((time.perf_counter() - began_seconds) * 1000)
     return sorted(times)[ROUNDS // 2]
 
 
 def main() -> None:
-    """Print the times by size."""
+    """Print the times for each size."""
     print("routes tenants | decode ms, routes ms, tenants ms | one key us")
     for routes, tenants in ((40, 80), (1440, 80), (1440, 10_000)):
-        value = state(routes, tenants)
+        value = encode_desired_state(routes, tenants)
         document = decode_desired_state(value)
         assert isinstance(document, TableDocument)
-        decode = median_ms(lambda value=value: decode_desired_state(value))
-        index = median_ms(lambda document=document: index_routes(document))
-        keys = median_ms(lambda document=document: index_tenants(document, TenantIndex()))
+        decode_ms = median_ms(lambda value=value: decode_desired_state(value))
+        routes_ms = median_ms(lambda document=document: index_routes(document))
+        tenants_ms = median_ms(lambda document=document: index_tenants(document, TenantIndex()))
         tenants_by_key = index_tenants(document, TenantIndex())
-        one = median_ms(lambda by_key=tenants_by_key: by_key.identify(["Bearer key-7-2"])) * 1000
-        print(f"{routes:6} {tenants:7} | {decode:.2f}, {index:.2f}, {keys:.2f} | {one:.1f}")
+        lookup_us = (
+            median_ms(lambda by_key=tenants_by_key: by_key.identify(["Bearer key-7-2"])) * 1000
+        )
+        print(
+            f"{routes:6} {tenants:7} | {decode_ms:.2f}, {routes_ms:.2f}, {tenants_ms:.2f}"
+            f" | {lookup_us:.1f}"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/bench_trainer.py
+++ b/benchmarks/bench_trainer.py
@@ -1,4 +1,4 @@
-"""Trainer idle time and staleness by the weighting in the table, with and without callers.
+"""Trainer idle time and sample staleness by the weights in the table, with and without callers.
 
 python benchmarks/bench_trainer.py
 """
@@ -32,12 +32,12 @@
 GROUPS, GROUP_SIZE = 8, 8
 TOKENS_PER_SECOND = 700.0
 TRAIN_SECONDS = 0.5
-BOUND = 2
+STALENESS_BOUND_VERSIONS = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """How a trainer is served: weights in the table, and how much it draws at once."""
+class Strategy:
+    """Weights of a trainer in the table, and the maximum samples per draw."""
 
     name: str
     idle_weight: float
@@ -45,16 +45,16 @@
     most_samples: int
 
 
-WAYS = (
-    Way("idle only", 1.0, 0.0, 16),
-    Way("both alike", 1.0, 1.0, 16),
-    Way("staleness only", 0.0, 1.0, 16),
-    Way("naive: whole step at once, nothing ahead", 0.0, 1.0, GROUPS * GROUP_SIZE),
+STRATEGIES = (
+    Strategy("idle only", 1.0, 0.0, 16),
+    Strategy("both alike", 1.0, 1.0, 16),
+    Strategy("staleness only", 0.0, 1.0, 16),
+    Strategy("naive: whole step at once, nothing ahead", 0.0, 1.0, GROUPS * GROUP_SIZE),
 )
 
 
-def min_seconds(trainer: TrainerStandIn, engines: int) -> float:
-    """Return the least time all samples take on the engines, however well they are placed."""
+def min_generation_seconds(trainer: TrainerStandIn, engines: int) -> float:
+    """Return the minimum time to generate all samples at the full rate of all engines."""
     tokens = 0
     for step in range(1, STEPS + 1):
         index = 0
@@ -66,25 +66,27 @@
     return tokens / (engines * TOKENS_PER_SECOND)
 
 
-async def call_all_along(caller: CallerStandIn, model: str) -> None:
+async def send_requests_continuously(caller: CallerStandIn, model: str) -> None:
     number = 0
     while True:
         number += 1
         await caller.complete(model, f"page {number % 9}", 48, number)
 
 
-async def run(profile: FleetProfile, way: Way, callers: int) -> dict[str, object]:
+async def run(profile: FleetProfile, strategy: Strategy, callers: int) -> dict[str, object]:
     fleet = EmbeddedFleet(profile, 3, daemon_count=4, tokens_per_second=TOKENS_PER_SECOND)
     await fleet.start()
     await wait_ready(fleet)
     fleet.store.versions[profile.model] = {1}
-    row = next(r for r in table_rows(profile, [], 4) if isinstance(r, TrainerRow))
+    row = next(
+        table_row for table_row in table_rows(profile, [], 4) if isinstance(table_row, TrainerRow)
+    )
     row = msgspec.structs.replace(
         row,
         concurrency=96,
-        staleness_bound_versions=BOUND,
-        idle_weight=way.idle_weight,
-        staleness_weight=way.staleness_weight,
+        staleness_bound_versions=STALENESS_BOUND_VERSIONS,
+        idle_weight=strategy.idle_weight,
+        staleness_weight=strategy.staleness_weight,
     )
     await fleet.put_rows([row])
     trainer = TrainerStandIn(
@@ -93,31 +95,38 @@
         profile.model,
         fleet.urls(),
         fleet.store.url,
-        staleness_bound_versions=BOUND,
+        staleness_bound_versions=STALENESS_BOUND_VERSIONS,
         groups=GROUPS,
         group_size=GROUP_SIZE,
-        most_samples=way.most_samples,
+        most_samples=strategy.most_samples,
         train_seconds=TRAIN_SECONDS,
     )
     caller = CallerStandIn(CALLER_TOKEN, fleet.urls())
-    load = [asyncio.create_task(call_all_along(caller, profile.model)) for _ in range(callers)]
-    writes, began = fleet.kv.writes, time.perf_counter()
+    load_tasks = [
+        asyncio.create_task(send_requests_continuously(caller, profile.model))
+        for _ in range(callers)
+    ]
+    kv_writes_before, began_seconds = fleet.kv.writes, time.perf_counter()
     await trainer.run(STEPS)
-    wall = time.perf_counter() - began
-    for task in load:
+    elapsed_seconds = time.perf_counter() - began_seconds
+    for task in load_tasks:
         task.cancel()
     record = trainer.record
     result = {
         "profile": profile.name,
-        "way": way.name,
+        "way": strategy.name,
         "callers": callers,
-        "idle_share": round(record.idle_seconds / wall, 3),
+        "idle_share": round(record.idle_seconds / elapsed_seconds, 3),
         "idle_seconds": round(record.idle_seconds, 2),
-        "least_generation_seconds": round(min_seconds(trainer, profile.model_engines), 2),
-        "wall_seconds": round(wall, 2),
+        "least_generation_seconds": round(
+            min_generation_seconds(trainer, profile.model_engines), 2
+        ),
+        "wall_seconds": round(elapsed_seconds, 2),
         "staleness_mean_versions": round(record.staleness_sum / record.samples, 2),
         "staleness_most_versions": record.staleness_max,
-        "kv_writes_per_1000_samples": round(1000 * (fleet.kv.writes - writes) / record.samples),
+        "kv_writes_per_1000_samples": round(
+            1000 * (fleet.kv.writes - kv_writes_before) / record.samples
+        ),
         "caller_p50_ms": caller.record.percentile_ms(50) if callers else None,
         "caller_p99_ms": caller.record.percentile_ms(99) if callers else None,
         "violations": record.violations() + caller.record.violations(),
@@ -133,8 +142,8 @@
     rows = []
     for profile in (ASSOCIATION, REGISTER):
         for callers in (0, 8):
-            for way in WAYS:
-                rows.append(asyncio.run(run(profile, way, callers)))
+            for strategy in STRATEGIES:
+                rows.append(asyncio.run(run(profile, strategy, callers)))
                 print(json.dumps(rows[-1]), flush=True)
     RESULTS.mkdir(exist_ok=True)
     (RESULTS / "trainer.json").write_text(json.dumps(rows, indent=1) + "\n")
