--- a/benchmarks/bench_admission.py
+++ b/benchmarks/bench_admission.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 
 from rackswitch.admission.tests.simulated_load import (
-    AdmissionPlay,
-    IdealPlay,
-    PolledPlay,
-    figures,
+    AdmissionSimulation,
+    IdealSimulation,
+    PollingSimulation,
+    summarize,
 )
 
 RESULTS = Path(__file__).parent / "results"
@@ -19,7 +19,7 @@
 RUN_SECONDS = 30.0
 WARM_UP_SECONDS = 8.0
 SEED = 1
-STRATEGIES = {"polled": PolledPlay, "shipped": AdmissionPlay, "ideal": IdealPlay}
+STRATEGIES = {"polled": PollingSimulation, "shipped": AdmissionSimulation, "ideal": IdealSimulation}
 
 
 def main() -> None:
@@ -28,7 +28,7 @@
         for name, simulation_class in STRATEGIES.items():
             simulation = simulation_class(load, SEED, RUN_SECONDS)
             simulation.run()
-            result = asdict(figures(simulation, WARM_UP_SECONDS))
+            result = asdict(summarize(simulation, WARM_UP_SECONDS))
             rows[f"{name} {load}"] = result
             print(name, load, json.dumps(result, default=str))
     (RESULTS / "admission.json").write_text(json.dumps(rows, indent=1) + "\n")
--- a/benchmarks/bench_limits.py
+++ b/benchmarks/bench_limits.py
@@ -80,7 +80,7 @@
             if deficit_units <= 0:
                 continue
             self.sequence += 1
-            limit.book.announce(self.sequence, now_seconds)
+            limit.ledger.announce(self.sequence, now_seconds)
             for lender in range(len(self.limits)):
                 if lender != borrower:
                     arrives_at_seconds = now_seconds + self.rng.uniform(*ANNOUNCEMENT_DELAY_SECONDS)
@@ -93,14 +93,14 @@
     ) -> None:
         if self.lent_until_seconds.get((lender, borrower), 0.0) > now_seconds:
             return
-        lender_ledger = self.limits[lender].book
+        lender_ledger = self.limits[lender].ledger
         requested_units = 2 * deficit_units / max(1, len(self.limits) - 1)
         loan = lender_ledger.lend(
             requested_units, self.limits[lender].demand(now_seconds), now_seconds
         )
         if loan is not None:
             self.lent_until_seconds[(lender, borrower)] = now_seconds + 2.0
-            self.limits[borrower].book.borrow(
+            self.limits[borrower].ledger.borrow(
                 str(lender), loan.loan_id, loan.units, sequence, now_seconds
             )
 
--- a/benchmarks/bench_log.py
+++ b/benchmarks/bench_log.py
@@ -88,7 +88,7 @@
         max_write_seconds = max(max_write_seconds, time.perf_counter() - write_began_seconds)
         clock.advance()
         if number % 50 == 0:
-            log.pump()
+            log.flush()
     cpu_seconds = time.thread_time() - cpu_began_seconds
     stop.set()
     result = {
--- a/benchmarks/bench_placing.py
+++ b/benchmarks/bench_placing.py
@@ -155,11 +155,12 @@
     daemon: SimulatedDaemon, kind: WorkKind, work_seconds: float, now_seconds: float
 ) -> int:
     units = work_seconds / PIECE_SECONDS if kind is WorkKind.TEXT else 1.0
-    typical_units = daemon.estimator.usual_units("s", kind)
+    typical_units = daemon.estimator.typical_units("s", kind)
     estimates = [
-        daemon.estimator.place(t.listed, kind, typical_units, now_seconds) for t in daemon.targets
+        daemon.estimator.estimate(t.listed, kind, typical_units, now_seconds)
+        for t in daemon.targets
     ]
-    typical_run_seconds = daemon.estimator.usual_run_seconds("s", kind)
+    typical_run_seconds = daemon.estimator.typical_run_seconds("s", kind)
     return estimates.index(choose_target(estimates, units, typical_run_seconds, daemon.rng))
 
 
@@ -221,24 +222,24 @@
         number = self.choose(daemon, kind, work_seconds, now_seconds)
         target, known_target = self.targets[number], daemon.known_targets[number]
         units = work_seconds / PIECE_SECONDS if kind is WorkKind.TEXT else 1.0
-        estimate = daemon.estimator.place(target.listed, kind, units, now_seconds)
-        sent_request = daemon.estimator.sent(target.listed, kind, estimate, now_seconds)
-        known_target.begin(20.0, ())
+        estimate = daemon.estimator.estimate(target.listed, kind, units, now_seconds)
+        sent_request = daemon.estimator.record_send(target.listed, kind, estimate, now_seconds)
+        known_target.record_start(20.0, ())
         begins_at_seconds, ends_at_seconds = target.send(now_seconds, work_seconds)
         start = target.listed.start
 
         def record_load(at_seconds: float) -> None:
-            daemon.estimator.heard(start, "s", target.reported_load(at_seconds))
+            daemon.estimator.record_report(start, "s", target.reported_load(at_seconds))
 
         def record_end() -> None:
-            known_target.end(20.0)
-            daemon.estimator.done(sent_request)
-            daemon.estimator.worked(sent_request, units, ends_at_seconds)
+            known_target.record_end(20.0)
+            daemon.estimator.record_end(sent_request)
+            daemon.estimator.record_completion(sent_request, units, ends_at_seconds)
 
         def record_piece(at_seconds: float) -> None:
             interval_seconds = PIECE_SECONDS * target.pace(at_seconds)
-            daemon.paces.note(start, interval_seconds, at_seconds)
-            daemon.estimator.piece(start, "s", interval_seconds, at_seconds)
+            daemon.paces.record_interval(start, interval_seconds, at_seconds)
+            daemon.estimator.record_piece_interval(start, "s", interval_seconds, at_seconds)
 
         if kind is WorkKind.TEXT:
             self._schedule(begins_at_seconds, lambda: record_load(begins_at_seconds))
--- a/benchmarks/bench_rollout.py
+++ b/benchmarks/bench_rollout.py
@@ -49,7 +49,7 @@
             del load_ends_at_seconds[name]
             failed = rng.random() < FAILURE_SHARE
             versions[name] = None if failed else 2
-            states[partition_by_engine[name]].ended(name, not failed, now_seconds)
+            states[partition_by_engine[name]].record_end(name, not failed, now_seconds)
         for partition in range(partitions):
             views = [
                 EngineView(n, versions[n], n in load_ends_at_seconds)
@@ -62,7 +62,7 @@
             decision_seconds += time.perf_counter() - began_seconds
             for order in orders:
                 orders_sent += 1
-                states[partition].ordered(order)
+                states[partition].record_order(order)
                 wait_seconds = 0.0
                 if available_reads >= 1:
                     available_reads -= 1
--- a/benchmarks/bench_routing.py
+++ b/benchmarks/bench_routing.py
@@ -152,7 +152,7 @@
             for number, view in enumerate(views):
                 index = (poll_count + number) % len(engines)
                 report = LoadReport(engines[index].outstanding(), 1, False, now_seconds)
-                view[index].take_report(report)
+                view[index].record_report(report)
         while queue and queue[0][0] <= now_seconds:
             arrived_seconds, daemon, family, tokens = queue.popleft()
             offered += 1
@@ -172,19 +172,21 @@
                     if isinstance(decision, NotRun):
                         refused += 1
                         continue
-            target.begin(MEAN_TOKENS, prefixes)
+            target.record_start(MEAN_TOKENS, prefixes)
             engine = engines[view.index(target)]
             if REPORT_LOAD_WITH_ANSWERS:
                 # The engine reports its load with each answer.
-                target.take_report(LoadReport(engine.outstanding() + tokens, 1, False, now_seconds))
+                target.record_report(
+                    LoadReport(engine.outstanding() + tokens, 1, False, now_seconds)
+                )
             engine.add(QueuedRequest(arrived_seconds, 0.0, tokens, MEAN_TOKENS, target), prefixes)
         for engine in engines:
             for request in engine.advance(now_seconds):
                 elapsed_seconds = now_seconds - request.arrived_seconds
                 latencies_seconds.append(elapsed_seconds)
                 within_deadline += elapsed_seconds <= DEADLINE_SECONDS
-                request.target.end(request.cost)
-                request.target.succeeded(
+                request.target.record_end(request.cost)
+                request.target.record_success(
                     int(request.generated_tokens), now_seconds - request.started_seconds
                 )
     latencies_seconds.sort()
--- a/benchmarks/bench_service_plan.py
+++ b/benchmarks/bench_service_plan.py
@@ -6,10 +6,10 @@
 import time
 
 from rackswitch.weights import (
-    CarrierView,
+    EngineVersions,
     ModelNeed,
     RolloutState,
-    loads_at_once,
+    max_concurrent_loads,
     plan_service_loads,
 )
 
@@ -23,7 +23,7 @@
     """Return the shortest planning time, with a new version of every model, and the load count."""
     names = [f"m{number}" for number in range(models)]
     carriers = [
-        CarrierView(f"e{number}", dict.fromkeys(names, 1), 0.04 + 0.01 * (number % 3 == 0))
+        EngineVersions(f"e{number}", dict.fromkeys(names, 1), 0.04 + 0.01 * (number % 3 == 0))
         for number in range(engines)
     ]
     needs = [ModelNeed(name, 2, float(number), 1) for number, name in enumerate(names)]
@@ -39,7 +39,7 @@
     """Print one line per size."""
     for engines, models in SIZES:
         seconds, loads = measure(engines, models)
-        max_loads = loads_at_once(engines)
+        max_loads = max_concurrent_loads(engines)
         print(
             f"{engines} engines, {models} models: {seconds * 1e3:.2f} ms,"
             f" {loads} of {max_loads} loads"
--- a/benchmarks/bench_sharing.py
+++ b/benchmarks/bench_sharing.py
@@ -16,7 +16,7 @@
 from statistics import quantiles
 
 from rackswitch.jobs import (
-    BEGIN_PATIENCE_SECONDS,
+    BEGIN_TIMEOUT_SECONDS,
     EngineCapacity,
     EngineLoad,
     EngineOccupancy,
@@ -206,13 +206,13 @@
     def _engine_capacities(self, owner: Owner) -> list[EngineCapacity]:
         capacities = []
         for engine in self.engines.values():
-            own = owner.occupancy.own.get(engine.name, 0)
+            own = owner.occupancy.own_runs.get(engine.name, 0)
             if self.variant.shares_capacity:
-                others = owner.occupancy.others_last(engine.name) or 0
+                others = owner.occupancy.last_reported_other_runs(engine.name) or 0
             else:
-                others = owner.occupancy.others(engine.name, self.now)
+                others = owner.occupancy.other_runs(engine.name, self.now)
             queued = sum(
-                run.owner is owner and self.now >= run.began_seconds + BEGIN_PATIENCE_SECONDS
+                run.owner is owner and self.now >= run.began_seconds + BEGIN_TIMEOUT_SECONDS
                 for _, _, run in engine.queue
             )
             capacity = free_capacity(
@@ -241,8 +241,8 @@
             order=order if self.variant.by_slack else None,
         )  # fmt: skip
         for start in starts:
-            start.ledger.started(start.progress)
-            owner.occupancy.began(start.instance)
+            start.ledger.record_start(start.progress)
+            owner.occupancy.record_start(start.instance)
             urgency = 5
             if self.variant.sends_urgency:
                 rank = owner.rank_by_job[start.ledger.job.job_id]
@@ -253,7 +253,7 @@
             self.send_count += 1
             run = Run(owner, start.ledger, start.progress, self.now)
             heapq.heappush(self.engines[start.instance].queue, (urgency, self.send_count, run))
-        waiting = any(ledger.waiting(self.now) for ledger in owner.jobs.values())
+        waiting = any(ledger.startable_items(self.now) for ledger in owner.jobs.values())
         if self.variant.shares_capacity:
             capacities = [capacity for capacity in capacities if capacity.runs < capacity.slots]
         spare = {} if waiting else spare_capacities(capacities)
@@ -271,12 +271,12 @@
                     run.progress.moves += 1
                     spare.free_slots -= 1
                     self._end_run(engine, run)
-                    run.ledger.broke(run.progress, engine.name, self.now)
+                    run.ledger.record_interruption(run.progress, engine.name, self.now)
 
     def _end_run(self, engine: Engine, run: Run) -> None:
         if run in engine.running:
             engine.running.remove(run)
-        run.owner.occupancy.ended(engine.name)
+        run.owner.occupancy.record_end(engine.name)
         run.owner.next_plan_seconds = self.now
 
     def _advance_engine(self, engine: Engine) -> None:
@@ -288,12 +288,12 @@
                 heapq.heapify(engine.queue)
                 self._end_run(engine, run)
                 if not ended:
-                    run.ledger.broke(run.progress, engine.name, self.now)
+                    run.ledger.record_interruption(run.progress, engine.name, self.now)
         while engine.queue and len(engine.running) < SLOTS:
             run = heapq.heappop(engine.queue)[2]
             engine.running.append(run)
             self.queue_waits_seconds.append(self.now - run.began_seconds)
-            run.owner.occupancy.heard(engine.name, engine.load(), self.now)
+            run.owner.occupancy.record_load(engine.name, engine.load(), self.now)
         pieces_per_step = STEP_SECONDS / engine.seconds_per_piece()
         for run in list(engine.running):
             if run.ledger.ended:
@@ -309,11 +309,11 @@
         if progress.phase is not ItemPhase.RUNNING:
             return
         progress.accept(TextPiece(progress.last_number + 1, "", 1), 0)
-        run.intervals.piece_came(self.now)
+        run.intervals.record_piece(self.now)
         if progress.last_number >= self.lengths[id(progress.item)]:
-            run.owner.forecast.note(progress.item.expected_tokens, progress.last_number)
+            run.owner.forecast.record_length(progress.item.expected_tokens, progress.last_number)
             self._end_run(engine, run)
-            run.ledger.whole(progress)
+            run.ledger.record_complete_text(progress)
 
     def _check_jobs(self, trainer: Trainer) -> None:
         for job_id, submitted_seconds in list(trainer.submitted_seconds.items()):
--- a/benchmarks/bench_spread.py
+++ b/benchmarks/bench_spread.py
@@ -25,16 +25,16 @@
 async def measure(daemons: int) -> dict[str, float]:
     run = SpreadRun(daemons)
     await run.start()
-    settled_seconds = await run.settled()
-    start_calls = run.service.priced
+    settled_seconds = await run.wait_until_settled()
+    start_calls = run.service.billed_calls
     await asyncio.sleep(IDLE_SECONDS)
-    idle_calls = run.service.priced - start_calls
-    served_before = {name: node.served for name, node in run.nodes.items()}
-    change_seconds = [(await run.spread(f"change {number}"))[-1] for number in range(CHANGES)]
-    max_served = max(node.served - served_before[name] for name, node in run.nodes.items())
+    idle_calls = run.service.billed_calls - start_calls
+    served_before = {name: node.served for name, node in run.daemons.items()}
+    change_seconds = [(await run.propagate(f"change {number}"))[-1] for number in range(CHANGES)]
+    max_served = max(node.served - served_before[name] for name, node in run.daemons.items())
     (root,) = run.watchers()
     run.kill(root)
-    change_after_crash_seconds = (await run.spread("after the death"))[-1]
+    change_after_crash_seconds = (await run.propagate("after the death"))[-1]
     watchers = len(run.watchers())
     await run.stop()
     return {
--- a/rackswitch/admission/concurrency.py
+++ b/rackswitch/admission/concurrency.py
@@ -184,7 +184,7 @@
         """Count a call that has ended, with or without an answer."""
         self.in_flight = max(0, self.in_flight - 1)
 
-    def answered(self, running: float, waiting: float, slots: int, now_seconds: float) -> None:
+    def record_answer(self, running: float, waiting: float, slots: int, now_seconds: float) -> None:
         """Adjust the limit to the load that a target reported with its answer."""
         self._advance_clock(now_seconds)
         self._clear_refusals()
@@ -203,7 +203,7 @@
         else:
             self._increase_limit(now_seconds)
 
-    def answered_untold(self, now_seconds: float) -> None:
+    def record_answer_without_report(self, now_seconds: float) -> None:
         """Adjust the limit to an answer without a load report."""
         self._clear_refusals()
         if not self._was_in_use():
@@ -231,7 +231,7 @@
             self._is_decreased_since_answer = True
             self.limit = max(MIN_LIMIT, self.limit * REFUSAL_DECREASE_FACTOR)
 
-    def crowding(self, now_seconds: float) -> float:
+    def saturation(self, now_seconds: float) -> float:
         """Return the share of recent answers that reported a full target, in [0, 1].
 
         It decays with the age of the answers.
@@ -256,7 +256,7 @@
 
     def _record_load_report(self, is_full: bool, now_seconds: float) -> None:
         """Update the saturation with one answer's load report."""
-        saturation = self.crowding(now_seconds)
+        saturation = self.saturation(now_seconds)
         interval_seconds = max(
             0.0, min(MAX_ANSWER_INTERVAL_SECONDS, now_seconds - self._reported_at_seconds)
         )
--- a/rackswitch/admission/decisions.py
+++ b/rackswitch/admission/decisions.py
@@ -39,9 +39,9 @@
         Memory that it takes while it waits.
     arrived_seconds : float
         When it arrived (monotonic).
-    aim_seconds, deadline_seconds : float
+    latency_target_at_seconds, deadline_seconds : float
         Latency target and deadline of the answer (monotonic).
-    is_back : bool
+    is_retry : bool
         Whether it is probably a retry of a refused call.
     """
 
@@ -51,9 +51,9 @@
     rank: int
     body_bytes: int
     arrived_seconds: float
-    aim_seconds: float
+    latency_target_at_seconds: float
     deadline_seconds: float
-    is_back: bool = False
+    is_retry: bool = False
 
 
 class RefusalCause(Enum):
--- a/rackswitch/admission/fair_queue.py
+++ b/rackswitch/admission/fair_queue.py
@@ -59,7 +59,7 @@
         # Retries go first: their callers have waited before.
         heapq.heappush(
             queue.requests,
-            (not request.is_back, request.deadline_seconds, self._last_number, request),
+            (not request.is_retry, request.deadline_seconds, self._last_number, request),
         )
         self._request_count += 1
         return self._last_number
@@ -75,18 +75,18 @@
         These are the tenant's own requests with an earlier deadline and, as tenants take turns, at
         most one more than that of each other tenant. Retries all go before first tries.
         """
-        sort_key = (not request.is_back, request.deadline_seconds)
+        sort_key = (not request.is_retry, request.deadline_seconds)
         own_count = sum(entry[:2] <= sort_key for entry in self._pending_entries(request.tenant))
         other_count = 0
         for tenant in self._tenants:
             if tenant != request.tenant:
-                other_count += self._count_ahead_in(tenant, request.is_back, own_count + 1)
+                other_count += self._count_ahead_in(tenant, request.is_retry, own_count + 1)
         return own_count + other_count
 
     def _count_ahead_in(self, tenant: str, is_retry: bool, max_turns: int) -> int:
         """Return how many of another tenant's requests go before a tenant's own."""
         pending = self._pending_entries(tenant)
-        retry_count = sum(entry[3].is_back for entry in pending)
+        retry_count = sum(entry[3].is_retry for entry in pending)
         if is_retry:
             return min(retry_count, max_turns)
         return retry_count + min(len(pending) - retry_count, max_turns)
@@ -105,12 +105,12 @@
         """
         self._drop_idle_tenants()
         # Retries of any tenant go before first tries.
-        is_retry = any(queue.requests[0][3].is_back for queue in self._tenants.values())
+        is_retry = any(queue.requests[0][3].is_retry for queue in self._tenants.values())
         while self._active_tenants:
             tenant = self._active_tenants[0]
             queue = self._tenants[tenant]
             number, request = queue.requests[0][2:]
-            if request.is_back != is_retry:
+            if request.is_retry != is_retry:
                 self._active_tenants.rotate(-1)
                 continue
             cost_seconds = work_seconds_by_kind.get(request.kind, default_work_seconds)
--- a/rackswitch/admission/patience.py
+++ b/rackswitch/admission/patience.py
@@ -21,7 +21,7 @@
 
     _timeout_seconds: dict[str, float] = field(default_factory=dict)
 
-    def is_back(self, kind: str, remaining_seconds: float) -> bool:
+    def record_and_check_retry(self, kind: str, remaining_seconds: float) -> bool:
         """Record how long a caller waits; return whether it is probably a retry."""
         typical_seconds = self._timeout_seconds.get(kind, remaining_seconds)
         if remaining_seconds >= typical_seconds:
--- a/rackswitch/admission/service_admission.py
+++ b/rackswitch/admission/service_admission.py
@@ -55,7 +55,8 @@
 longer in turn, as the limit falls."""
 
 SATURATION_THRESHOLD = 0.3
-"""Share of answers of full targets (`ConcurrencyLimit.crowding`) above which calls are refused."""
+"""Share of answers of full targets (`ConcurrencyLimit.saturation`) above which calls are
+refused."""
 
 REFUSAL_EXPIRY_SECONDS = 0.1
 """How long a target's refusal counts as a sign of saturation."""
@@ -77,7 +78,7 @@
     ----------
     limit : ConcurrencyLimit
         Limit on concurrent calls.
-    room : WaitQueue
+    queue : WaitQueue
         The waiting calls.
     retries : RetryBudget
         Retries of failed calls, of callers and reward calls together.
@@ -86,14 +87,14 @@
     """
 
     limit: ConcurrencyLimit = field(default_factory=ConcurrencyLimit)
-    room: WaitQueue = field(default_factory=WaitQueue)
+    queue: WaitQueue = field(default_factory=WaitQueue)
     retries: RetryBudget = field(default_factory=RetryBudget)
     work_seconds: dict[str, float] = field(default_factory=dict)
     _shares: dict[int, TenantShares] = field(default_factory=dict)
     _demand: dict[int, DecayingRate] = field(default_factory=dict)
     _target_count: int = 0
 
-    def ask(
+    def decide(
         self,
         request: AdmissionRequest,
         estimates: Sequence[TargetEstimate],
@@ -123,23 +124,23 @@
             return self._send(request, now_seconds)
         if self._is_probe():
             return self._send(request, now_seconds)
-        if self._may_skip_spacing(now_seconds) and self.room.count_ahead_of(request) == 0:
+        if self._may_skip_spacing(now_seconds) and self.queue.count_ahead_of(request) == 0:
             return self._send(request, now_seconds)
         wait_seconds = self._expected_wait_seconds(request, now_seconds)
         if self._all_targets_refused():
             # It waits for the result of the probe calls.
-            cause = None if self.room.has_capacity_for(request) else RefusalCause.QUEUE_FULL
+            cause = None if self.queue.has_capacity_for(request) else RefusalCause.QUEUE_FULL
         elif cause is None:
             cause = self._queue_refusal_cause(request, wait_seconds, now_seconds)
         if cause is None:
-            return WaitInQueue(self.room.add(request), wait_seconds)
+            return WaitInQueue(self.queue.add(request), wait_seconds)
         if has_spare_capacity(estimates):
             # With half a target free, no other call is delayed.
             return self._send(request, now_seconds)
         self._record_refusal(request, cause, now_seconds)
         return RefuseCall(cause, wait_seconds)
 
-    def ask_again(self, request: AdmissionRequest, now_seconds: float) -> AdmissionDecision:
+    def decide_again(self, request: AdmissionRequest, now_seconds: float) -> AdmissionDecision:
         """Decide about a call that was sent and that a target did not begin.
 
         It waits as a retry, until it cannot meet its latency target. It is refused at once if no
@@ -150,11 +151,11 @@
             return RefuseCall(RefusalCause.OUT_OF_TIME, wait_seconds)
         if self._no_target_accepts():
             return RefuseCall(RefusalCause.ALL_TARGETS_REFUSE, wait_seconds)
-        if not self.room.has_capacity_for(request):
+        if not self.queue.has_capacity_for(request):
             return RefuseCall(RefusalCause.QUEUE_FULL, wait_seconds)
-        return WaitInQueue(self.room.add(replace(request, is_back=True)), wait_seconds)
+        return WaitInQueue(self.queue.add(replace(request, is_retry=True)), wait_seconds)
 
-    def due(
+    def pop_due(
         self, estimates: Sequence[TargetEstimate], now_seconds: float
     ) -> list[tuple[Ticket, SendCall | RefuseCall]]:
         """Remove the waiting calls that are sent now, in their order, and those that are refused.
@@ -164,14 +165,14 @@
         decisions = self._pop_expired(estimates, now_seconds)
         if self._no_target_accepts():
             return decisions + self._refuse_all_waiting(now_seconds)
-        while (rank := self.room.next_rank()) is not None:
+        while (rank := self.queue.next_rank()) is not None:
             is_top_rank = self._is_top_rank(rank, now_seconds)
             extra_calls = self._extra_calls(rank, now_seconds)
             typical_seconds = self._typical_work_seconds()
             may_send = self.limit.may_send(typical_seconds, is_top_rank, now_seconds, extra_calls)
             if not may_send and not self._may_skip_spacing(now_seconds):
                 break
-            popped = self.room.pop(self.work_seconds, INITIAL_WORK_SECONDS)
+            popped = self.queue.pop(self.work_seconds, INITIAL_WORK_SECONDS)
             if popped is None:
                 break
             ticket, request = popped
@@ -185,12 +186,12 @@
         """Remove the calls that cannot wait longer; send them unless targets are saturated."""
         expired = [
             (ticket, request)
-            for ticket, request in self.room.waiting_requests().items()
+            for ticket, request in self.queue.waiting_requests().items()
             if now_seconds >= self._latest_send_seconds(request)
         ]
         decisions: list[tuple[Ticket, SendCall | RefuseCall]] = []
         for ticket, request in expired:
-            self.room.remove(ticket)
+            self.queue.remove(ticket)
             is_before_deadline = now_seconds < request.deadline_seconds
             if is_before_deadline and (
                 has_spare_capacity(estimates) or not are_saturated(estimates)
@@ -206,15 +207,15 @@
     def _refuse_all_waiting(self, now_seconds: float) -> list[tuple[Ticket, SendCall | RefuseCall]]:
         """Remove all waiting calls, as no target accepts calls."""
         decisions: list[tuple[Ticket, SendCall | RefuseCall]] = []
-        for ticket, request in self.room.waiting_requests().items():
+        for ticket, request in self.queue.waiting_requests().items():
             wait_seconds = self._expected_wait_seconds(request, now_seconds)
-            self.room.remove(ticket)
+            self.queue.remove(ticket)
             decisions.append((ticket, RefuseCall(RefusalCause.ALL_TARGETS_REFUSE, wait_seconds)))
         return decisions
 
-    def next_look_seconds(self, now_seconds: float) -> float:
+    def next_check_at_seconds(self, now_seconds: float) -> float:
         """Return when the next waiting call can be sent or expires."""
-        waiting = self.room.waiting_requests().values()
+        waiting = self.queue.waiting_requests().values()
         if not waiting:
             return float("inf")
         expiry_seconds = min(self._latest_send_seconds(request) for request in waiting)
@@ -223,28 +224,28 @@
         )
         return max(now_seconds, min(expiry_seconds, next_send_seconds))
 
-    def may_repeat(self, now_seconds: float) -> bool:
+    def try_spend_retry(self, now_seconds: float) -> bool:
         """Return whether a failed call may be retried, and spend that retry."""
         self.retries.refill(now_seconds)
         return self.retries.try_spend()
 
-    def repeat(self, request: AdmissionRequest, now_seconds: float) -> None:
+    def record_retry(self, request: AdmissionRequest, now_seconds: float) -> None:
         """Record that a failed call is sent again at once."""
         self._record_send(request, now_seconds)
 
-    def no_target(self) -> list[Ticket]:
+    def remove_all_waiting(self) -> list[Ticket]:
         """Remove and return all waiting calls, as the service has no target."""
         self.limit.restart()
-        waiting = list(self.room.waiting_requests())
+        waiting = list(self.queue.waiting_requests())
         for ticket in waiting:
-            self.room.remove(ticket)
+            self.queue.remove(ticket)
         return waiting
 
-    def left(self, ticket: Ticket) -> None:
+    def remove_waiting(self, ticket: Ticket) -> None:
         """Remove a waiting call whose caller has disconnected."""
-        self.room.remove(ticket)
+        self.queue.remove(ticket)
 
-    def ended(self, request: AdmissionRequest, took_seconds: float | None) -> None:
+    def record_end(self, request: AdmissionRequest, took_seconds: float | None) -> None:
         """Record the end of a call that was sent.
 
         Parameters
@@ -257,12 +258,12 @@
         self.limit.record_end()
         if took_seconds is None:
             return
-        self.retries.note_request()
+        self.retries.record_request()
         typical_seconds = self._work_seconds(request.kind)
         typical_seconds += WORK_SMOOTHING * (took_seconds - typical_seconds)
         self.work_seconds[request.kind] = typical_seconds
 
-    def target_refused(self, now_seconds: float) -> None:
+    def record_refusal(self, now_seconds: float) -> None:
         """Record that a target refused a call for lack of capacity."""
         self.limit.record_refusal(self._typical_work_seconds(), now_seconds)
         if self._all_targets_refused():
@@ -271,7 +272,7 @@
     def oldest_wait_seconds(self, now_seconds: float) -> float:
         """Return how long the oldest waiting call has waited; 0 if none waits."""
         arrival_times = [
-            request.arrived_seconds for request in self.room.waiting_requests().values()
+            request.arrived_seconds for request in self.queue.waiting_requests().values()
         ]
         return max(0.0, now_seconds - min(arrival_times)) if arrival_times else 0.0
 
@@ -323,10 +324,10 @@
         """Return whether targets recently reported to be full, or one refused."""
         if self.limit.was_refused_since(now_seconds - REFUSAL_EXPIRY_SECONDS):
             return True
-        return self.limit.crowding(now_seconds) > SATURATION_THRESHOLD
+        return self.limit.saturation(now_seconds) > SATURATION_THRESHOLD
 
     def _may_send_now(self, request: AdmissionRequest, now_seconds: float) -> bool:
-        if self.room.count_ahead_of(request) > 0:
+        if self.queue.count_ahead_of(request) > 0:
             return False
         is_top_rank = self._is_top_rank(request.rank, now_seconds)
         work_seconds = self._work_seconds(request.kind)
@@ -336,7 +337,7 @@
     def _queue_refusal_cause(
         self, request: AdmissionRequest, wait_seconds: float, now_seconds: float
     ) -> RefusalCause | None:
-        if not self.room.has_capacity_for(request):
+        if not self.queue.has_capacity_for(request):
             return RefusalCause.QUEUE_FULL
         spare_seconds = self._latest_send_seconds(request) - now_seconds
         is_top_rank = self._is_top_rank(request.rank, now_seconds)
@@ -346,7 +347,7 @@
         return None
 
     def _send(self, request: AdmissionRequest, now_seconds: float) -> SendCall:
-        self.room.record_send(request.rank)
+        self.queue.record_send(request.rank)
         self._record_send(request, now_seconds)
         return SendCall()
 
@@ -359,7 +360,7 @@
     def _record_refusal(
         self, request: AdmissionRequest, cause: RefusalCause, now_seconds: float
     ) -> None:
-        self.room.record_refusal(request.rank)
+        self.queue.record_refusal(request.rank)
         if cause is not RefusalCause.OVER_SHARE:
             self._shares.setdefault(request.rank, TenantShares()).record_shortage(now_seconds)
 
@@ -374,13 +375,13 @@
             self.limit.next_send_at_seconds(work_seconds, now_seconds) - now_seconds,
             work_seconds / max_calls,
         )
-        queue_wait_seconds = self.room.count_ahead_of(request) * typical_seconds / max_calls
+        queue_wait_seconds = self.queue.count_ahead_of(request) * typical_seconds / max_calls
         return (slot_wait_seconds + queue_wait_seconds) / limit_share
 
     def _remaining_limit_share(self, rank: int, now_seconds: float) -> float:
         """Return the part of the limit that higher ranks leave to a rank."""
         min_share = 1 / (MAX_OVERTAKES + 1)
-        if self.room.is_overdue(rank):
+        if self.queue.is_overdue(rank):
             return 1.0
         higher_rate = sum(
             rate.per_second(now_seconds)
@@ -391,7 +392,7 @@
 
     def _is_top_rank(self, rank: int, now_seconds: float) -> bool:
         """Return whether no higher rank is active, or the rank is overdue."""
-        if self.room.is_overdue(rank):
+        if self.queue.is_overdue(rank):
             return True
         return not any(other_rank < rank for other_rank in self._active_ranks(now_seconds))
 
@@ -414,7 +415,7 @@
     def _latest_send_seconds(self, request: AdmissionRequest) -> float:
         """Return the latest time to send a call within its latency target."""
         work_seconds = self._work_seconds(request.kind)
-        return min(request.aim_seconds, request.deadline_seconds) - work_seconds
+        return min(request.latency_target_at_seconds, request.deadline_seconds) - work_seconds
 
     def _demand_of(self, rank: int, now_seconds: float) -> DecayingRate:
         return self._demand.setdefault(rank, DecayingRate(at_seconds=now_seconds))
@@ -433,7 +434,7 @@
     """Return whether all targets report long queues, by recent load reports."""
     return bool(estimates) and all(
         estimate.waiting > SATURATED_QUEUE_CALLS_PER_SLOT * max(1, estimate.slots)
-        and estimate.word_age_seconds <= MAX_LOAD_REPORT_AGE_SECONDS
+        and estimate.report_age_seconds <= MAX_LOAD_REPORT_AGE_SECONDS
         for estimate in estimates
     )
 
@@ -442,6 +443,6 @@
     """Return whether a target is half free, by a recent load report."""
     return any(
         estimate.free_slots >= MIN_FREE_SLOT_SHARE * max(1, estimate.slots)
-        and estimate.word_age_seconds <= MAX_LOAD_REPORT_AGE_SECONDS
+        and estimate.report_age_seconds <= MAX_LOAD_REPORT_AGE_SECONDS
         for estimate in estimates
     )
--- a/rackswitch/admission/tests/simulated_load.py
+++ b/rackswitch/admission/tests/simulated_load.py
@@ -284,7 +284,7 @@
         self.schedule(self.now_seconds + call.work_seconds * target.pace, on_done)
 
 
-class PolledPlay(Simulation):
+class PollingSimulation(Simulation):
     """Without a queue: a refused call is sent again after an interval, in no order."""
 
     def __init__(self, *args, **kwargs):
@@ -320,7 +320,7 @@
         send()
 
 
-class IdealPlay(Simulation):
+class IdealSimulation(Simulation):
     """One queue for all daemons with complete knowledge: by rank, then by deadline."""
 
     def __init__(self, *args, **kwargs):
@@ -368,7 +368,7 @@
             self._run_on_target(target, call, on_answer)
 
 
-class AdmissionPlay(Simulation):
+class AdmissionSimulation(Simulation):
     """The product code's decisions, one `ServiceAdmission` per daemon."""
 
     def __init__(self, *args, **kwargs):
@@ -417,10 +417,10 @@
             self.now_seconds,
             min(self.now_seconds + latency_target_seconds, call.deadline_seconds),
             call.deadline_seconds,
-            self.patience_estimates[daemon].is_back(call.kind, remaining_seconds),
+            self.patience_estimates[daemon].record_and_check_retry(call.kind, remaining_seconds),
         )
         estimates = self.estimates(daemon)
-        decision = admission.ask(request, estimates, self.rng.random(), self.now_seconds)
+        decision = admission.decide(request, estimates, self.rng.random(), self.now_seconds)
         self._apply_decision(daemon, call, request, decision, on_served, on_refused)
 
     def _apply_decision(self, daemon, call, request, decision, on_served, on_refused) -> None:
@@ -450,8 +450,8 @@
             self.reports[daemon][target_index] = TargetReport(
                 running, waiting, pace, self.now_seconds
             )
-            admission.ended(request, self.now_seconds - began_at_seconds)
-            admission.limit.answered(running, waiting, self.sizes.slots, self.now_seconds)
+            admission.record_end(request, self.now_seconds - began_at_seconds)
+            admission.limit.record_answer(running, waiting, self.sizes.slots, self.now_seconds)
             on_served()
             self._apply_due_decisions(daemon)
 
@@ -459,13 +459,13 @@
             self.reports[daemon][target_index] = TargetReport(
                 6, self.sizes.queue, report.pace, self.now_seconds
             )
-            admission.ended(request, None)
-            admission.target_refused(self.now_seconds)
+            admission.record_end(request, None)
+            admission.record_refusal(self.now_seconds)
             self._apply_decision(
                 daemon,
                 call,
                 request,
-                admission.ask_again(request, self.now_seconds),
+                admission.decide_again(request, self.now_seconds),
                 on_served,
                 on_refused,
             )
@@ -475,13 +475,13 @@
 
     def _apply_due_decisions(self, daemon: int) -> None:
         admission = self.admissions[daemon]
-        for ticket, decision in admission.due(self.estimates(daemon), self.now_seconds):
+        for ticket, decision in admission.pop_due(self.estimates(daemon), self.now_seconds):
             call, request, on_served, on_refused = self.waiting_calls[daemon].pop(ticket)
             self._apply_decision(daemon, call, request, decision, on_served, on_refused)
         self._schedule_check(daemon)
 
     def _schedule_check(self, daemon: int) -> None:
-        check_at_seconds = self.admissions[daemon].next_look_seconds(self.now_seconds)
+        check_at_seconds = self.admissions[daemon].next_check_at_seconds(self.now_seconds)
         if (
             check_at_seconds == float("inf")
             or self.now_seconds < self.next_check_seconds[daemon] <= check_at_seconds
@@ -526,7 +526,7 @@
     longest_burst_seconds: float
 
 
-def figures(simulation: Simulation, warm_seconds: float = 3.0) -> Figures:
+def summarize(simulation: Simulation, warm_seconds: float = 3.0) -> Figures:
     results = simulation.results
     served_calls = [
         (call, served_at_seconds)
--- a/rackswitch/admission/tests/test_concurrency.py
+++ b/rackswitch/admission/tests/test_concurrency.py
@@ -17,7 +17,7 @@
     """Record answers of targets with queues; return the time after the last one."""
     for _ in range(answer_count):
         now_seconds += 0.02
-        limit.answered(SLOTS, SLOTS, SLOTS, now_seconds)
+        limit.record_answer(SLOTS, SLOTS, SLOTS, now_seconds)
     return now_seconds
 
 
@@ -27,7 +27,7 @@
     assert limit.limit == MIN_LIMIT
     for _ in range(20):
         now_seconds += 0.02
-        limit.answered(1, 0, SLOTS, now_seconds)
+        limit.record_answer(1, 0, SLOTS, now_seconds)
     assert limit.limit > MIN_LIMIT
 
 
@@ -78,7 +78,7 @@
     for step_seconds in (500.0, -1500.0, 0.0, -10.0, 0.0):
         now_seconds += step_seconds
         saturated_at_seconds = now_seconds
-        limit.answered(SLOTS, SLOTS, SLOTS, saturated_at_seconds)
+        limit.record_answer(SLOTS, SLOTS, SLOTS, saturated_at_seconds)
         while limit.limit < 1 and limit.may_send(0.04, False, now_seconds):
             limit.record_send(0.04, now_seconds)
             sent_count += 1
@@ -97,16 +97,16 @@
         now_seconds += 0.04
         limit.record_end()
         if reports_load:
-            limit.answered(1, 0, SLOTS, now_seconds)
+            limit.record_answer(1, 0, SLOTS, now_seconds)
         else:
-            limit.answered_untold(now_seconds)
+            limit.record_answer_without_report(now_seconds)
     assert limit.limit >= 2
 
 
 def test_an_unused_limit_does_not_grow():
     limit = ConcurrencyLimit()
     for number in range(100):
-        limit.answered(0, 0, SLOTS, number * 0.1)
+        limit.record_answer(0, 0, SLOTS, number * 0.1)
     assert limit.limit == INITIAL_LIMIT
 
 
@@ -114,22 +114,22 @@
     # Guards against refusing calls because of outdated load reports.
     limit = ConcurrencyLimit()
     now_seconds = saturate(limit, 0.0, answer_count=20)
-    assert limit.crowding(now_seconds) > SATURATION_THRESHOLD
-    assert limit.crowding(now_seconds + 0.3) < SATURATION_THRESHOLD
+    assert limit.saturation(now_seconds) > SATURATION_THRESHOLD
+    assert limit.saturation(now_seconds + 0.3) < SATURATION_THRESHOLD
 
 
 def test_saturation_lasts_between_infrequent_answers():
     # Guards against daemons with few calls that forget saturation between two answers.
     limit = ConcurrencyLimit()
     for number in range(40):
-        limit.answered(SLOTS, SLOTS, SLOTS, 0.15 * number)
-    assert limit.crowding(0.15 * 40) > SATURATION_THRESHOLD
+        limit.record_answer(SLOTS, SLOTS, SLOTS, 0.15 * number)
+    assert limit.saturation(0.15 * 40) > SATURATION_THRESHOLD
 
 
 def test_one_report_of_a_full_target_is_not_saturation():
     # Guards against refusing calls because of a single load report.
     limit = ConcurrencyLimit()
     for number in range(20):
-        limit.answered(1, 0, SLOTS, 0.02 * number)
-    limit.answered(SLOTS, 1, SLOTS, 0.4)
-    assert limit.crowding(0.4) <= SATURATION_THRESHOLD
+        limit.record_answer(1, 0, SLOTS, 0.02 * number)
+    limit.record_answer(SLOTS, 1, SLOTS, 0.4)
+    assert limit.saturation(0.4) <= SATURATION_THRESHOLD
--- a/rackswitch/admission/tests/test_fair_queue.py
+++ b/rackswitch/admission/tests/test_fair_queue.py
@@ -64,7 +64,7 @@
         [
             make_request("late", deadline_seconds=9.0),
             make_request("soon", deadline_seconds=3.0),
-            make_request("back", deadline_seconds=8.0, is_back=True),
+            make_request("back", deadline_seconds=8.0, is_retry=True),
         ]
     )
     assert pop_names(queue, requests) == ["back", "soon", "late"]
@@ -74,7 +74,7 @@
     queue, requests = make_queue(
         [*(make_request(f"a{n}", "a") for n in range(3)), make_request("b", "b")]
     )
-    retry = make_request("back", "c", is_back=True)
+    retry = make_request("back", "c", is_retry=True)
     assert queue.count_ahead_of(retry) == 0
     requests[queue.add(retry)] = retry
     assert pop_names(queue, requests)[0] == "back"
@@ -133,9 +133,9 @@
 
 def test_recognizes_a_retry_by_its_remaining_time():
     estimate = PatienceEstimate()
-    assert not estimate.is_back("k", 0.8)
-    assert not estimate.is_back("k", 0.79)
-    assert estimate.is_back("k", 0.5)
+    assert not estimate.record_and_check_retry("k", 0.8)
+    assert not estimate.record_and_check_retry("k", 0.79)
+    assert estimate.record_and_check_retry("k", 0.5)
     for _ in range(300):
-        estimate.is_back("k", 0.5)
-    assert not estimate.is_back("k", 0.5)
+        estimate.record_and_check_retry("k", 0.5)
+    assert not estimate.record_and_check_retry("k", 0.5)
--- a/rackswitch/admission/tests/test_simulated_load.py
+++ b/rackswitch/admission/tests/test_simulated_load.py
@@ -4,10 +4,10 @@
 
 from rackswitch.admission.tests.simulated_load import (
     NETWORK_SECONDS,
-    AdmissionPlay,
-    PolledPlay,
+    AdmissionSimulation,
+    PollingSimulation,
     Sizes,
-    figures,
+    summarize,
 )
 
 SMALL = Sizes(daemons=20, tenants=24, targets=4, slots=6, queue=20)
@@ -16,17 +16,19 @@
 
 
 def simulate(
-    load: float, simulation_class=AdmissionPlay, **attributes
-) -> tuple[AdmissionPlay, object]:
+    load: float, simulation_class=AdmissionSimulation, **attributes
+) -> tuple[AdmissionSimulation, object]:
     simulation = simulation_class(load, 5, SECONDS, SMALL)
     simulation.has_reward_bursts = False
     for name, value in attributes.items():
         setattr(simulation, name, value)
     simulation.run()
-    return simulation, figures(simulation, WARM_SECONDS)
+    return simulation, summarize(simulation, WARM_SECONDS)
 
 
-def with_outage(load: float, simulation_class=AdmissionPlay, seed: int = 5) -> AdmissionPlay:
+def with_outage(
+    load: float, simulation_class=AdmissionSimulation, seed: int = 5
+) -> AdmissionSimulation:
     """Return a simulation whose targets are all unavailable from second 2 to second 3."""
     simulation = simulation_class(load, seed, SECONDS, SMALL)
     simulation.has_reward_bursts = False
@@ -42,7 +44,7 @@
 
 def test_serves_up_to_capacity_under_twice_the_load():
     _, product = simulate(2.0)
-    _, polled = simulate(2.0, PolledPlay)
+    _, polled = simulate(2.0, PollingSimulation)
     assert product.goodput >= 0.9
     assert polled.goodput < 0.5
     assert product.refused_at_once_share >= 0.95
@@ -56,7 +58,7 @@
     assert product.refused_at_once_share == 1.0
 
 
-def test_an_overload_keeps_the_first_rank_waiting_little_longer():
+def test_overload_delays_the_top_rank_only_slightly():
     _, light_load = simulate(0.7)
     _, overload = simulate(2.0)
     assert overload.first_rank_p99_seconds <= 1.3 * light_load.first_rank_p99_seconds
@@ -67,15 +69,15 @@
     assert product.jain > 0.95
 
 
-def test_tenants_of_each_rank_that_want_more_than_their_share_get_alike():
-    simulation = AdmissionPlay(2.0, 5, 10.0, SMALL)
+def test_shares_each_rank_fairly_between_large_tenants():
+    simulation = AdmissionSimulation(2.0, 5, 10.0, SMALL)
     simulation.has_reward_bursts = False
     simulation.run()
-    assert figures(simulation, WARM_SECONDS).jain > 0.95
+    assert summarize(simulation, WARM_SECONDS).jain > 0.95
 
 
-def test_as_an_overload_ends_nobody_is_refused_while_places_are_free():
-    simulation = AdmissionPlay(3.0, 5, SECONDS, SMALL)
+def test_refuses_no_call_while_slots_are_free_after_an_overload():
+    simulation = AdmissionSimulation(3.0, 5, SECONDS, SMALL)
     simulation.has_reward_bursts = False
     simulation.schedule(SECONDS / 2, lambda: setattr(simulation, "load", 0.3))
     simulation.run()
@@ -83,14 +85,14 @@
     assert simulation.results.refused_while_half_free == 0
 
 
-def test_as_targets_come_back_nobody_is_refused_while_places_are_free():
+def test_refuses_no_call_while_slots_are_free_as_targets_recover():
     simulation = with_outage(load=0.9)
     simulation.run()
     assert simulation.results.refused_after_seconds
     assert simulation.results.refused_while_half_free == 0
 
 
-class RecoverySimulation(AdmissionPlay):
+class RecoverySimulation(AdmissionSimulation):
     """Counts only refusals that an answer sent after the targets' recovery could have prevented."""
 
     def _refuse(self, daemon, call, decision, on_refused):
@@ -150,11 +152,11 @@
 
 
 def test_one_slow_target_of_four_keeps_most_of_the_goodput():
-    simulation = AdmissionPlay(1.2, 5, SECONDS, SMALL)
+    simulation = AdmissionSimulation(1.2, 5, SECONDS, SMALL)
     simulation.has_reward_bursts = False
     simulation.schedule(1.0, lambda: setattr(simulation.targets[0], "pace", 6.0))
     simulation.run()
-    result = figures(simulation, WARM_SECONDS)
+    result = summarize(simulation, WARM_SECONDS)
     assert result.served[0] >= 0.9
     assert result.goodput >= 0.5
     assert result.run_twice == 0
@@ -185,8 +187,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_single_active_daemon_uses_the_complete_capacity(seed):
-    simulation = AdmissionPlay(0.6, seed, 4.0, Sizes(daemons=1, tenants=8))
+    simulation = AdmissionSimulation(0.6, seed, 4.0, Sizes(daemons=1, tenants=8))
     simulation.has_reward_bursts = False
     simulation.run()
-    result = figures(simulation, 1.0)
+    result = summarize(simulation, 1.0)
     assert min(result.served.values()) >= 0.99
--- a/rackswitch/capacity/planner.py
+++ b/rackswitch/capacity/planner.py
@@ -39,7 +39,7 @@
 class EngineOrder:
     """The number of engines that a location is to have."""
 
-    place: EngineLocation
+    location: EngineLocation
     count: int
 
 
@@ -75,11 +75,11 @@
     _refused_until_seconds: dict[EngineLocation, float] = field(default_factory=dict)
     _booting_until_seconds: list[float] = field(default_factory=list)
 
-    def refused(self, location: EngineLocation, now_seconds: float) -> None:
+    def record_refusal(self, location: EngineLocation, now_seconds: float) -> None:
         """Record that the platform has no engine available in a location."""
         self._refused_until_seconds[location] = now_seconds + REFUSAL_COOLDOWN_SECONDS
 
-    def taken(self, added: int, capacity: Capacity, now_seconds: float) -> None:
+    def record_accepted_order(self, added: int, capacity: Capacity, now_seconds: float) -> None:
         """Record that the platform accepted an order that adds engines."""
         until_seconds = now_seconds + 2 * capacity.boot_seconds
         self._booting_until_seconds.extend([until_seconds] * max(0, added))
@@ -165,7 +165,9 @@
             counts[location] += 1
             changed.add(location)
         orders = [EngineOrder(location, counts[location]) for location in changed]
-        return sorted(orders, key=lambda order: (capacity.price(order.place), order.place.zone))
+        return sorted(
+            orders, key=lambda order: (capacity.price(order.location), order.location.zone)
+        )
 
     def _choose_location(
         self,
--- a/rackswitch/capacity/tests/test_capacity.py
+++ b/rackswitch/capacity/tests/test_capacity.py
@@ -42,15 +42,17 @@
             self.booting.remove((ready_seconds, location))
             self.state.present[location] += 1
         for order in self.planner.orders(self.state, CAPACITY, wanted, now_seconds):
-            if order.place in self.unavailable:
-                self.planner.refused(order.place, now_seconds)
+            if order.location in self.unavailable:
+                self.planner.record_refusal(order.location, now_seconds)
                 continue
-            added = order.count - self.state.ordered[order.place]
-            self.state.ordered[order.place] = order.count
-            self.planner.taken(added, CAPACITY, now_seconds)
+            added = order.count - self.state.ordered[order.location]
+            self.state.ordered[order.location] = order.count
+            self.planner.record_accepted_order(added, CAPACITY, now_seconds)
             self.orders.append(order)
-            self.booting += [(now_seconds + CAPACITY.boot_seconds, order.place)] * max(0, added)
-            self.state.present[order.place] = min(self.state.present[order.place], order.count)
+            self.booting += [(now_seconds + CAPACITY.boot_seconds, order.location)] * max(0, added)
+            self.state.present[order.location] = min(
+                self.state.present[order.location], order.count
+            )
 
     def run(self, wanted: int, seconds: float, start_seconds: float = 0.0) -> None:
         for tick in range(int(seconds * 2)):
@@ -82,7 +84,7 @@
 def test_a_large_shortage_is_ordered_for_at_once_and_spread_over_zones():
     platform = SimulatedPlatform(2)
     platform.step(12, 0.0)
-    ordered = {order.place: order.count for order in platform.orders}
+    ordered = {order.location: order.count for order in platform.orders}
     assert ordered == {EngineLocation(zone, RECLAIMABLE): 2 for zone in PRICES}
     platform.run(12, 20.0, 0.5)
     assert platform.engines == 12
@@ -108,10 +110,10 @@
     platform.unavailable = {EngineLocation("b", RECLAIMABLE)}
     platform.run(8, 20.0)
     assert platform.engines == 8
-    assert not any(order.place.zone == "b" for order in platform.orders)
+    assert not any(order.location.zone == "b" for order in platform.orders)
     platform.unavailable.clear()
     platform.run(10, 20.0, 40.0)
-    assert any(order.place.zone == "b" for order in platform.orders)
+    assert any(order.location.zone == "b" for order in platform.orders)
 
 
 def test_reclaimed_engines_are_replaced_elsewhere():
@@ -132,7 +134,7 @@
     assert platform.engines == 12
     platform.run(8, 60.0, 10.0)
     assert 8 <= platform.engines <= 10
-    assert platform.orders[0].place == EngineLocation("c", KEPT)
+    assert platform.orders[0].location == EngineLocation("c", KEPT)
 
 
 @given(st.lists(st.integers(0, 60), min_size=1, max_size=40), st.sampled_from(["none", "added"]))
@@ -144,6 +146,8 @@
             total = sum(platform.state.ordered[EngineLocation(zone, kind)] for kind in EngineKind)
             assert CAPACITY.min_engines <= total <= CAPACITY.max_engines
         if kind_policy == "none":
-            assert not any(order.place.kind is RECLAIMABLE for order in platform.orders)
-    released = [order for order in platform.orders if order.count < 3 and order.place.kind is KEPT]
+            assert not any(order.location.kind is RECLAIMABLE for order in platform.orders)
+    released = [
+        order for order in platform.orders if order.count < 3 and order.location.kind is KEPT
+    ]
     assert len(released) <= 2 * (len(wanted_counts) // 6 + 1)
--- a/rackswitch/clients/kv.py
+++ b/rackswitch/clients/kv.py
@@ -34,8 +34,8 @@
     "Operation",
     "TxnPart",
     "TxnPartDone",
-    "WatchNews",
-    "latest_news",
+    "WatchUpdate",
+    "latest_update",
     "prefix_end",
 ]
 
@@ -135,7 +135,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WatchNews:
+class WatchUpdate:
     """Changes of watched keys, or only a new revision.
 
     `deleted` holds deleted keys if the client reports deletions. Each key occurs once, in
@@ -147,9 +147,9 @@
     deleted: tuple[str, ...] = ()
 
 
-def latest_news(
+def latest_update(
     puts: Iterable[KvEntry], deletions: Iterable[tuple[str, int]], revision: int
-) -> WatchNews:
+) -> WatchUpdate:
     """Merge changes given in any order into the last change of each key.
 
     Parameters
@@ -171,7 +171,7 @@
         deletion_revisions[key] = max(deleted_revision, deletion_revisions.get(key, 0))
     entries = tuple(e for e in latest.values() if e.mod_revision > deletion_revisions.get(e.key, 0))
     written = {entry.key for entry in entries}
-    return WatchNews(
+    return WatchUpdate(
         entries, revision, tuple(key for key in deletion_revisions if key not in written)
     )
 
@@ -223,7 +223,7 @@
         """Revoke a lease, which deletes its keys."""
         ...
 
-    def watch(self, key: str, from_revision: int) -> AsyncIterator[WatchNews | KvUnavailable]:
+    def watch(self, key: str, from_revision: int) -> AsyncIterator[WatchUpdate | KvUnavailable]:
         """Yield changes of a key; the last item reports why the watch ended."""
         ...
 
@@ -401,7 +401,9 @@
         answer = await self._call("/v3/lease/revoke", {"ID": lease_id}, _EmptyResponse)
         return answer if isinstance(answer, KvUnavailable) else None
 
-    async def watch(self, key: str, from_revision: int) -> AsyncIterator[WatchNews | KvUnavailable]:
+    async def watch(
+        self, key: str, from_revision: int
+    ) -> AsyncIterator[WatchUpdate | KvUnavailable]:
         """Yield changes of a key; the last item reports why the watch ended."""
         request = {"create_request": {"key": _to_base64(key), "start_revision": from_revision}}
         self.calls += 1
@@ -413,7 +415,7 @@
                 async for line in answer.content:
                     update = msgspec.json.decode(line, type=_WireWatchResponse, strict=False).result
                     entries = (event.kv.entry() for event in update.events if event.type == "PUT")
-                    yield WatchNews(tuple(entries), update.header.revision)
+                    yield WatchUpdate(tuple(entries), update.header.revision)
         except (aiohttp.ClientError, TimeoutError, msgspec.DecodeError, ValueError) as error:
             yield KvUnavailable(f"watch failed: {type(error).__name__}", False)
             return
--- a/rackswitch/clients/probe.py
+++ b/rackswitch/clients/probe.py
@@ -5,10 +5,10 @@
 
 from rackswitch.quarantine import ProbeOutcome
 
-__all__ = ["look_at"]
+__all__ = ["probe_target"]
 
 
-async def look_at(host: str, port: int, timeout_seconds: float) -> ProbeOutcome:
+async def probe_target(host: str, port: int, timeout_seconds: float) -> ProbeOutcome:
     """Try to connect once, and close the connection.
 
     Parameters
--- a/rackswitch/daemon/caller_handler.py
+++ b/rackswitch/daemon/caller_handler.py
@@ -155,7 +155,7 @@
             return NotRun(NotRunReason.UNAUTHORIZED, "unknown bearer token")
         refusal = self._limits.try_acquire(tenant)
         if refusal is not None:
-            self._context.telemetry.request_ended(tenant.name, tenant.rank, "not_run", 0.0)
+            self._context.telemetry.record_request(tenant.name, tenant.rank, "not_run", 0.0)
             return refusal
         self._context.in_flight.begin()
         return tenant
@@ -172,7 +172,7 @@
         self._limits.release(tenant)
         now_seconds = self._context.now_seconds()
         elapsed_seconds = 0.0 if arrived_seconds is None else now_seconds - arrived_seconds
-        self._context.telemetry.request_ended(tenant.name, tenant.rank, outcome, elapsed_seconds)
+        self._context.telemetry.record_request(tenant.name, tenant.rank, outcome, elapsed_seconds)
         return response
 
     def _route(self, tenant: TenantRow, name: str) -> RouteRow | NotRun:
@@ -247,7 +247,7 @@
             else:
                 response, label = json_response(complete_body(call, chunks)), "completed"
         finally:
-            self._context.telemetry.tokens_passed(call.tenant.name, len(chunks))
+            self._context.telemetry.count_tokens(call.tenant.name, len(chunks))
             self._finish(call.tenant, response, label, call.arrived_seconds)
         return response
 
@@ -282,7 +282,7 @@
                 if watcher is not None:
                     watcher.cancel()
                 await source.aclose()
-                self._context.telemetry.tokens_passed(call.tenant.name, tokens)
+                self._context.telemetry.count_tokens(call.tenant.name, tokens)
                 self._finish(call.tenant, Response(200), label, call.arrived_seconds)
 
         watcher = _cancel_on_disconnect(request)
--- a/rackswitch/daemon/completions.py
+++ b/rackswitch/daemon/completions.py
@@ -78,13 +78,13 @@
         """
         log = AttemptLog(repeatable=True)
         progress = _Progress([], self._chooser.route_choice(call.route))
-        self._budget.note_request()
+        self._budget.record_request()
         while True:
             chosen = self._choose(call, progress, log)
             if isinstance(chosen, NotRun):
                 yield self._final_outcome(log, chosen)
                 return
-            log.begin()
+            log.check_may_begin()
             async with aclosing(self._run_attempt(call, chosen, progress, log)) as attempt:
                 async for item in attempt:
                     yield item
@@ -128,7 +128,7 @@
         check = StreamCheck(request.request_id)
         first_chunk_seconds = 0.0
         end = AttemptEnd(row.name, True, "the stream ended before its last chunk")
-        target.begin(routed.cost_tokens, routed.prefixes)
+        target.record_start(routed.cost_tokens, routed.prefixes)
         stream = self._targets.client(row.protocol).stream(row.url, request)
         try:
             async for item in stream:
@@ -137,21 +137,21 @@
                 if isinstance(checked, AttemptEnd):
                     end = checked
                     break
-                target.saw_chunk(checked, self._context.now_seconds())
+                target.record_chunk(checked, self._context.now_seconds())
                 progress.token_ids.extend(checked.token_ids)
                 progress.finished = check.finished
                 if check.finished:
                     # Recorded before the last chunk is yielded, because the reader stops there.
-                    target.succeeded(
+                    target.record_success(
                         check.tokens, self._context.now_seconds() - first_chunk_seconds
                     )
                 yield checked
         finally:
-            target.end(routed.cost_tokens)
+            target.record_end(routed.cost_tokens)
             await stream.aclose()  # type: ignore[attr-defined]
         if not progress.finished:
-            target.failed(self._context.now_seconds())
-            log.note(end)
+            target.record_failure(self._context.now_seconds())
+            log.record_end(end)
 
     def _engine_request(
         self,
--- a/rackswitch/daemon/core.py
+++ b/rackswitch/daemon/core.py
@@ -161,7 +161,7 @@
         await self._server.stop()
         self.context.log.write(Stopped(whole=is_drained))
         await self._close()
-        self.context.log.pump()
+        self.context.log.flush()
 
     async def crash(self) -> None:
         """Stop at once, as a killed process would (for tests)."""
--- a/rackswitch/daemon/heartbeats.py
+++ b/rackswitch/daemon/heartbeats.py
@@ -71,13 +71,13 @@
         """Send one heartbeat, directly or, if that fails, through other daemons."""
         membership = self.context.membership
         membership.tick(self.context.now_seconds())
-        daemon = membership.next_target()
+        daemon = membership.next_heartbeat_peer()
         if daemon is None:
             return
         if await self.send(daemon) or await self._probe_through_helpers(daemon):
-            membership.answered(daemon, self.context.now_seconds())
+            membership.record_answer(daemon, self.context.now_seconds())
         else:
-            membership.unanswered(daemon, self.context.now_seconds())
+            membership.record_no_answer(daemon, self.context.now_seconds())
 
     async def announce(self) -> None:
         """Send updates to some peers without waiting for the next heartbeat."""
@@ -185,7 +185,7 @@
         return chosen
 
     async def _probe_through_helpers(self, daemon: str) -> bool:
-        helpers = self.context.membership.helpers(daemon, MAX_HELPERS)
+        helpers = self.context.membership.choose_probe_helpers(daemon, MAX_HELPERS)
         answers = await asyncio.gather(
             *(self._probe_through_helper(name, daemon) for name in helpers)
         )
@@ -218,7 +218,9 @@
         listed = await self.vm_list.read()
         if not isinstance(listed, VmList):
             return False
-        self.context.membership.learn_vms(list(listed.daemons), self.context.now_seconds())
+        self.context.membership.update_from_vm_list(
+            list(listed.daemons), self.context.now_seconds()
+        )
         for name in listed.leaving_targets:
             self.record_leaving_target(name)
         for name in [name for name in self.leaving_targets if name not in listed.leaving_targets]:
--- a/rackswitch/daemon/limit_keeper.py
+++ b/rackswitch/daemon/limit_keeper.py
@@ -7,7 +7,7 @@
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.daemon.heartbeats import Heartbeats, LimitShortage
 from rackswitch.limits import (
-    LOAN_LIFE_SECONDS,
+    LOAN_LIFETIME_SECONDS,
     ConcurrencyLimit,
     LentShare,
     RateLimit,
@@ -61,14 +61,14 @@
         rate_retry_at_seconds = limits.rate.try_take(now_seconds)
         if rate_retry_at_seconds is not None:
             return NotRun(NotRunReason.OVER_LIMIT, "over the rate limit", rate_retry_at_seconds)
-        if not limits.concurrency.try_enter(now_seconds):
+        if not limits.concurrency.try_acquire(now_seconds):
             retry_at_seconds = now_seconds + CONCURRENCY_RETRY_DELAY_SECONDS
             return NotRun(NotRunReason.OVER_LIMIT, "over the concurrency limit", retry_at_seconds)
         return None
 
     def release(self, tenant: TenantRow) -> None:
         """Count the end of a request."""
-        self._limits_of(tenant).concurrency.leave()
+        self._limits_of(tenant).concurrency.release()
 
     def borrow(self, lender: str, limit: str, loan_id: int, units: float, sequence: int) -> bool:
         """Accept a loan from a peer; return whether it can be used."""
@@ -97,8 +97,8 @@
                 ConcurrencyLimit(ShareLedger(tenant.concurrency / slots)),
             )
             self._tenants[tenant.name] = limits
-        limits.rate.book.resize(tenant.rate_per_second / slots)
-        limits.concurrency.book.resize(tenant.concurrency / slots)
+        limits.rate.ledger.resize(tenant.rate_per_second / slots)
+        limits.concurrency.ledger.resize(tenant.concurrency / slots)
         return limits
 
     def _share_ledger(self, limit: str) -> ShareLedger | None:
@@ -107,15 +107,15 @@
         if tenant is None:
             return None
         limits = self._limits_of(tenant)
-        return limits.rate.book if kind == "rate" else limits.concurrency.book
+        return limits.rate.ledger if kind == "rate" else limits.concurrency.ledger
 
     def _announce_shortages(self) -> None:
         now_seconds = self._context.now_seconds()
         for name, limits in self._tenants.items():
             rate, concurrency = limits.rate, limits.concurrency
             missing_slots = concurrency.missing_units(now_seconds)
-            self._announce(f"rate/{name}", rate.book, rate.missing_units(now_seconds))
-            self._announce(f"concurrency/{name}", concurrency.book, missing_slots)
+            self._announce(f"rate/{name}", rate.ledger, rate.missing_units(now_seconds))
+            self._announce(f"concurrency/{name}", concurrency.ledger, missing_slots)
 
     def _announce(self, limit: str, share_ledger: ShareLedger, missing_units: float) -> None:
         if missing_units <= 0:
@@ -137,7 +137,7 @@
                 continue
             loan = self._make_loan(shortage, now_seconds)
             if loan is not None:
-                self._next_loan_seconds[key] = now_seconds + LOAN_LIFE_SECONDS / 3
+                self._next_loan_seconds[key] = now_seconds + LOAN_LIFETIME_SECONDS / 3
                 self._context.spawn(self._send_loan(shortage, loan))
 
     def _make_loan(self, shortage: LimitShortage, now_seconds: float) -> LentShare | None:
--- a/rackswitch/daemon/roles.py
+++ b/rackswitch/daemon/roles.py
@@ -137,17 +137,17 @@
         key = self._prefix + lease.role
         read = await self._context.kv.read(key)
         if isinstance(read, KvUnavailable):
-            lease.unanswered(self._context.now_seconds(), self._context.rng.random())
+            lease.record_no_answer(self._context.now_seconds(), self._context.rng.random())
             return
         if read.entries:
-            lease.lost(self._context.now_seconds(), self._context.rng.random())
+            lease.record_loss(self._context.now_seconds(), self._context.rng.random())
             return
-        if not lease.may_take(self._context.now_seconds(), self._preferred(lease.role)):
+        if not lease.may_acquire(self._context.now_seconds(), self._preferred(lease.role)):
             return
         requested_at_seconds = self._context.now_seconds()
-        granted = await self._context.kv.grant_lease(lease.life_seconds)
+        granted = await self._context.kv.grant_lease(lease.ttl_seconds)
         if isinstance(granted, KvUnavailable):
-            lease.unanswered(self._context.now_seconds(), self._context.rng.random())
+            lease.record_no_answer(self._context.now_seconds(), self._context.rng.random())
             return
         self._settled_lease_ids.add(granted.lease_id)
         await self._create_key(lease, key, granted, requested_at_seconds)
@@ -162,15 +162,15 @@
         )
         done = await self._context.kv.txn([part])
         if isinstance(done, KvUnavailable) and not done.effect_unknown:
-            lease.unanswered(self._context.now_seconds(), self._context.rng.random())
+            lease.record_no_answer(self._context.now_seconds(), self._context.rng.random())
             return
         read = await self._context.kv.read(key)
         if isinstance(read, KvRead) and read.entries and read.entries[0].value == value:
             fencing = read.entries[0].create_revision
-            lease.acquired(requested_at_seconds, granted.lease_id, fencing)
+            lease.record_acquired(requested_at_seconds, granted.lease_id, fencing)
             self._context.log.write(RoleAcquired(role=lease.role, fencing=fencing))
             return
-        lease.lost(self._context.now_seconds(), self._context.rng.random())
+        lease.record_loss(self._context.now_seconds(), self._context.rng.random())
 
     async def _renew(self, lease: RoleLease) -> None:
         if lease.held is None:
@@ -178,7 +178,7 @@
         requested_at_seconds = self._context.now_seconds()
         is_renewed = await self._context.kv.keep_lease(lease.held.lease_id)
         if is_renewed is True:
-            lease.renewed(requested_at_seconds)
+            lease.record_renewal(requested_at_seconds)
         elif is_renewed is False:
             self._record_loss(lease, "the service ended the lease")
         else:
@@ -196,12 +196,12 @@
             self._context.log.write(
                 RoleLost(role=lease.role, fencing=lease.held.fencing, reason=reason)
             )
-        lease.lost(self._context.now_seconds(), self._context.rng.random())
+        lease.record_loss(self._context.now_seconds(), self._context.rng.random())
 
     def _unanswered(self, lease: RoleLease) -> None:
         """Record that a renewal went unanswered; the role is lost after its deadline."""
         held = lease.held
-        lease.unanswered(self._context.now_seconds(), self._context.rng.random())
+        lease.record_no_answer(self._context.now_seconds(), self._context.rng.random())
         if held is not None and lease.held is None:
             self._context.log.write(
                 RoleLost(role=lease.role, fencing=held.fencing, reason="not renewed in time")
--- a/rackswitch/daemon/rollout_keeper.py
+++ b/rackswitch/daemon/rollout_keeper.py
@@ -143,7 +143,7 @@
         )
         rows_by_name = {row.name: row for row in rows}
         for order in orders:
-            partition.state.ordered(order)
+            partition.state.record_order(order)
             row = rows_by_name[order.engine]
             self._context.spawn(self._send_order(role, partition.state, model.name, row, order))
 
@@ -176,14 +176,14 @@
         # Check the lease immediately before the order. Engines may ignore the fencing number;
         # later checks correct a wrong version.
         if not self._roles.may_act(role):
-            state.ended(row.name, False, self._context.now_seconds())
+            state.record_end(row.name, False, self._context.now_seconds())
             return
         fencing = self._roles.fencing(role)
         result = await self._targets.client(row.protocol).load_version(
             row.url, model, order.version, fencing
         )
         loaded = isinstance(result, OrderTaken)
-        state.ended(row.name, loaded, self._context.now_seconds())
+        state.record_end(row.name, loaded, self._context.now_seconds())
         self._context.log.write(
             LoadOrdered(
                 target=row.name,
--- a/rackswitch/daemon/sample_runner.py
+++ b/rackswitch/daemon/sample_runner.py
@@ -127,7 +127,7 @@
         check = StreamCheck(request.request_id)
         first_chunk_seconds = 0.0
         detail = "the stream ended before its last chunk"
-        target.begin(routed.cost_tokens, routed.prefixes)
+        target.record_start(routed.cost_tokens, routed.prefixes)
         stream = self._targets.client(row.protocol).stream(row.url, request)
         try:
             async for item in stream:
@@ -135,7 +135,7 @@
                     detail = item.detail
                     break
                 first_chunk_seconds = first_chunk_seconds or self._context.now_seconds()
-                target.saw_chunk(item, self._context.now_seconds())
+                target.record_chunk(item, self._context.now_seconds())
                 if not version_allowed(choice, item.version):
                     detail = f"version {item.version} is too old for this sample"
                     break
@@ -146,14 +146,14 @@
                 partial.token_ids.extend(item.token_ids)
                 partial.text.append(item.text)
         finally:
-            target.end(routed.cost_tokens)
+            target.record_end(routed.cost_tokens)
             await stream.aclose()  # type: ignore[attr-defined]
         partial.spans.extend(check.spans)
         partial.finished = check.finished
         if check.finished:
-            target.succeeded(check.tokens, self._context.now_seconds() - first_chunk_seconds)
+            target.record_success(check.tokens, self._context.now_seconds() - first_chunk_seconds)
         else:
-            target.failed(self._context.now_seconds())
+            target.record_failure(self._context.now_seconds())
         return detail
 
     async def _complete(self, order: SampleOrder, partial: _PartialSample) -> Sample | SampleFailed:
--- a/rackswitch/daemon/service_calls.py
+++ b/rackswitch/daemon/service_calls.py
@@ -159,13 +159,13 @@
         log = AttemptLog(call.repeatable)
         choice = self._chooser.route_choice(call.route)
         routed = RoutedRequest(0.0, PLAIN_COST_TOKENS, (), self._context.now_seconds())
-        self._budget.note_request()
+        self._budget.record_request()
         while True:
             candidates = self._chooser.candidates(choice, log)
             if not candidates:
                 return log.give_up(self._context.now_seconds())
             row, target = self._chooser.pick(routed, candidates)
-            log.begin()
+            log.check_may_begin()
             request = PlainRequest(
                 request_id=self._chooser.new_attempt_id(),
                 method=call.method,
@@ -176,16 +176,16 @@
                 deadline_seconds=call.deadline_seconds,
                 idempotency_key=call.idempotency_key,
             )
-            target.begin(PLAIN_COST_TOKENS, ())
+            target.record_start(PLAIN_COST_TOKENS, ())
             try:
                 answer = await self._plain.call(row.url, request)
             finally:
-                target.end(PLAIN_COST_TOKENS)
+                target.record_end(PLAIN_COST_TOKENS)
             if isinstance(answer, PlainAnswer):
-                target.succeeded(0, 0.0)
+                target.record_success(0, 0.0)
                 return _plain_outcome(answer)
-            target.failed(self._context.now_seconds())
-            log.note(AttemptEnd(row.name, answer.may_have_run, answer.detail))
+            target.record_failure(self._context.now_seconds())
+            log.record_end(AttemptEnd(row.name, answer.may_have_run, answer.detail))
             is_past_deadline = self._context.now_seconds() >= call.deadline_seconds
             if is_past_deadline or not log.may_begin() or not self._budget.try_spend():
                 return log.give_up(self._context.now_seconds())
--- a/rackswitch/daemon/table_keeper.py
+++ b/rackswitch/daemon/table_keeper.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from rackswitch.clients.kv import Compare, KvRead, KvUnavailable, Operation, TxnPart, WatchNews
+from rackswitch.clients.kv import Compare, KvRead, KvUnavailable, Operation, TxnPart, WatchUpdate
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.membership import MemberUpdate
 from rackswitch.peers import peers_pb2 as pb
@@ -121,7 +121,7 @@
 
     async def _watch(self) -> None:
         async for update in self._context.kv.watch(TABLE_KEY, 1):
-            if not isinstance(update, WatchNews):
+            if not isinstance(update, WatchUpdate):
                 await asyncio.sleep(WATCH_RETRY_DELAY_SECONDS)
                 return
             for entry in update.entries:
--- a/rackswitch/daemon/target_keeper.py
+++ b/rackswitch/daemon/target_keeper.py
@@ -108,11 +108,11 @@
         info = await self.client(row.protocol).info(row.url)
         now_seconds = self._context.now_seconds()
         if isinstance(info, EngineInfo):
-            target.take_report(
+            target.record_report(
                 LoadReport(info.queued_tokens, info.version, info.loading, now_seconds)
             )
         else:
-            target.failed(now_seconds)
+            target.record_failure(now_seconds)
 
 
 def version_allowed(choice: RouteChoice, version: int | None) -> bool:
--- a/rackswitch/daemon/tests/support.py
+++ b/rackswitch/daemon/tests/support.py
@@ -18,10 +18,10 @@
 
 
 class NullTelemetry:
-    def request_ended(self, *labels: object) -> None:
+    def record_request(self, *labels: object) -> None:
         pass
 
-    def tokens_passed(self, *labels: object) -> None:
+    def count_tokens(self, *labels: object) -> None:
         pass
 
 
--- a/rackswitch/daemon/tests/test_ledgers.py
+++ b/rackswitch/daemon/tests/test_ledgers.py
@@ -168,7 +168,7 @@
         context.view.offer(TABLE)
         context.view.confirm(1, float("inf"))
         entries = [VmEntry(f"d{n}", "h", 1, "z", False) for n in range(DAEMONS)]
-        context.membership.learn_vms(entries, 0.0)
+        context.membership.update_from_vm_list(entries, 0.0)
         roles = RoleManager(context, lambda: [ledger_role("t")])
         keeper = LocalLedgerKeeper(context, roles, runner)
         context.spawn(roles.run())
--- a/rackswitch/daemon/tests/test_roles.py
+++ b/rackswitch/daemon/tests/test_roles.py
@@ -35,7 +35,7 @@
     for number in range(DAEMONS):
         context = make_context(f"d{number}", store, rng, faults)
         entries = [VmEntry(f"d{n}", "h", 1, "z", False) for n in range(DAEMONS)]
-        context.membership.learn_vms(entries, 0.0)
+        context.membership.update_from_vm_list(entries, 0.0)
         role_managers.append(RoleManager(context, lambda: [ROLE]))
     accepted_fencings: list[int] = []
     overlaps = 0
--- a/rackswitch/explain/losses.py
+++ b/rackswitch/explain/losses.py
@@ -13,7 +13,7 @@
 from rackswitch.explain.lines import LoggedEvent, ReadLog
 from rackswitch.telemetry import events as ev
 
-__all__ = ["JobLoss", "Reason", "ledger_of"]
+__all__ = ["JobLoss", "Reason", "split_step_times"]
 
 MIN_PACE_PIECES = 20
 """Shorter runs are left out of the estimate of the best pace."""
@@ -89,7 +89,7 @@
     listed_at_seconds: dict[str, float] = field(default_factory=dict)
 
 
-def ledger_of(log: ReadLog) -> list[JobLoss]:
+def split_step_times(log: ReadLog) -> list[JobLoss]:
     """Return the time losses of all jobs in the logs, in the order of submission.
 
     Parameters
--- a/rackswitch/explain/main.py
+++ b/rackswitch/explain/main.py
@@ -9,10 +9,10 @@
 from rackswitch.cli.client import AdminClient
 from rackswitch.explain.lines import read_events
 from rackswitch.explain.loss_page import format_losses
-from rackswitch.explain.losses import ledger_of
-from rackswitch.explain.page import format_story
-from rackswitch.explain.story import tell_story
-from rackswitch.explain.verdicts import judge_story
+from rackswitch.explain.losses import split_step_times
+from rackswitch.explain.page import format_timeline
+from rackswitch.explain.story import build_timeline
+from rackswitch.explain.verdicts import find_cause
 
 __all__ = ["main"]
 
@@ -54,7 +54,7 @@
             Log files, each of one or more daemons; standard input if none is given.
         """
         log = read_events(_read_lines(files))
-        story = tell_story(log, identity)
+        story = build_timeline(log, identity)
         if story is None:
             print(
                 f"{identity}: named by none of {len(log.events)} lines, so no daemon whose log"
@@ -62,7 +62,7 @@
                 file=sys.stderr,
             )
             sys.exit(EXIT_UNKNOWN_IDENTITY)
-        print(format_story(story, judge_story(story)))
+        print(format_timeline(story, find_cause(story)))
 
     def losses(self, *files: str) -> None:
         """Show what the time of each training step was spent on, for all jobs in the logs.
@@ -72,7 +72,7 @@
         files : str
             Log files, each of one or more daemons; standard input if none is given.
         """
-        print(format_losses(ledger_of(read_events(_read_lines(files)))))
+        print(format_losses(split_step_times(read_events(_read_lines(files)))))
 
     def status(self, *urls: str) -> None:
         """Show the status of each daemon.
--- a/rackswitch/explain/page.py
+++ b/rackswitch/explain/page.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from rackswitch.explain.story import Story, StoryLine
+from rackswitch.explain.story import Timeline, TimelineLine
 from rackswitch.explain.verdicts import Verdict
 
-__all__ = ["format_story"]
+__all__ = ["format_timeline"]
 
 DECISIVE_MARK = ">"
 MAX_SHOWN_LINES = 120
@@ -17,7 +17,7 @@
 EVENT_WIDTH = 22
 
 
-def format_story(story: Story, verdict: Verdict | None) -> str:
+def format_timeline(story: Timeline, verdict: Verdict | None) -> str:
     """Return a story's lines with times relative to the first, the decisive one marked."""
     first_seconds = story.lines[0].at_seconds
     selected_lines = _select_lines(story, verdict)
@@ -36,7 +36,7 @@
     return "\n".join(output_lines)
 
 
-def _select_lines(story: Story, verdict: Verdict | None) -> list[StoryLine]:
+def _select_lines(story: Timeline, verdict: Verdict | None) -> list[TimelineLine]:
     if len(story.lines) <= MAX_SHOWN_LINES:
         return story.lines
     kept_ids = {id(line) for line in story.own_lines[:MAX_SHOWN_LINES]}
@@ -45,7 +45,7 @@
     return [line for line in story.lines if id(line) in kept_ids]
 
 
-def _format_fields(line: StoryLine) -> str:
+def _format_fields(line: TimelineLine) -> str:
     values: dict[str, Any] = msgspec.to_builtins(line.event)
     return " ".join(
         f"{name}={value}" for name, value in values.items() if name != "event" and value != ""
--- a/rackswitch/explain/story.py
+++ b/rackswitch/explain/story.py
@@ -7,7 +7,7 @@
 from rackswitch.telemetry import events as ev
 from rackswitch.tenants import chosen_identity
 
-__all__ = ["Story", "StoryLine", "Subject", "tell_story"]
+__all__ = ["Timeline", "TimelineLine", "Subject", "build_timeline"]
 
 CONTEXT_SECONDS = 5.0
 """Time before the subject's first line from which context is included; it is long enough for a
@@ -28,7 +28,7 @@
     ev.Started,
     ev.Stopping,
     ev.Stopped,
-    ev.HandOverGivenUp,
+    ev.HandOverTimedOut,
     ev.DependencyLost,
     ev.DependencyRegained,
     ev.SessionBegun,
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoryLine:
+class TimelineLine:
     """A line with its time on the common clock; `is_own` if it is about the subject itself."""
 
     at_seconds: float
@@ -69,19 +69,19 @@
 
 
 @dataclass(slots=True)
-class Story:
+class Timeline:
     """The lines about a subject and their context, in order of time."""
 
     subject: Subject
-    lines: list[StoryLine] = field(default_factory=list)
+    lines: list[TimelineLine] = field(default_factory=list)
 
     @property
-    def own_lines(self) -> list[StoryLine]:
+    def own_lines(self) -> list[TimelineLine]:
         """The lines about the subject itself."""
         return [line for line in self.lines if line.is_own]
 
 
-def tell_story(log: ReadLog, identity: str) -> Story | None:
+def build_timeline(log: ReadLog, identity: str) -> Timeline | None:
     """Return the lines about a request, item, job or usage window; None if no line names it.
 
     Parameters
@@ -101,7 +101,7 @@
     story_lines = [_to_story_line(line, clocks, True) for line in own_lines]
     story_lines += _context_lines(log, clocks, story_lines)
     story_lines.sort(key=lambda line: line.at_seconds)
-    return Story(subject, story_lines)
+    return Timeline(subject, story_lines)
 
 
 def _find_subject(log: ReadLog, identity: str) -> Subject | None:
@@ -111,7 +111,7 @@
         if isinstance(event, ev.RewardCallEnded) and event.request == identity:
             # A reward call belongs to the story of its item.
             return Subject("item", event.item)
-        if isinstance(event, ev.UsageFixed | ev.UsageSent) and str(event.window) == identity:
+        if isinstance(event, ev.UsageFinalized | ev.UsageSent) and str(event.window) == identity:
             return Subject("window", identity)
         for kind in ("job", "item", "request"):
             identity_in_event = getattr(event, kind, None)
@@ -158,17 +158,19 @@
     ]
 
 
-def _to_story_line(line: LoggedEvent, clocks: Clocks, is_own: bool) -> StoryLine:
-    return StoryLine(clocks.at_seconds(line), line.daemon, line.event, is_own)
+def _to_story_line(line: LoggedEvent, clocks: Clocks, is_own: bool) -> TimelineLine:
+    return TimelineLine(clocks.at_seconds(line), line.daemon, line.event, is_own)
 
 
-def _context_lines(log: ReadLog, clocks: Clocks, own_lines: list[StoryLine]) -> list[StoryLine]:
+def _context_lines(
+    log: ReadLog, clocks: Clocks, own_lines: list[TimelineLine]
+) -> list[TimelineLine]:
     """Return events of the involved daemons and targets around the time of the own lines."""
     first_seconds = min(line.at_seconds for line in own_lines) - CONTEXT_SECONDS
     last_seconds = max(line.at_seconds for line in own_lines)
     daemons = {line.daemon for line in own_lines}
     targets = {target for line in own_lines if (target := getattr(line.event, "target", ""))}
-    story_lines: list[StoryLine] = []
+    story_lines: list[TimelineLine] = []
     included_target_events: set[ev.Event] = set()
     for line in log.events:
         event = line.event
--- a/rackswitch/explain/tests/test_losses.py
+++ b/rackswitch/explain/tests/test_losses.py
@@ -2,7 +2,7 @@
 import pytest
 from hypothesis import given
 
-from rackswitch.explain import Reason, ledger_of, read_events
+from rackswitch.explain import Reason, read_events, split_step_times
 from rackswitch.explain.loss_page import format_losses
 from rackswitch.explain.tests.support import LoggingDaemon
 from rackswitch.telemetry import events as ev
@@ -56,7 +56,7 @@
 
 
 def rows_of(*daemons: LoggingDaemon):
-    return ledger_of(read_events(line for daemon in daemons for line in daemon.lines))
+    return split_step_times(read_events(line for daemon in daemons for line in daemon.lines))
 
 
 def parts_of(*daemons: LoggingDaemon) -> dict[Reason, float]:
--- a/rackswitch/explain/tests/test_story.py
+++ b/rackswitch/explain/tests/test_story.py
@@ -1,7 +1,7 @@
 import pytest
 
-from rackswitch.explain import judge_story, read_events, tell_story
-from rackswitch.explain.page import format_story
+from rackswitch.explain import build_timeline, find_cause, read_events
+from rackswitch.explain.page import format_timeline
 from rackswitch.explain.tests.support import LoggingDaemon
 from rackswitch.telemetry import events as ev
 
@@ -71,7 +71,7 @@
 
 def story_of(identity: str, *daemons: LoggingDaemon):
     log = read_events(line for daemon in daemons for line in daemon.lines)
-    return tell_story(log, identity)
+    return build_timeline(log, identity)
 
 
 def test_identity_in_no_line_has_no_story():
@@ -84,8 +84,8 @@
     daemon = LoggingDaemon("a")
     daemon.log(1.0, make_request_ended("r1", "200"))
     story = story_of("r1", daemon)
-    assert judge_story(story) is None
-    assert "nothing went wrong" in format_story(story, None)
+    assert find_cause(story) is None
+    assert "nothing went wrong" in format_timeline(story, None)
 
 
 def test_unanswered_attempt_is_the_cause():
@@ -93,7 +93,7 @@
     daemon.log(1.0, make_attempt_failed("r1", "i-7"))
     daemon.log(1.1, make_request_ended("r1", "may have run: no answer"))
     daemon.log(1.2, make_attempt_failed("r9", "i-8"))
-    verdict = judge_story(story_of("r1", daemon))
+    verdict = find_cause(story_of("r1", daemon))
     assert isinstance(verdict.line.event, ev.AttemptFailed)
     assert "i-7" in verdict.cause
     assert "i-8" not in verdict.cause
@@ -103,14 +103,14 @@
     daemon = LoggingDaemon("a")
     daemon.log(1.0, ev.DependencyLost(dependency="key-value", detail="TimeoutError"))
     daemon.log(3.5, make_request_ended("r1", "not run: no target", attempts=0, known=0))
-    verdict = judge_story(story_of("r1", daemon))
+    verdict = find_cause(story_of("r1", daemon))
     assert "0 of the route's targets" in verdict.cause
     assert "2.5 s" in verdict.cause
     daemon = LoggingDaemon("a")
     daemon.log(1.0, ev.DependencyLost(dependency="key-value", detail="TimeoutError"))
     daemon.log(2.0, ev.DependencyRegained(dependency="key-value", away_seconds=1.0))
     daemon.log(3.5, make_request_ended("r1", "not run: no target", attempts=0, known=0))
-    assert "without the" not in judge_story(story_of("r1", daemon)).cause
+    assert "without the" not in find_cause(story_of("r1", daemon)).cause
 
 
 def test_cause_of_a_refusal_includes_status_and_table_revision():
@@ -119,7 +119,7 @@
         request="r1", path="/x", status=404, detail="no route for h/x", table_revision=6
     )
     daemon.log(1.0, refusal)
-    verdict = judge_story(story_of("r1", daemon))
+    verdict = find_cause(story_of("r1", daemon))
     assert "404" in verdict.cause and "revision 6" in verdict.cause
 
 
@@ -132,9 +132,9 @@
     daemon.log(5.0, make_run_ended("i2", 1, "broken", 9.0, "e4"))
     story = story_of("i1", daemon)
     assert any(isinstance(line.event, ev.JobOwned) for line in story.lines)
-    verdict = judge_story(story)
+    verdict = find_cause(story)
     assert "run 2 at e2" in verdict.cause
-    assert "> " in format_story(story, verdict)
+    assert "> " in format_timeline(story, verdict)
 
 
 def test_identity_of_a_reward_call_selects_its_item():
@@ -146,7 +146,7 @@
     daemon.log(1.5, reward)
     story = story_of("s1", daemon)
     assert story.subject.identity == "i1"
-    assert "4 failures" in judge_story(story).cause
+    assert "4 failures" in find_cause(story).cause
 
 
 def test_cause_of_a_job_without_an_owner_includes_its_duration_and_new_owner():
@@ -156,7 +156,7 @@
         2.0, ev.JobDropped(job="j1", reason="taken over", listed=1, items=4, owner_revision=1)
     )
     second.log(5.5, make_job_owned("j1", 1))
-    verdict = judge_story(story_of("j1", first, second))
+    verdict = find_cause(story_of("j1", first, second))
     assert "3.5 s" in verdict.cause
     assert "until b" in verdict.cause
 
@@ -166,7 +166,7 @@
     first.log(1.0, make_job_owned("j1"))
     first.log(2.0, make_run_ended("i1", 1, "broken", 0.2))
     second.log(6.0, make_job_owned("j1"))
-    verdict = judge_story(story_of("j1", first, second))
+    verdict = find_cause(story_of("j1", first, second))
     assert "4.0 s" in verdict.cause and "owner a" in verdict.cause
 
 
@@ -230,8 +230,8 @@
     assert [line.process_index for line in log.events] == [0, 1]
 
 
-def make_usage_fixed(daemons_silent: int = 0) -> ev.UsageFixed:
-    return ev.UsageFixed(
+def make_usage_fixed(daemons_silent: int = 0) -> ev.UsageFinalized:
+    return ev.UsageFinalized(
         window=355610033,
         requests=35,
         tenants=20,
@@ -269,7 +269,7 @@
     daemon = LoggingDaemon("d1")
     for number, event in enumerate(events):
         daemon.log(1.0 + number, event)
-    verdict = judge_story(tell_story(read_events(daemon.lines), "355610033"))
+    verdict = find_cause(build_timeline(read_events(daemon.lines), "355610033"))
     assert (verdict is None) if cause is None else (cause in verdict.cause)
 
 
@@ -279,8 +279,8 @@
     daemon.log(1.0, make_request_ended("r1", "200"))
     daemon.log(2.0, make_job_owned("acme\nj1"))
     log = read_events(daemon.lines)
-    assert tell_story(log, identity) is None
-    assert tell_story(log, "j1").subject.identity == "acme\nj1"
+    assert build_timeline(log, identity) is None
+    assert build_timeline(log, "j1").subject.identity == "acme\nj1"
 
 
 def test_cause_of_a_call_refused_by_admission_includes_its_inputs():
@@ -304,7 +304,7 @@
     )
     daemon.log(1.0, decided)
     daemon.log(1.001, make_request_ended("r1", "not run: wait too long", attempts=0))
-    verdict = judge_story(story_of("r1", daemon))
+    verdict = find_cause(story_of("r1", daemon))
     assert "a refused: wait too long" in verdict.cause
     assert "0.310 s" in verdict.cause
     assert "a word 0.02 s old" in verdict.cause
--- a/rackswitch/explain/verdicts.py
+++ b/rackswitch/explain/verdicts.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from rackswitch.explain.story import Story, StoryLine
+from rackswitch.explain.story import Timeline, TimelineLine
 from rackswitch.registry import Registry
 from rackswitch.telemetry import events as ev
 
-__all__ = ["JUDGES", "Verdict", "judge_story"]
+__all__ = ["JUDGES", "Verdict", "find_cause"]
 
 MIN_OWNERLESS_SECONDS = 1.0
 """Time without an owner from which it is reported as the cause of a job's delay."""
@@ -27,17 +27,17 @@
         Priority; of several verdicts the one with the highest weight is reported.
     """
 
-    line: StoryLine
+    line: TimelineLine
     cause: str
     weight: int
 
 
 EventT = TypeVar("EventT", bound=ev.Event)
-Judge = Callable[[Story], Verdict | None]
+Judge = Callable[[Timeline], Verdict | None]
 JUDGES: Registry[Judge] = Registry("judge")
 
 
-def judge_story(story: Story) -> Verdict | None:
+def find_cause(story: Timeline) -> Verdict | None:
     """Return the cause of a story's outcome; None if nothing went wrong."""
     verdicts = [JUDGES.get(name)(story) for name in JUDGES.names()]
     found_verdicts = [verdict for verdict in verdicts if verdict is not None]
@@ -48,11 +48,11 @@
 class _TypedLine(Generic[EventT]):
     """A line of a story and its event, with the event's class as its static type."""
 
-    line: StoryLine
+    line: TimelineLine
     event: EventT
 
 
-def _last_event(story: Story, event_class: type[EventT]) -> _TypedLine[EventT] | None:
+def _last_event(story: Timeline, event_class: type[EventT]) -> _TypedLine[EventT] | None:
     """Return the last own line of a story whose event is of a class."""
     for line in reversed(story.own_lines):
         if isinstance(line.event, event_class):
@@ -60,9 +60,9 @@
     return None
 
 
-def _outage_clause(story: Story, line: StoryLine) -> str:
+def _outage_clause(story: Timeline, line: TimelineLine) -> str:
     """Return a clause on the dependency that was unreachable at a line's time, if any."""
-    lost_line: StoryLine | None = None
+    lost_line: TimelineLine | None = None
     for earlier_line in story.lines:
         if earlier_line.at_seconds > line.at_seconds:
             break
@@ -82,7 +82,7 @@
 
 
 @JUDGES.register("request refused by the daemon")
-def _request_refused(story: Story) -> Verdict | None:
+def _request_refused(story: Timeline) -> Verdict | None:
     match = _last_event(story, ev.RequestRefused)
     if match is None:
         return None
@@ -95,7 +95,7 @@
 
 
 @JUDGES.register("request not served")
-def _request_not_served(story: Story) -> Verdict | None:
+def _request_not_served(story: Timeline) -> Verdict | None:
     ended = _last_event(story, ev.RequestEnded)
     if ended is None:
         return None
@@ -122,7 +122,7 @@
 
 
 @JUDGES.register("call refused by admission control")
-def _call_refused(story: Story) -> Verdict | None:
+def _call_refused(story: Timeline) -> Verdict | None:
     match = _last_event(story, ev.CallDecided)
     if match is None or not match.event.outcome.startswith("refused"):
         return None
@@ -141,7 +141,7 @@
 
 
 @JUDGES.register("request slow")
-def _request_slow(story: Story) -> Verdict | None:
+def _request_slow(story: Timeline) -> Verdict | None:
     failed = _last_event(story, ev.AttemptFailed)
     ended = _last_event(story, ev.RequestEnded)
     if failed is None or ended is None:
@@ -154,7 +154,7 @@
 
 
 @JUDGES.register("job not accepted")
-def _job_not_accepted(story: Story) -> Verdict | None:
+def _job_not_accepted(story: Timeline) -> Verdict | None:
     match = _last_event(story, ev.JobSubmitted)
     if match is None or match.event.outcome == 202:
         return None
@@ -163,7 +163,7 @@
 
 
 @JUDGES.register("item given up")
-def _item_given_up(story: Story) -> Verdict | None:
+def _item_given_up(story: Timeline) -> Verdict | None:
     if story.subject.kind != "item":
         return None
     match = _last_event(story, ev.ItemGivenUp)
@@ -182,7 +182,7 @@
 
 
 @JUDGES.register("item impossible")
-def _item_impossible(story: Story) -> Verdict | None:
+def _item_impossible(story: Timeline) -> Verdict | None:
     match = _last_event(story, ev.ItemRunEnded)
     if match is None:
         return None
@@ -192,7 +192,7 @@
 
 
 @JUDGES.register("item run failed")
-def _item_run_failed(story: Story) -> Verdict | None:
+def _item_run_failed(story: Timeline) -> Verdict | None:
     """Report the run that took an item the most time without completing it."""
     if story.subject.kind != "item":
         return None
@@ -214,7 +214,7 @@
 
 
 @JUDGES.register("item run slow")
-def _item_slow(story: Story) -> Verdict | None:
+def _item_slow(story: Timeline) -> Verdict | None:
     match = _last_event(story, ev.ItemRunEnded)
     if match is None:
         return None
@@ -226,10 +226,10 @@
 
 
 @JUDGES.register("job without an owner")
-def _job_without_owner(story: Story) -> Verdict | None:
+def _job_without_owner(story: Timeline) -> Verdict | None:
     """Report the longest time in which no daemon owned a job."""
-    dropped_line: StoryLine | None = None
-    longest: tuple[float, StoryLine, StoryLine] | None = None
+    dropped_line: TimelineLine | None = None
+    longest: tuple[float, TimelineLine, TimelineLine] | None = None
     for line in story.own_lines:
         if isinstance(line.event, ev.JobDropped) and line.event.reason != "ended":
             dropped_line = line
@@ -251,7 +251,7 @@
     return Verdict(owned_line, cause, 50)
 
 
-def _last_line_of_former_owner(story: Story, owned_line: StoryLine) -> StoryLine | None:
+def _last_line_of_former_owner(story: Timeline, owned_line: TimelineLine) -> TimelineLine | None:
     """Return the last line of a former owner; None if there is no former owner."""
     other_daemons_lines = [
         line
@@ -266,7 +266,7 @@
 
 
 @JUDGES.register("call about a job refused")
-def _job_call_refused(story: Story) -> Verdict | None:
+def _job_call_refused(story: Timeline) -> Verdict | None:
     match = _last_event(story, ev.JobCallRefused)
     if match is None:
         return None
@@ -277,10 +277,10 @@
 
 
 @JUDGES.register("usage not reported in time")
-def _usage_late(story: Story) -> Verdict | None:
+def _usage_late(story: Timeline) -> Verdict | None:
     sent = _last_event(story, ev.UsageSent)
     if sent is None:
-        fixed = _last_event(story, ev.UsageFixed)
+        fixed = _last_event(story, ev.UsageFinalized)
         if fixed is None:
             return None
         cause = f"{fixed.line.daemon} gathered it and never sent it"
@@ -293,8 +293,8 @@
 
 
 @JUDGES.register("usage incomplete")
-def _usage_incomplete(story: Story) -> Verdict | None:
-    fixed = _last_event(story, ev.UsageFixed)
+def _usage_incomplete(story: Timeline) -> Verdict | None:
+    fixed = _last_event(story, ev.UsageFinalized)
     if fixed is None:
         return None
     event = fixed.event
--- a/rackswitch/gateway/callers/call_admission.py
+++ b/rackswitch/gateway/callers/call_admission.py
@@ -17,18 +17,18 @@
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.outcomes import NotRun, NotRunReason
 from rackswitch.routing import TargetEstimate
-from rackswitch.telemetry.events import CallDecided, RoomSeen
+from rackswitch.telemetry.events import AdmissionState, CallDecided
 
 __all__ = ["CallAdmission", "NoTarget", "TargetEstimateLookup"]
 
 LOG_INTERVAL_SECONDS = 1.0
-"""Interval between `RoomSeen` events of one service."""
+"""Interval between `AdmissionState` events of one service."""
 
 MAX_ANSWER_REPORT_AGE_SECONDS = 0.02
 """Maximum age of a load report that is taken to come with the answer just received."""
 
 MAX_LOGGED_SHARES = 20
-"""Maximum number of tenants in one `RoomSeen` event, those with the largest shares."""
+"""Maximum number of tenants in one `AdmissionState` event, those with the largest shares."""
 
 TargetEstimateLookup = Callable[[str], Sequence[TargetEstimate]]
 """From a service's name to the load estimates of its targets; empty if nothing is known."""
@@ -73,7 +73,7 @@
     check_timer : TimerHandle or None
         The next queue check if no call ends before.
     log_timer : TimerHandle or None
-        The next `RoomSeen` event; None if none is due.
+        The next `AdmissionState` event; None if none is due.
     """
 
     name: str
@@ -114,7 +114,7 @@
         service = self._service(service_name)
         now_seconds = self._context.now_seconds()
         draw = self._context.rng.random()
-        decision = service.admission.ask(
+        decision = service.admission.decide(
             request, self._estimates_of(service_name), draw, now_seconds
         )
         return await self._apply(service, request, decision)
@@ -124,16 +124,16 @@
     ) -> NotRun | NoTarget | None:
         """Queue a call again that a target refused to begin."""
         service = self._service(service_name)
-        decision = service.admission.ask_again(request, self._context.now_seconds())
+        decision = service.admission.decide_again(request, self._context.now_seconds())
         return await self._apply(service, request, decision)
 
     def admit_retry(self, service_name: str, request: AdmissionRequest) -> bool:
         """Admit a retry of a failed call if the service's retry budget allows it."""
         admission = self._service(service_name).admission
         now_seconds = self._context.now_seconds()
-        if not admission.may_repeat(now_seconds):
+        if not admission.try_spend_retry(now_seconds):
             return False
-        admission.repeat(request, now_seconds)
+        admission.record_retry(request, now_seconds)
         return True
 
     def record_answer(
@@ -150,32 +150,32 @@
             ),
             None,
         )
-        service.admission.ended(request, took_seconds)
-        if estimate is not None and estimate.word_age_seconds <= MAX_ANSWER_REPORT_AGE_SECONDS:
-            service.admission.limit.answered(
+        service.admission.record_end(request, took_seconds)
+        if estimate is not None and estimate.report_age_seconds <= MAX_ANSWER_REPORT_AGE_SECONDS:
+            service.admission.limit.record_answer(
                 estimate.running, estimate.waiting, estimate.slots, now_seconds
             )
         else:
-            service.admission.limit.answered_untold(now_seconds)
+            service.admission.limit.record_answer_without_report(now_seconds)
         self._check_queue(service)
 
     def record_refusal(self, service_name: str, request: AdmissionRequest) -> None:
         """Record that a target refused a call because it was full."""
         service = self._service(service_name)
-        service.admission.ended(request, None)
-        service.admission.target_refused(self._context.now_seconds())
+        service.admission.record_end(request, None)
+        service.admission.record_refusal(self._context.now_seconds())
         self._check_queue(service)
 
     def record_end(self, service_name: str, request: AdmissionRequest) -> None:
         """Record that an admitted call ended without an answer or was not sent."""
         service = self._service(service_name)
-        service.admission.ended(request, None)
+        service.admission.record_end(request, None)
         self._check_queue(service)
 
     def record_no_target(self, service_name: str) -> None:
         """Release all calls queued for a service that has no target left."""
         service = self._service(service_name)
-        for ticket in service.admission.no_target():
+        for ticket in service.admission.remove_all_waiting():
             self._resolve(service, ticket, NoTarget())
         self._check_queue(service)
 
@@ -219,9 +219,9 @@
             queued_call.final_decision.done() and not queued_call.final_decision.cancelled()
         )
         if not was_decided:
-            service.admission.left(ticket)
+            service.admission.remove_waiting(ticket)
         elif isinstance(queued_call.final_decision.result(), SendCall):
-            service.admission.ended(queued_call.request, None)
+            service.admission.record_end(queued_call.request, None)
         self._check_queue(service)
 
     def _finish(
@@ -256,14 +256,14 @@
         """Send and refuse queued calls that are due, and schedule the next check."""
         now_seconds = self._context.now_seconds()
         if service.queued_calls:
-            for ticket, final_decision in service.admission.due(
+            for ticket, final_decision in service.admission.pop_due(
                 self._estimates_of(service.name), now_seconds
             ):
                 self._resolve(service, ticket, final_decision)
         if service.check_timer is not None:
             service.check_timer.cancel()
             service.check_timer = None
-        check_at_seconds = service.admission.next_look_seconds(now_seconds)
+        check_at_seconds = service.admission.next_check_at_seconds(now_seconds)
         if check_at_seconds < float("inf"):
             loop = asyncio.get_running_loop()
             service.check_timer = loop.call_at(
@@ -276,7 +276,7 @@
             queued_call.final_decision.set_result(final_decision)
         elif isinstance(final_decision, SendCall):
             # The caller disconnected in the same iteration of the event loop.
-            service.admission.ended(queued_call.request, None)
+            service.admission.record_end(queued_call.request, None)
 
     def _log_decision(
         self,
@@ -288,7 +288,7 @@
         retry_after_seconds: float = 0.0,
     ) -> None:
         estimates = self._estimates_of(service.name)
-        report_ages_seconds = [estimate.word_age_seconds for estimate in estimates]
+        report_ages_seconds = [estimate.report_age_seconds for estimate in estimates]
         report_age_seconds = min(report_ages_seconds, default=float("inf"))
         self._context.log.write(
             CallDecided(
@@ -301,7 +301,7 @@
                 expected_wait_seconds=round(expected_wait_seconds, 4),
                 waited_seconds=round(waited_seconds, 4),
                 left_seconds=round(request.deadline_seconds - self._context.now_seconds(), 4),
-                waiting=len(service.admission.room),
+                waiting=len(service.admission.queue),
                 in_flight=service.admission.limit.in_flight,
                 limit=round(service.admission.limit.limit, 3),
                 free_slots=round(sum(estimate.free_slots for estimate in estimates), 2),
@@ -310,12 +310,12 @@
                 else -1.0,
                 come_back_seconds=round(retry_after_seconds, 4),
                 refusals_since_answer=service.admission.limit.refusals_since_answer,
-                crowding=round(service.admission.limit.crowding(self._context.now_seconds()), 3),
+                crowding=round(service.admission.limit.saturation(self._context.now_seconds()), 3),
             )
         )
 
     def _schedule_service_log(self, service: _Service) -> None:
-        """Schedule a `RoomSeen` event, which is repeated while calls are queued."""
+        """Schedule a `AdmissionState` event, which is repeated while calls are queued."""
         if service.log_timer is None:
             loop = asyncio.get_running_loop()
             service.log_timer = loop.call_later(LOG_INTERVAL_SECONDS, self._log_service, service)
@@ -326,9 +326,9 @@
         shares = service.admission.served_shares(now_seconds)
         largest_tenants = sorted(shares, key=shares.__getitem__, reverse=True)[:MAX_LOGGED_SHARES]
         self._context.log.write(
-            RoomSeen(
+            AdmissionState(
                 service=service.name,
-                waiting=len(service.admission.room),
+                waiting=len(service.admission.queue),
                 in_flight=service.admission.limit.in_flight,
                 limit=round(service.admission.limit.limit, 3),
                 oldest_wait_seconds=round(service.admission.oldest_wait_seconds(now_seconds), 4),
--- a/rackswitch/gateway/callers/call_handler.py
+++ b/rackswitch/gateway/callers/call_handler.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from rackswitch.gateway.callers.disconnects import done_before_disconnect
-from rackswitch.gateway.callers.refusals import TEXT, Refusal, refuse
+from rackswitch.gateway.callers.refusals import TEXT_HEADERS, Refusal, refuse
 from rackswitch.gateway.callers.request_dispatcher import (
     DispatchAnswer,
     RequestDispatcher,
@@ -16,7 +16,7 @@
 from rackswitch.requests import Call, TargetAnswer, TargetStream
 from rackswitch.routing import ListedTarget, WorkKind
 from rackswitch.table import RouteRow
-from rackswitch.telemetry.events import PlaceSeen, RequestEnded
+from rackswitch.telemetry.events import EstimateLogged, RequestEnded
 from rackswitch.web.exchange import Exchange
 
 __all__ = ["CallHandler"]
@@ -111,17 +111,19 @@
             )
         )
 
-    def _placement_event(self, answer: DispatchAnswer | None) -> PlaceSeen | None:
+    def _placement_event(self, answer: DispatchAnswer | None) -> EstimateLogged | None:
         if answer is None or answer.target is None:
             return None
-        return placement_event(self._context, answer.place, answer.target.service, WorkKind.CALL)
+        return placement_event(self._context, answer.estimate, answer.target.service, WorkKind.CALL)
 
     async def _respond_failed(
         self, exchange: Exchange, outcome: MayHaveRun, deadline_seconds: float
     ) -> None:
         """Respond that the request failed and may have run."""
         deadline_passed = self._context.now_seconds() >= deadline_seconds
-        await exchange.respond(504 if deadline_passed else 502, TEXT, outcome.detail.encode())
+        await exchange.respond(
+            504 if deadline_passed else 502, TEXT_HEADERS, outcome.detail.encode()
+        )
 
 
 def _stream_target(answer: DispatchAnswer) -> ListedTarget:
--- a/rackswitch/gateway/callers/caller_handler.py
+++ b/rackswitch/gateway/callers/caller_handler.py
@@ -13,15 +13,15 @@
 from rackswitch.platform.desired_state import LIMITS_NAME
 from rackswitch.platform.ingress import (
     MalformedRequest,
+    caller_request_id,
     request_deadline_seconds,
-    request_identity,
 )
 from rackswitch.platform.job_calls import JobCall, decode_job_call
 from rackswitch.platform.names import AUTHORIZATION_HEADER
 from rackswitch.requests import Call
 from rackswitch.table import Handling, LimitsRow, RouteRow
 from rackswitch.tenants import Caller, KeyFault
-from rackswitch.web.exchange import BodyTooLarge, BodyTooSlow, CallerGone, Exchange
+from rackswitch.web.exchange import BodyTooLarge, BodyTooSlow, CallerDisconnected, Exchange
 
 __all__ = ["CallerHandler"]
 
@@ -147,7 +147,7 @@
         caller = self._identify_caller(exchange, route)
         if isinstance(caller, KeyFault):
             return self._key_refusal(caller)
-        request_id = request_identity(exchange)
+        request_id = caller_request_id(exchange)
         if not request_id:
             return Refusal(400, "the request has no identity")
         deadline_seconds = request_deadline_seconds(exchange, arrived_seconds)
@@ -162,8 +162,8 @@
         then a 503, as callers do not retry after a 401.
         """
         contact = self._context.contact
-        if not fault.may_be_new or not contact.is_away:
-            return Refusal(401, fault.detail, response_text=fault.told)
+        if not fault.may_be_new or not contact.is_unreachable:
+            return Refusal(401, fault.detail, response_text=fault.public_detail)
         retry_after_seconds = contact.outage.remaining_seconds(self._context.now_seconds())
         detail = f"{fault.detail}; the table may be outdated"
         return Refusal(503, detail, retry_after_seconds, "the key cannot be checked now")
@@ -172,7 +172,7 @@
         """Return the caller of a request by its key, or the anonymous caller on public routes."""
         tenants = self._context.tenants
         if route.is_public:
-            return tenants.anybody()
+            return tenants.caller_without_key()
         return tenants.identify(exchange.header_values(AUTHORIZATION_HEADER))
 
     async def _serve_call(
@@ -197,7 +197,7 @@
         return row if row is not None else LimitsRow(name=LIMITS_NAME)
 
     async def _refuse_body(
-        self, exchange: Exchange, fault: BodyTooLarge | BodyTooSlow | CallerGone
+        self, exchange: Exchange, fault: BodyTooLarge | BodyTooSlow | CallerDisconnected
     ) -> None:
         if isinstance(fault, BodyTooLarge):
             await refuse_before_routing(
--- a/rackswitch/gateway/callers/refusals.py
+++ b/rackswitch/gateway/callers/refusals.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass
 
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.platform.ingress import request_identity
+from rackswitch.platform.ingress import caller_request_id
 from rackswitch.telemetry.events import RequestRefused
 from rackswitch.web.exchange import Exchange
 
-__all__ = ["TEXT", "Refusal", "refuse", "refuse_before_routing"]
+__all__ = ["TEXT_HEADERS", "Refusal", "refuse", "refuse_before_routing"]
 
-TEXT = (("content-type", "text/plain; charset=utf-8"),)
+TEXT_HEADERS = (("content-type", "text/plain; charset=utf-8"),)
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
 
 async def refuse(exchange: Exchange, refusal: Refusal) -> None:
     """Send a refusal without logging it."""
-    headers: tuple[tuple[str, str], ...] = TEXT
+    headers: tuple[tuple[str, str], ...] = TEXT_HEADERS
     if refusal.status == 401:
         headers = (*headers, ("www-authenticate", "Bearer"))
     if refusal.retry_after_seconds is not None:
@@ -50,7 +50,7 @@
     """Log and send a refusal for which no other event is logged."""
     context.log.write(
         RequestRefused(
-            request=request_identity(exchange),
+            request=caller_request_id(exchange),
             path=exchange.path,
             status=refusal.status,
             detail=refusal.detail,
--- a/rackswitch/gateway/callers/request_dispatcher.py
+++ b/rackswitch/gateway/callers/request_dispatcher.py
@@ -72,7 +72,7 @@
         Answers with status 500.
     target : ListedTarget or None
         The target that answered.
-    place : TargetEstimate or None
+    estimate : TargetEstimate or None
         Load estimate of the answering target when it was chosen; None if the service's targets
         report no pace.
     """
@@ -81,7 +81,7 @@
     attempts: int
     failures: int
     target: ListedTarget | None = None
-    place: TargetEstimate | None = None
+    estimate: TargetEstimate | None = None
 
     @property
     def instance(self) -> str:
@@ -205,7 +205,7 @@
     def new_log(self, route: RouteRow) -> AttemptLog:
         """Return a new attempt log with the limits of a route."""
         repeatable = route.handling is Handling.REPEATABLE or route.resumable
-        return AttemptLog(repeatable, most_attempts=route.most_attempts, max_refusals=MAX_REFUSALS)
+        return AttemptLog(repeatable, max_attempts=route.most_attempts, max_refusals=MAX_REFUSALS)
 
     async def call(
         self,
@@ -307,10 +307,10 @@
             body_bytes=len(call.body),
             arrived_seconds=now_seconds,
             # A step waits for all of its reward calls, so a single one has no latency target.
-            aim_seconds=deadline_seconds if is_reward else latency_target_at_seconds,
+            latency_target_at_seconds=deadline_seconds if is_reward else latency_target_at_seconds,
             deadline_seconds=deadline_seconds,
-            is_back=not is_reward
-            and self._patience.is_back(route.name, deadline_seconds - now_seconds),
+            is_retry=not is_reward
+            and self._patience.record_and_check_retry(route.name, deadline_seconds - now_seconds),
         )
 
     async def _admit(
@@ -342,8 +342,8 @@
     async def _try_target(self, state: _CallState, target: ListedTarget) -> DispatchAnswer | None:
         """Send a call once; return the final answer, or None if it may be sent again."""
         call, log = state.call, state.log
-        log.begin()
-        estimate = self._chooser.target_state(target).place
+        log.check_may_begin()
+        estimate = self._chooser.target_state(target).estimate
         started_at_seconds = self._context.now_seconds()
         sent_at_unix_seconds = time.time()
         try:
@@ -359,17 +359,21 @@
             self._record_begin(call, log, time.time() if streams else sent_at_unix_seconds)
         self._record_admission_end(state, target, result, started_at_seconds)
         if isinstance(result, TargetAnswer):
-            self._quarantine.answered(call.fingerprint)
+            self._quarantine.record_answer(call.fingerprint)
         if isinstance(result, TargetFailed):
             self._record_failure(call, target, log, result, started_at_seconds)
-            if state.admission_request is None and not result.may_have_run and not result.silent:
+            if (
+                state.admission_request is None
+                and not result.may_have_run
+                and not result.is_unresponsive
+            ):
                 await asyncio.sleep(REFUSED_RETRY_DELAY_SECONDS)
             return None
         if isinstance(result, TargetStream) or result.status < 500 or not log.repeatable:
             return state.answer(result, target, unlogged_attempts=1, place=estimate)
         state.failures += result.status == 500
         state.last_failure = (result, target)
-        log.note(AttemptEnd(target.instance, True, f"status {result.status}"))
+        log.record_end(AttemptEnd(target.instance, True, f"status {result.status}"))
         return None
 
     def _record_admission_end(
@@ -389,7 +393,7 @@
             self._service_admission.record_answer(
                 state.service, admission_request, target.instance, took_seconds
             )
-        elif result.may_have_run or result.silent or result.not_there:
+        elif result.may_have_run or result.is_unresponsive or result.is_other_target:
             self._service_admission.record_end(state.service, admission_request)
         else:
             self._service_admission.record_refusal(state.service, admission_request)
@@ -406,11 +410,11 @@
 
     def record_stream_end(self, call: Call) -> None:
         """Record that a stream ended normally."""
-        self._quarantine.answered(call.fingerprint)
+        self._quarantine.record_answer(call.fingerprint)
 
     def record_stream_failure(self, call: Call, target: ListedTarget) -> None:
         """Record that a stream was interrupted after its head."""
-        self._quarantine.broke(call.fingerprint(), target)
+        self._quarantine.record_failure(call.fingerprint(), target)
 
     def usable_target_count(self, route: RouteRow) -> int:
         """Return how many targets of a route's services are usable now."""
@@ -432,11 +436,11 @@
             target = self._chooser.pick(service, set())
         outage = self._outages.setdefault(service, OutageTracker())
         if target is None and not log.ends:
-            outage.missing(now_seconds)
+            outage.record_unavailable(now_seconds)
             if self._context.settings.queues_calls:
                 self._service_admission.record_no_target(service)
         elif target is not None:
-            outage.there(now_seconds)
+            outage.record_available(now_seconds)
         return target
 
     def _record_failure(
@@ -451,9 +455,9 @@
         self._chooser.record_failure(target, failure)
         fingerprint = call.fingerprint() if failure.may_have_run else ""
         if fingerprint:
-            self._quarantine.broke(fingerprint, target)
+            self._quarantine.record_failure(fingerprint, target)
         else:
-            self._quarantine.not_run(call.fingerprint)
+            self._quarantine.record_not_run(call.fingerprint)
         self._context.log.write(
             AttemptFailed(
                 request=call.request_id,
@@ -467,7 +471,7 @@
                 fingerprint=fingerprint,
             )
         )
-        log.note(AttemptEnd(target.instance, failure.may_have_run, failure.detail))
+        log.record_end(AttemptEnd(target.instance, failure.may_have_run, failure.detail))
 
     async def _attempt(
         self,
@@ -484,23 +488,25 @@
         )
         fresh_connection = not log.repeatable
         started_at_seconds = self._context.now_seconds()
-        target_state.begin(CALL_COST_TOKENS, ())
+        target_state.record_start(CALL_COST_TOKENS, ())
         sent_request = self._chooser.record_send(target)
         result: TargetAnswer | TargetStream | TargetFailed | None = None
         try:
             send = self._targets.open_stream if as_stream else self._targets.forward
             result = await send(target, call, until_seconds, fresh_connection)
         finally:
-            target_state.end(CALL_COST_TOKENS)
+            target_state.record_end(CALL_COST_TOKENS)
             self._chooser.record_end(sent_request, result)
         if not isinstance(result, TargetFailed) and result.status < 500:
-            target_state.succeeded(0, 0.0)
+            target_state.record_success(0, 0.0)
             took_seconds = self._context.now_seconds() - started_at_seconds
             typical_seconds = self._record_call_time(target.service, took_seconds)
             if not fresh_connection and took_seconds <= SLOW_CALL_FACTOR * typical_seconds:
-                target_state.at_hand_until_seconds = started_at_seconds + self._targets.kept_seconds
+                target_state.idle_connection_until_seconds = (
+                    started_at_seconds + self._targets.keep_alive_seconds
+                )
             else:
-                target_state.at_hand_until_seconds = 0.0
+                target_state.idle_connection_until_seconds = 0.0
         return result
 
     def _record_call_time(self, service: str, took_seconds: float) -> float:
--- a/rackswitch/gateway/callers/stream_relay.py
+++ b/rackswitch/gateway/callers/stream_relay.py
@@ -4,7 +4,7 @@
 
 from rackswitch.gateway.callers.request_dispatcher import RequestDispatcher
 from rackswitch.platform.events import EventSplitter
-from rackswitch.platform.ingress import resumed_after
+from rackswitch.platform.ingress import with_last_event_id
 from rackswitch.requests import AttemptEnd, AttemptLog, Call, TargetStream
 from rackswitch.routing import ListedTarget
 from rackswitch.table import RouteRow
@@ -89,15 +89,15 @@
                 detail = str(error)
             finally:
                 stream.close()
-            splitter.drop_part()
+            splitter.discard_partial_event()
             self._dispatcher.record_stream_failure(self._call, target)
-            self._log.note(AttemptEnd(target.instance, True, detail))
-            stream, target = await self._resume(splitter.last_number, detail)
+            self._log.record_end(AttemptEnd(target.instance, True, detail))
+            stream, target = await self._resume(splitter.last_event_id, detail)
 
     async def _resume(self, last_number: str, detail: str) -> tuple[TargetStream, ListedTarget]:
         answer = await self._dispatcher.call(
             self._route,
-            resumed_after(self._call, last_number),
+            with_last_event_id(self._call, last_number),
             self._deadline_seconds,
             self._log,
             as_stream=True,
--- a/rackswitch/gateway/callers/target_choice.py
+++ b/rackswitch/gateway/callers/target_choice.py
@@ -63,7 +63,7 @@
         if not listed:
             return None
         targets = [self._context.targets[instance] for instance in listed]
-        if self._context.places_by_load(service):
+        if self._context.chooses_by_load(service):
             return listed[self._choose_by_load(service, listed, targets, now_seconds).name]
         routed = RoutedRequest(0.0, CALL_COST_TOKENS, (), now_seconds)
         chosen = self._policy.choose(routed, usable_targets(targets, now_seconds))
@@ -79,24 +79,24 @@
         """Return a target of a service whose targets are chosen by reported load."""
         usable = usable_targets(targets, now_seconds)
         for target in usable:
-            target.place = self._estimate(listed[target.name], target, now_seconds)
-        run_seconds = self._context.load_estimator.usual_run_seconds(service, WorkKind.CALL)
+            target.estimate = self._estimate(listed[target.name], target, now_seconds)
+        run_seconds = self._context.load_estimator.typical_run_seconds(service, WorkKind.CALL)
         routed = RoutedRequest(0.0, CALL_COST_TOKENS, (), now_seconds, run_seconds)
         return self._by_load.choose(routed, usable)
 
     def _estimate(self, listed: ListedTarget, target: Target, now_seconds: float) -> TargetEstimate:
         """Return the load estimate of a target for one call."""
-        has_open_connection = target.is_at_hand(now_seconds)
+        has_open_connection = target.has_idle_connection(now_seconds)
         arrival_seconds = 2 * target.one_way_seconds
         if not has_open_connection:
             arrival_seconds += 2 * target.one_way_seconds + CONNECT_SECONDS
-        return self._context.load_estimator.place(
+        return self._context.load_estimator.estimate(
             listed, WorkKind.CALL, 1.0, now_seconds, arrival_seconds, has_open_connection
         )
 
-    def places(self, service: str) -> list[TargetEstimate]:
+    def estimates(self, service: str) -> list[TargetEstimate]:
         """Return the estimates of a service's targets; none if they are not chosen by load."""
-        if not self._context.places_by_load(service):
+        if not self._context.chooses_by_load(service):
             return []
         now_seconds = self._context.now_seconds()
         return [
@@ -108,24 +108,28 @@
         """Record that a call is sent to a target now."""
         now_seconds = self._context.now_seconds()
         target_state = self.target_state(target)
-        estimate = target_state.place or self._estimate(target, target_state, now_seconds)
-        return self._context.load_estimator.sent(target, WorkKind.CALL, estimate, now_seconds)
+        estimate = target_state.estimate or self._estimate(target, target_state, now_seconds)
+        return self._context.load_estimator.record_send(
+            target, WorkKind.CALL, estimate, now_seconds
+        )
 
     def record_end(
         self, sent_request: SentRequest, result: TargetAnswer | TargetStream | TargetFailed | None
     ) -> None:
         """Record the end of a call; `result` is None if the caller disconnected."""
         load_estimator = self._context.load_estimator
-        load_estimator.done(sent_request, goes_on=isinstance(result, TargetStream))
+        load_estimator.record_end(
+            sent_request, continues_unobserved=isinstance(result, TargetStream)
+        )
         now_seconds = self._context.now_seconds()
         if result is None:
-            load_estimator.given_up(sent_request, now_seconds)
+            load_estimator.record_abandoned(sent_request, now_seconds)
         if not isinstance(result, TargetAnswer):
             return
         if result.status < 400:
-            load_estimator.worked(sent_request, 1.0, now_seconds)
+            load_estimator.record_completion(sent_request, 1.0, now_seconds)
         elif result.status >= 500:
-            load_estimator.failed(sent_request.start, now_seconds)
+            load_estimator.record_failure(sent_request.start, now_seconds)
         # A client error is answered at once and says nothing about the target's speed.
 
     def target_state(self, target: ListedTarget) -> Target:
@@ -136,12 +140,12 @@
         """Record a call without an answer."""
         target_state = self.target_state(target)
         now_seconds = self._context.now_seconds()
-        if failure.not_there:
-            self._context.directory.disown(target.instance)
-        elif failure.silent:
-            target_state.went_silent(now_seconds)
+        if failure.is_other_target:
+            self._context.directory.remove_replaced(target.instance)
+        elif failure.is_unresponsive:
+            target_state.record_no_response(now_seconds)
         elif failure.may_have_run:
-            target_state.failed(now_seconds)
-            self._context.load_estimator.failed(target.start, now_seconds)
+            target_state.record_failure(now_seconds)
+            self._context.load_estimator.record_failure(target.start, now_seconds)
         else:
-            self._context.load_estimator.refused(target.start, now_seconds)
+            self._context.load_estimator.record_refusal(target.start, now_seconds)
--- a/rackswitch/gateway/callers/tests/test_call_admission.py
+++ b/rackswitch/gateway/callers/tests/test_call_admission.py
@@ -18,7 +18,7 @@
 from rackswitch.routing import ListedTarget, ReportedLoad, Target, TargetEstimate
 from rackswitch.standins.kv_store import KvStore
 from rackswitch.table import Handling, RouteChoice, RouteRow
-from rackswitch.telemetry.events import CallDecided, RoomSeen
+from rackswitch.telemetry.events import AdmissionState, CallDecided
 from rackswitch.tenants import Caller
 
 WORK_SECONDS = 0.04
@@ -28,7 +28,7 @@
 class FullTargets:
     """Targets that refuse calls beyond `slots`; records the calls that ran."""
 
-    kept_seconds = 1.0
+    keep_alive_seconds = 1.0
 
     def __init__(self, slots: int, work_seconds: float = WORK_SECONDS):
         self.slots = slots
@@ -81,7 +81,7 @@
             1.0,
             self.context.now_seconds(),
         )
-        self.context.load_estimator.heard(target.start, target.service, report)
+        self.context.load_estimator.record_report(target.start, target.service, report)
         return result
 
 
@@ -112,12 +112,12 @@
         self.list_target()
         self.targets = targets
         self.decisions: list[CallDecided] = []
-        self.service_events: list[RoomSeen] = []
+        self.service_events: list[AdmissionState] = []
         self.context.daemon.log = self
         chooser = TargetChooser(self.context)
         options = {"estimates_of": targets.estimates} if has_estimates else {}
         if use_chooser_estimates:
-            options = {"estimates_of": chooser.places}
+            options = {"estimates_of": chooser.estimates}
         self.dispatcher = RequestDispatcher(
             self.context, chooser, targets, NoQuarantine(), **options
         )
@@ -125,7 +125,7 @@
     def write(self, event) -> None:
         if isinstance(event, CallDecided):
             self.decisions.append(event)
-        if isinstance(event, RoomSeen):
+        if isinstance(event, AdmissionState):
             self.service_events.append(event)
 
     def list_target(self) -> None:
@@ -133,7 +133,7 @@
         self.context.targets.setdefault("t0", Target("t0", "http://h:1", "z"))
 
     def unlist_target(self) -> None:
-        self.context.directory.disown("t0")
+        self.context.directory.remove_replaced("t0")
 
     def call(self, name, rank=0, tenant="a", timeout_seconds=0.8, once=False, **options):
         route = RouteRow(
@@ -260,7 +260,7 @@
         tasks[5].cancel()
         await asyncio.wait(tasks)
         admission = harness.dispatcher._service_admission._service(SERVICE).admission
-        return targets.ran, len(admission.room), admission.limit.in_flight
+        return targets.ran, len(admission.queue), admission.limit.in_flight
 
     ran, waiting, in_flight = run_virtual(scenario())
     assert "r5" not in ran
--- a/rackswitch/gateway/callers/tests/test_path_requests.py
+++ b/rackswitch/gateway/callers/tests/test_path_requests.py
@@ -205,7 +205,7 @@
         assert (await fleet.request("d9", "GET", "/look/x", host="other", request_id="r2"))[
             0
         ] == 404
-        assert not gateway.log.pump()
+        assert not gateway.log.flush()
         log = read_events(os.read(reader, 1 << 16).decode().splitlines())
         refused = [line.event for line in log.events if isinstance(line.event, RequestRefused)]
         assert [(event.request, event.status) for event in refused] == [("r1", 503), ("r2", 404)]
--- a/rackswitch/gateway/callers/tests/test_target_choice.py
+++ b/rackswitch/gateway/callers/tests/test_target_choice.py
@@ -34,7 +34,7 @@
     for target in TARGETS:
         count = running.get(target.instance, 0)
         report = ReportedLoad(min(6, count), max(0, count - 6), 6, pace, context.now_seconds())
-        context.load_estimator.heard(target.start, "s", report)
+        context.load_estimator.record_report(target.start, "s", report)
 
 
 def count_picks(chooser, times=200) -> Counter:
@@ -55,16 +55,16 @@
         context, chooser = make_chooser()
         context.rng.seed(5)
         # Reports of other services must not change the choice.
-        context.load_estimator.heard("x@0", "other", ReportedLoad(0, 0, 6, 1.0, 0.0))
+        context.load_estimator.record_report("x@0", "other", ReportedLoad(0, 0, 6, 1.0, 0.0))
         chosen = []
         for number in range(200):
             if has_reports:
                 report_loads(context, {"t0": 18, "t1": number % 7}, pace=None)
             target = chooser.pick("s", set())
             sent_request = chooser.record_send(target)
-            chooser.target_state(target).begin(20.0, ())
+            chooser.target_state(target).record_start(20.0, ())
             if number % 3:
-                chooser.target_state(target).end(20.0)
+                chooser.target_state(target).record_end(20.0)
                 chooser.record_end(sent_request, ANSWER)
             elif has_reports:
                 chooser.record_failure(target, FULL)
@@ -79,9 +79,9 @@
         chosen = []
         for number in range(200):
             target = policy.choose(RoutedRequest(0.0, 20.0, (), 0.0), targets)
-            target.begin(20.0, ())
+            target.record_start(20.0, ())
             if number % 3:
-                target.end(20.0)
+                target.record_end(20.0)
             chosen.append(target.name)
         return chosen
 
@@ -119,7 +119,7 @@
     async def scenario():
         context, chooser = make_chooser()
         report_loads(context, {"t1": 5, "t2": 5, "t3": 5}, pace=1.0)
-        chooser.record_failure(TARGETS[0], TargetFailed(True, "no answer", silent=True))
+        chooser.record_failure(TARGETS[0], TargetFailed(True, "no answer", is_unresponsive=True))
         return count_picks(chooser)
 
     assert run_virtual(scenario())["t0"] == 0
@@ -130,7 +130,7 @@
         context, chooser = make_chooser()
         report_loads(context, {"t0": 8}, pace=1.5)
         target = chooser.pick("s", {"t1", "t2", "t3"})
-        return chooser.target_state(target).place
+        return chooser.target_state(target).estimate
 
     estimate = run_virtual(scenario())
     assert (estimate.instance, estimate.running, estimate.waiting, estimate.pace) == (
@@ -146,12 +146,12 @@
     async def scenario():
         context, chooser = make_chooser()
         report_loads(context, {}, pace=1.0)
-        initial_seconds = context.load_estimator.usual_run_seconds("s", WorkKind.CALL)
+        initial_seconds = context.load_estimator.typical_run_seconds("s", WorkKind.CALL)
         for _ in range(20):
             sent_request = chooser.record_send(TARGETS[0])
             await asyncio.sleep(0.001)
             chooser.record_end(sent_request, TargetAnswer(status, (), b""))
-        return context.load_estimator.usual_run_seconds("s", WorkKind.CALL), initial_seconds
+        return context.load_estimator.typical_run_seconds("s", WorkKind.CALL), initial_seconds
 
     typical_seconds, initial_seconds = run_virtual(scenario())
     assert (typical_seconds < initial_seconds) is is_recorded
@@ -168,7 +168,7 @@
             chooser.record_end(sent_request, None)
         report_loads(context, {}, pace=1.0)
         now_seconds = context.now_seconds()
-        return context.load_estimator.place(TARGETS[0], WorkKind.CALL, 1.0, now_seconds).pace
+        return context.load_estimator.estimate(TARGETS[0], WorkKind.CALL, 1.0, now_seconds).pace
 
     pace = run_virtual(scenario())
     assert pace > 2.0 if is_slow else pace == pytest.approx(1.0)
@@ -179,7 +179,7 @@
         context, chooser = make_chooser()
         context.settings = replace(context.settings, queues_calls=True)
         report_loads(context, {"t0": 18, "t1": 18}, pace=None)
-        return count_picks(chooser), chooser.places("s")
+        return count_picks(chooser), chooser.estimates("s")
 
     chosen, estimates = run_virtual(scenario())
     assert set(chosen) == {"t2", "t3"}
--- a/rackswitch/gateway/context.py
+++ b/rackswitch/gateway/context.py
@@ -114,20 +114,20 @@
         entry = self.member_entries.get(daemon)
         return entry.started_at_unix_seconds if entry is not None else None
 
-    def room_of(self, daemon: str) -> float:
+    def free_slots_of(self, daemon: str) -> float:
         """Return the processor share of a daemon's VM; 0 if unknown."""
         if daemon == self.daemon_name:
             return self.settings.processor_share
         entry = self.member_entries.get(daemon)
         return entry.processor_share if entry is not None else 0.0
 
-    def places_by_load(self, service: str) -> bool:
+    def chooses_by_load(self, service: str) -> bool:
         """Return whether a service's targets are chosen by their reported load.
 
         This is the case if they report their pace, as their speeds may differ, or if calls are
         queued, as the demand may exceed the capacity.
         """
-        return self.settings.queues_calls or self.load_estimator.tells_pace(service)
+        return self.settings.queues_calls or self.load_estimator.reports_pace(service)
 
     def list_age_seconds(self) -> float:
         """Return the age of the last confirmation of the list of targets; -1 if there is none."""
--- a/rackswitch/gateway/core.py
+++ b/rackswitch/gateway/core.py
@@ -19,7 +19,7 @@
 from rackswitch.gateway.jobs.job_cleaner import JobCleaner
 from rackswitch.gateway.jobs.job_handler import JobHandler
 from rackswitch.gateway.jobs.job_manager import JobManager
-from rackswitch.gateway.jobs.job_placer import AdoptedJobs, JobPlacer
+from rackswitch.gateway.jobs.job_placer import ForwardedJobReceiver, JobPlacer
 from rackswitch.gateway.jobs.job_reader import JobReader
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.listeners import StatusPages, make_servers
@@ -30,11 +30,11 @@
 from rackswitch.gateway.store.control_entries import CONTROL_PREFIX, ControlEntries
 from rackswitch.gateway.store.presence import Presence
 from rackswitch.gateway.store.reachability import StoreReachability
+from rackswitch.gateway.store.replica_manager import ReplicaManager
 from rackswitch.gateway.store.role_entries import ROLES_PREFIX, RoleEntries
 from rackswitch.gateway.store.session import Session
 from rackswitch.gateway.store.state_manager import StateManager
 from rackswitch.gateway.store.store_relay import ForwardedCalls
-from rackswitch.gateway.store.watching import ReplicaManager
 from rackswitch.gateway.versions.version_manager import VersionManager
 from rackswitch.platform.connections import TargetSessions
 from rackswitch.platform.item_runs import ItemClient
@@ -44,13 +44,13 @@
 from rackswitch.platform.target_calls import TargetClient
 from rackswitch.routing import ListedTarget, ReportedLoad
 from rackswitch.telemetry.events import (
-    HandOverGivenUp,
-    MachineSuspended,
+    HandOverTimedOut,
     Reloaded,
     Started,
     Stopped,
     Stopping,
     StoreCalls,
+    VmSuspended,
 )
 
 __all__ = ["Gateway"]
@@ -108,8 +108,8 @@
         self._sessions = TargetSessions(self._record_load_report)
         self._started_seconds = float("-inf")
         self._suspended_seconds = suspended_seconds()
-        self.quarantine = QuarantineManager(self.context, lambda: self.copies.is_complete)
-        self.state = StateManager(self.context, self.quarantine.watch)
+        self.quarantine = QuarantineManager(self.context, lambda: self.replicas.is_complete)
+        self.state = StateManager(self.context, self.quarantine.end_detector)
         self.session = Session(self.context, self._session_lost, self._owns_jobs)
         self._role_entries = RoleEntries()
         self.roles = RoleManager(
@@ -125,7 +125,7 @@
             target_chooser,
             TargetClient(self._sessions),
             self.quarantine,
-            target_chooser.places,
+            target_chooser.estimates,
         )
         job_store = JobStore(self.context)
         paces = EnginePaces()
@@ -134,7 +134,7 @@
         )
         orders = OrderClient(self._sessions)
         load_poller = LoadPoller(
-            self.context, orders, item_runner.occupancy, item_runner.hear_memory
+            self.context, orders, item_runner.occupancy, item_runner.record_memory
         )
         self.jobs = JobManager(self.context, self.session, job_store, item_runner, load_poller)
         self.versions = VersionManager(
@@ -161,16 +161,16 @@
             SERVERS_PREFIX: self.state.target_handlers(),
             CONTROL_PREFIX: control_entries.handlers(),
         }
-        self.copies = ReplicaManager(self.context, handlers, paces, CONTROL_PREFIX)
-        self.presence = Presence(self.context, settings.peer_ports[0], self.copies.looked)
+        self.replicas = ReplicaManager(self.context, handlers, paces, CONTROL_PREFIX)
+        self.presence = Presence(self.context, settings.peer_ports[0], self.replicas.members_read)
         forwarded_calls = ForwardedCalls(self.context, parts.relay)
         self._peers = GatewayPeersService(
             self.context,
-            self.copies.server,
+            self.replicas.server,
             job_reader,
             self.jobs,
             forwarded_calls,
-            AdoptedJobs(self.context, self.jobs),
+            ForwardedJobReceiver(self.context, self.jobs),
             self._duties.usage,
             self.quarantine,
         )
@@ -179,7 +179,7 @@
             CallHandler(self.context, self.front),
             JobHandler(self.context, self.jobs, job_reader, JobPlacer(self.context, self.jobs)),
         )
-        pages = StatusPages(self.context, self.copies, self.snapshot)
+        pages = StatusPages(self.context, self.replicas, self.snapshot)
         self._servers = make_servers(self.context, caller_handler, pages)
 
     async def start(self) -> None:
@@ -189,7 +189,7 @@
             await server.start()
         await self._peers.start(self.settings.host, self.settings.peer_ports[0])
         for task in (
-            self.copies.run(),
+            self.replicas.run(),
             self.presence.run(),
             self.session.run(),
             self.roles.run(),
@@ -216,11 +216,11 @@
         balancer_drain = asyncio.create_task(asyncio.sleep(BALANCER_DRAIN_SECONDS))
         try:
             async with asyncio.timeout_at(deadline_seconds):
-                await self.presence.tell_leaving()
+                await self.presence.announce_leaving()
                 await asyncio.gather(self.roles.tend(), self.jobs.hand_over())
         except TimeoutError:
             # Other daemons take over the rest when this daemon's leases expire.
-            self.log.write(HandOverGivenUp(jobs=list(self.jobs.owned)))
+            self.log.write(HandOverTimedOut(jobs=list(self.jobs.owned)))
         await balancer_drain
         remaining_seconds = deadline_seconds - self.context.now_seconds()
         completed = await self.context.daemon.in_flight.wait_idle(max(0.0, remaining_seconds))
@@ -228,7 +228,7 @@
         await self.session.end()
         completed = await self._finish_serving(deadline_seconds) and completed
         self.log.write(Stopped(whole=completed))
-        while self.log.pump() and self.context.now_seconds() < deadline_seconds:
+        while self.log.flush() and self.context.now_seconds() < deadline_seconds:
             await asyncio.sleep(LOG_FLUSH_INTERVAL_SECONDS)
 
     async def _finish_serving(self, deadline_seconds: float) -> bool:
@@ -262,7 +262,7 @@
 
     def snapshot(self) -> DaemonSnapshot:
         """Return a snapshot of this daemon's state."""
-        return take_snapshot(self.context, self.copies, self.presence, self.roles, self.jobs)
+        return take_snapshot(self.context, self.replicas, self.presence, self.roles, self.jobs)
 
     @property
     def url(self) -> str:
@@ -283,11 +283,11 @@
         self._suspended_seconds = suspended_seconds()
         duration_seconds = self._suspended_seconds - before_seconds
         if duration_seconds >= MIN_SUSPENSION_SECONDS:
-            self.log.write(MachineSuspended(for_seconds=round(duration_seconds, 3)))
-            self._sessions.drop_unused()
+            self.log.write(VmSuspended(for_seconds=round(duration_seconds, 3)))
+            self._sessions.close_idle_connections()
 
     def _record_load_report(self, target: ListedTarget, reported_load: ReportedLoad) -> None:
-        self.context.load_estimator.heard(target.start, target.service, reported_load)
+        self.context.load_estimator.record_report(target.start, target.service, reported_load)
 
     def _session_lost(self) -> None:
         self.jobs.session_lost()
@@ -300,7 +300,7 @@
 
     def _wanted_roles(self) -> list[str]:
         # The last holders are known only once the replicas are complete.
-        if not self.copies.is_complete:
+        if not self.replicas.is_complete:
             return []
         return [*self.versions.wanted_roles(), *self._duties.wanted_roles()]
 
--- a/rackswitch/gateway/daemon_snapshot.py
+++ b/rackswitch/gateway/daemon_snapshot.py
@@ -6,7 +6,7 @@
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.jobs.job_manager import JobManager
 from rackswitch.gateway.store.presence import Presence
-from rackswitch.gateway.store.watching import ReplicaManager
+from rackswitch.gateway.store.replica_manager import ReplicaManager
 from rackswitch.jobs import ItemPhase
 from rackswitch.table import ServiceRow
 
@@ -70,19 +70,19 @@
 ) -> DaemonSnapshot:
     """Return a snapshot of a daemon's state."""
     now_seconds = context.now_seconds()
-    unreachable_since_seconds = context.contact.away_since_seconds
+    unreachable_since_seconds = context.contact.unreachable_since_seconds
     services = context.daemon.view.rows(ServiceRow)
     return DaemonSnapshot(
         daemon=context.daemon_name,
         table_revision=context.table_revision,
         copy_ages_seconds={
             prefix: _rounded_age_seconds(now_seconds - replica.confirmed_at_seconds)
-            for prefix, replica in replicas.copies.items()
+            for prefix, replica in replicas.replicas.items()
         },
         away_seconds=_rounded_age_seconds(now_seconds - unreachable_since_seconds)
         if unreachable_since_seconds
         else None,
-        session_sure=presence.is_sure(),
+        session_sure=presence.is_valid(),
         follows=replicas.followed,
         members=context.daemon.membership.live(),
         targets={
--- a/rackswitch/gateway/duties/fenced_record.py
+++ b/rackswitch/gateway/duties/fenced_record.py
@@ -73,7 +73,7 @@
     async def _read(self) -> T | None:
         read = await self._context.kv.read(self._key)
         if isinstance(read, KvUnavailable):
-            self._context.contact.failed(self._context.now_seconds(), read.detail)
+            self._context.contact.record_failure(self._context.now_seconds(), read.detail)
             return None
         self.value, self._revision = self._empty, 0
         for found in read.entries:
--- a/rackswitch/gateway/duties/ordered_counts.py
+++ b/rackswitch/gateway/duties/ordered_counts.py
@@ -38,7 +38,7 @@
         """Return the counts after further orders for a service."""
         counts = self.for_service(service)
         for order in orders:
-            counts[order.place] = order.count
+            counts[order.location] = order.count
         other_orders = tuple(order for order in self.orders if order.service != service)
         own_orders = tuple(
             OrderedCount(service, location.zone, location.kind, count)
--- a/rackswitch/gateway/duties/scaling_manager.py
+++ b/rackswitch/gateway/duties/scaling_manager.py
@@ -182,8 +182,8 @@
         Around an outage of the key-value service live engines may be missing too.
         """
         contact = self._context.contact
-        settled_seconds = contact.back_seconds + LIST_SETTLE_SECONDS
-        return not contact.is_away and self._context.now_seconds() >= settled_seconds
+        settled_seconds = contact.recovered_at_seconds + LIST_SETTLE_SECONDS
+        return not contact.is_unreachable and self._context.now_seconds() >= settled_seconds
 
     def _count_present(self, service: str, now_seconds: float) -> EngineCounts:
         counts: EngineCounts = Counter()
@@ -243,7 +243,7 @@
         fencing = self._turns.fencing_to_send(DUTIES_TURN, entered_at_seconds)
         if fencing is None:
             return
-        location = order.place
+        location = order.location
         answer = await self._client.order_engines(
             Holder(self._context.daemon_name, fencing),
             decision.service,
@@ -273,18 +273,18 @@
         """Update the state of the service by the answer to an order."""
         observed = self._observed[decision.service]
         now_seconds = self._context.now_seconds()
-        if outcome in (DutyOutcome.TAKEN, DutyOutcome.UNKNOWN):
-            observed.planner.taken(added, decision.capacity, now_seconds)
+        if outcome in (DutyOutcome.ACCEPTED, DutyOutcome.UNKNOWN):
+            observed.planner.record_accepted_order(added, decision.capacity, now_seconds)
         else:
-            observed.planner.refused(order.place, now_seconds)
-            previous_order = EngineOrder(order.place, order.count - added)
+            observed.planner.record_refusal(order.location, now_seconds)
+            previous_order = EngineOrder(order.location, order.count - added)
             if self._record.value is not None:
                 self._record.value = self._record.value.with_orders(
                     decision.service, [previous_order]
                 )
         if added < 0:
             # These engines were removed on purpose, so they must not be ordered again.
-            observed.max_present[order.place] = order.count
+            observed.max_present[order.location] = order.count
 
 
 def _capacity(row: ServiceRow, terms: ScalingTerms) -> Capacity:
--- a/rackswitch/gateway/duties/tests/test_scaling_manager.py
+++ b/rackswitch/gateway/duties/tests/test_scaling_manager.py
@@ -33,11 +33,11 @@
         self.contexts: list = []
         self.calls: list[tuple[str, bool, int]] = []
         self.min_engines = sum(initial_counts.values())
-        self.outcome = DutyOutcome.TAKEN
+        self.outcome = DutyOutcome.ACCEPTED
 
     async def order_engines(self, holder, service, zone, count, reclaimable) -> DutyAnswer:
         self.calls.append((zone, reclaimable, count))
-        if self.outcome is DutyOutcome.TAKEN:
+        if self.outcome is DutyOutcome.ACCEPTED:
             previous_count = self.counts[zone, reclaimable]
             if count > previous_count:
                 asyncio.get_running_loop().call_later(
@@ -72,7 +72,7 @@
         platform.list_engines(context)
     known = KnownJobs()
     marker = JobMarker("j", 10, 0.0, model="m", work_seconds=work_seconds)
-    known.created(marker, 1)
+    known.record_created(marker, 1)
     roles = RoleManager(context.daemon, lambda: [DUTIES_ROLE])
     manager = ScalingManager(
         context, TurnManager(context, roles), platform, known, 50.0, lambda: 1.0
@@ -92,13 +92,13 @@
         await asyncio.sleep(20.0)
         assert platform.min_engines == 3
         assert sum(platform.counts.values()) == 8
-        platform.outcome = DutyOutcome.NONE_TO_BE_HAD
+        platform.outcome = DutyOutcome.NONE_AVAILABLE
         await context.daemon.cancel_all()
 
     run_virtual(scenario())
 
 
-@pytest.mark.parametrize("outcome", [DutyOutcome.NONE_TO_BE_HAD, DutyOutcome.BUSY])
+@pytest.mark.parametrize("outcome", [DutyOutcome.NONE_AVAILABLE, DutyOutcome.BUSY])
 def test_repeats_unfulfilled_orders_and_keeps_existing_engines(outcome):
     async def scenario():
         platform = Platform({"a": 2, "b": 1})
@@ -106,7 +106,7 @@
         context = start("d", KvStore(), platform, 130.0)
         await asyncio.sleep(10.0)
         assert platform.calls
-        platform.outcome = DutyOutcome.TAKEN
+        platform.outcome = DutyOutcome.ACCEPTED
         await asyncio.sleep(40.0)
         assert platform.min_engines == 3
         assert sum(platform.counts.values()) >= 8
--- a/rackswitch/gateway/duties/tests/test_usage_gathering.py
+++ b/rackswitch/gateway/duties/tests/test_usage_gathering.py
@@ -38,10 +38,10 @@
         context = make_gateway_context("own", KvStore())
         context.daemon.links = links
         entries = [VmEntry(name, "h", 1, "z", is_leaving) for name, is_leaving in leaving.items()]
-        context.daemon.membership.learn_listed(
+        context.daemon.membership.update_from_complete_list(
             [VmEntry(entry.daemon, "h", 1, "z", False) for entry in entries], 0.0
         )
-        context.daemon.membership.learn_listed(entries, 1.0)
+        context.daemon.membership.update_from_complete_list(entries, 1.0)
         counts = UsageCounts(WINDOWS, 0.0)
         counts.began("t", 1001.0)
         counts.began("u", 1002.0)
--- a/rackswitch/gateway/duties/tests/usage_run.py
+++ b/rackswitch/gateway/duties/tests/usage_run.py
@@ -60,7 +60,7 @@
         await asyncio.sleep(1.0 if is_lost else 0.01)
         if is_lost:
             return DutyAnswer(DutyOutcome.UNKNOWN, "no answer")
-        outcome = DutyOutcome.BUSY if is_busy else DutyOutcome.TAKEN
+        outcome = DutyOutcome.BUSY if is_busy else DutyOutcome.ACCEPTED
         return DutyAnswer(outcome, "")
 
 
--- a/rackswitch/gateway/duties/usage_gathering.py
+++ b/rackswitch/gateway/duties/usage_gathering.py
@@ -63,7 +63,7 @@
         """Return the counts of a window from all reachable daemons."""
         gathered = GatheredUsage(Counter(self._counts.of(window)), answered=1)
         # Stopping daemons are asked too: they hand over their counts only at their end.
-        peers = self._context.daemon.membership.others_reachable()
+        peers = self._context.daemon.membership.reachable_peers()
         unanswered = await self._ask_all(peers, window, gathered)
         if unanswered:
             await asyncio.sleep(RETRY_DELAY_SECONDS)
--- a/rackswitch/gateway/duties/usage_reporter.py
+++ b/rackswitch/gateway/duties/usage_reporter.py
@@ -11,7 +11,7 @@
 from rackswitch.gateway.turns import TurnManager
 from rackswitch.platform.duty_calls import DutyClient, DutyOutcome, Holder
 from rackswitch.table import Handling, RouteRow
-from rackswitch.telemetry.events import UsageFixed, UsageSent
+from rackswitch.telemetry.events import UsageFinalized, UsageSent
 from rackswitch.usage import UsageReport, UsageReports, UsageWindows
 
 __all__ = ["UsageReporter"]
@@ -111,7 +111,7 @@
         counts = {tenant: requests for tenant, requests in gathered.counts.items() if requests}
         seconds_after_end = self._wall_clock() - self._windows.ends_at_unix_seconds(window)
         self._context.log.write(
-            UsageFixed(
+            UsageFinalized(
                 window=window,
                 requests=sum(counts.values()),
                 tenants=len(counts),
@@ -140,7 +140,7 @@
             return
         holder = Holder(self._context.daemon_name, fencing)
         answer = await self._client.report_usage(holder, report.window, report.counts)
-        if answer.outcome in (DutyOutcome.TAKEN, DutyOutcome.REFUSED):
+        if answer.outcome in (DutyOutcome.ACCEPTED, DutyOutcome.REFUSED):
             reports.taken(report.window)
         seconds_after_end = self._wall_clock() - self._windows.ends_at_unix_seconds(report.window)
         self._context.log.write(
--- a/rackswitch/gateway/items/engine_paces.py
+++ b/rackswitch/gateway/items/engine_paces.py
@@ -5,7 +5,7 @@
 
 from rackswitch.peers import gateway_pb2 as pb
 
-__all__ = ["FIRST_PACE_SECONDS", "EnginePaces"]
+__all__ = ["INITIAL_PACE_SECONDS", "EnginePaces"]
 
 PACE_SMOOTHING_FACTOR = 0.1
 """Weight of a new interval in the exponential moving average."""
@@ -14,7 +14,7 @@
 """An engine's pace is discarded after this time without new intervals, so that an engine that was
 slow gets work again."""
 
-FIRST_PACE_SECONDS = 0.05
+INITIAL_PACE_SECONDS = 0.05
 """Assumed interval between an engine's events until one has been measured."""
 
 
@@ -30,7 +30,7 @@
 
     _paces: dict[str, _Pace] = field(default_factory=dict)
 
-    def note(self, start: str, interval_seconds: float, now_seconds: float) -> None:
+    def record_interval(self, start: str, interval_seconds: float, now_seconds: float) -> None:
         """Record the interval between two events of a stream.
 
         Parameters
@@ -52,7 +52,7 @@
         self._paces[start] = _Pace(smoothed_seconds, now_seconds)
 
     def get(self, start: str, now_seconds: float) -> float:
-        """Return an engine's seconds per piece; `FIRST_PACE_SECONDS` without a recent one.
+        """Return an engine's seconds per piece; `INITIAL_PACE_SECONDS` without a recent one.
 
         Parameters
         ----------
@@ -66,7 +66,7 @@
             known_pace is None
             or now_seconds >= known_pace.measured_at_seconds + PACE_LIFETIME_SECONDS
         ):
-            return FIRST_PACE_SECONDS
+            return INITIAL_PACE_SECONDS
         return known_pace.seconds_per_piece
 
     def has_interval_since(self, start: str, since_seconds: float) -> bool:
@@ -74,7 +74,7 @@
         known_pace = self._paces.get(start)
         return known_pace is not None and known_pace.measured_at_seconds > since_seconds
 
-    def to_tell(self, now_seconds: float) -> list[pb.EnginePace]:
+    def current_paces(self, now_seconds: float) -> list[pb.EnginePace]:
         """Return the paces that have not expired, as sent to other daemons."""
         return [
             pb.EnginePace(
@@ -86,7 +86,7 @@
             if now_seconds < pace.measured_at_seconds + PACE_LIFETIME_SECONDS
         ]
 
-    def hear(self, peer_paces: Iterable[pb.EnginePace], now_seconds: float) -> None:
+    def record_peer_paces(self, peer_paces: Iterable[pb.EnginePace], now_seconds: float) -> None:
         """Record paces from another daemon where they are newer than the local ones.
 
         The owner of a new job has often run nothing for some seconds. Without these paces it would
--- a/rackswitch/gateway/items/item_runner.py
+++ b/rackswitch/gateway/items/item_runner.py
@@ -15,7 +15,7 @@
 from rackswitch.gateway.placement_log import placement_event
 from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
 from rackswitch.jobs import (
-    MIDDLE_URGENCY,
+    DEFAULT_URGENCY,
     EngineLoad,
     EngineMemory,
     EngineOccupancy,
@@ -34,7 +34,7 @@
     tokens_held,
 )
 from rackswitch.outcomes import NotRun, NotRunReason
-from rackswitch.platform.ingress import stamp_of
+from rackswitch.platform.ingress import server_stamp
 from rackswitch.platform.item_runs import ItemClient, ItemRequest, ItemRunEnd, ItemRunEnded
 from rackswitch.platform.orders import EngineReport
 from rackswitch.quarantine import request_fingerprint
@@ -62,7 +62,7 @@
 MOVE_DETAILS = (MOVED_DETAIL, LEFT_DETAIL)
 """Details of runs that were stopped here to continue elsewhere, without any failure."""
 
-ENDS_WITH_ANSWER = (ItemRunEnd.WHOLE, ItemRunEnd.FAILED, ItemRunEnd.IMPOSSIBLE)
+ENDS_WITH_ANSWER = (ItemRunEnd.COMPLETE, ItemRunEnd.FAILED, ItemRunEnd.IMPOSSIBLE)
 """Ends of a run that show that its engine is still running."""
 
 MIN_PROGRESS_SECONDS = 1.0
@@ -70,7 +70,7 @@
 request that crashes engines does so soon after it was sent. One that crashes them later in its text
 does so at the start of its next run."""
 
-ENDS_WITHOUT_RUN = (ItemRunEnd.NOT_RUN, ItemRunEnd.NOT_THERE)
+ENDS_WITHOUT_RUN = (ItemRunEnd.NOT_RUN, ItemRunEnd.MISDIRECTED)
 
 ADMISSION_TIMEOUT_SECONDS = 1.0
 """Maximum wait for quarantine to find out whether the engines ended at which the item's runs were
@@ -146,7 +146,7 @@
         ledger: JobLedger,
         progress: ItemProgress,
         target: ListedTarget,
-        urgency: int = MIDDLE_URGENCY,
+        urgency: int = DEFAULT_URGENCY,
     ) -> ItemRunEnded:
         """Run an item at an engine and record the end in the ledger.
 
@@ -193,11 +193,11 @@
                 first_piece_seconds=_first_piece_seconds(intervals, began_at_seconds),
                 fingerprint=fingerprint,
                 place=placement_event(
-                    self._context, sent_request.place, target.service, WorkKind.TEXT
+                    self._context, sent_request.estimate, target.service, WorkKind.TEXT
                 ),
             )
         )
-        may_be_queued = intervals.first_at_seconds is None or urgency != MIDDLE_URGENCY
+        may_be_queued = intervals.first_at_seconds is None or urgency != DEFAULT_URGENCY
         self._record_end(ledger, progress, target, ended, may_be_queued)
         return ended
 
@@ -213,14 +213,14 @@
         if stop_timeout is not None and not stop_timeout.expired():
             stop_timeout.reschedule(asyncio.get_running_loop().time())
 
-    def hear_memory(self, target: ListedTarget, report: EngineReport) -> None:
+    def record_memory(self, target: ListedTarget, report: EngineReport) -> None:
         """Record the memory in an engine's report."""
         self.memory.keep_only({entry.start for entry in self._context.directory.entries.values()})
-        self.memory.heard(
+        self.memory.record_usage(
             target.start,
             report.memory_used_tokens,
             report.memory_total_tokens,
-            tokens_held(self.own_runs.at(target.start), self.forecast),
+            tokens_held(self.own_runs.runs_at(target.start), self.forecast),
             self._context.now_seconds(),
         )
 
@@ -236,7 +236,7 @@
         pieces_before = 0 if ledger.single_version else progress.last_number
         now_seconds = self._context.now_seconds()
         run = LocalRun(ledger, progress, target.instance, target.start, now_seconds, pieces_before)
-        self.own_runs.began(run)
+        self.own_runs.add(run)
         try:
             async with asyncio.timeout(None) as stop_timeout:
                 self._stop_timeouts[run.key] = stop_timeout
@@ -244,9 +244,9 @@
         except TimeoutError:
             if not stop_timeout.expired():
                 raise
-            return ItemRunEnded(ItemRunEnd.BROKEN, LEFT_DETAIL)
+            return ItemRunEnded(ItemRunEnd.INTERRUPTED, LEFT_DETAIL)
         finally:
-            self.own_runs.ended(run)
+            self.own_runs.remove(run)
             if self._stop_timeouts.get(run.key) is stop_timeout:
                 del self._stop_timeouts[run.key]
 
@@ -272,14 +272,15 @@
         """
         fingerprint_of = partial(item_fingerprint, job, item)
         if ended.end in ENDS_WITH_ANSWER:
-            self._quarantine.answered(fingerprint_of)
+            self._quarantine.record_answer(fingerprint_of)
         elif ended.end in ENDS_WITHOUT_RUN or not ended.was_sent:
-            self._quarantine.not_run(fingerprint_of)
+            self._quarantine.record_not_run(fingerprint_of)
         elif (
-            ended.detail not in MOVE_DETAILS and intervals.brought_seconds() < MIN_PROGRESS_SECONDS
+            ended.detail not in MOVE_DETAILS
+            and intervals.streaming_seconds() < MIN_PROGRESS_SECONDS
         ):
             fingerprint = fingerprint_of()
-            self._quarantine.broke(fingerprint, target)
+            self._quarantine.record_failure(fingerprint, target)
             return fingerprint
         return ""
 
@@ -292,9 +293,9 @@
         urgency: int,
     ) -> ItemRunEnded:
         if ledger.single_version:
-            progress.begin_anew()
+            progress.discard_text()
         job = ledger.job
-        caller = self._context.tenants.of_tenant(job.tenant)
+        caller = self._context.tenants.caller_of_tenant(job.tenant)
         request = ItemRequest(job.host, progress.item, progress.last_number, urgency, caller)
         pieces = self._item_client.run(
             target, request, FIRST_PIECE_TIMEOUT_SECONDS, NEXT_PIECE_TIMEOUT_SECONDS
@@ -302,25 +303,25 @@
         async with aclosing(pieces):  # type: ignore[type-var]
             async for piece in pieces:
                 if isinstance(piece, EngineLoad):
-                    self.occupancy.heard(target.instance, piece, self._context.now_seconds())
+                    self.occupancy.record_load(target.instance, piece, self._context.now_seconds())
                     continue
                 if isinstance(piece, ItemRunEnded):
                     return piece
                 fault = self._accept_piece(ledger, progress, piece)
                 if fault is not None:
-                    return ItemRunEnded(ItemRunEnd.BROKEN, fault.detail)
+                    return ItemRunEnded(ItemRunEnd.INTERRUPTED, fault.detail)
                 now_seconds = self._context.now_seconds()
-                interval_seconds = intervals.piece_came(now_seconds)
+                interval_seconds = intervals.record_piece(now_seconds)
                 if interval_seconds is not None:
-                    self.paces.note(target.start, interval_seconds, now_seconds)
-                    self._context.load_estimator.piece(
+                    self.paces.record_interval(target.start, interval_seconds, now_seconds)
+                    self._context.load_estimator.record_piece_interval(
                         target.start, target.service, interval_seconds, now_seconds
                     )
                 if not ledger.single_version and self._claim_move(
                     ledger, progress, target, intervals
                 ):
-                    return ItemRunEnded(ItemRunEnd.BROKEN, MOVED_DETAIL)
-        return ItemRunEnded(ItemRunEnd.BROKEN, "the stream ended without an end event")
+                    return ItemRunEnded(ItemRunEnd.INTERRUPTED, MOVED_DETAIL)
+        return ItemRunEnded(ItemRunEnd.INTERRUPTED, "the stream ended without an end event")
 
     def _claim_move(
         self,
@@ -376,23 +377,23 @@
         """
         now_seconds = self._context.now_seconds()
         target_state = self._context.targets[target.instance]
-        if ended.end is ItemRunEnd.WHOLE and progress.pieces:
-            target_state.succeeded(0, 0.0)
-            self.forecast.note(progress.item.expected_tokens, progress.last_number)
-            ledger.whole(progress)
+        if ended.end is ItemRunEnd.COMPLETE and progress.pieces:
+            target_state.record_success(0, 0.0)
+            self.forecast.record_length(progress.item.expected_tokens, progress.last_number)
+            ledger.record_complete_text(progress)
         elif ended.end is ItemRunEnd.IMPOSSIBLE:
             ledger.give_up(progress)
         elif ended.end is ItemRunEnd.FAILED:
-            ledger.failed(progress, now_seconds)
+            ledger.record_failure(progress, now_seconds)
         else:
             if ended.end is ItemRunEnd.SILENT:
                 since_seconds = now_seconds - FIRST_PIECE_TIMEOUT_SECONDS / 2
                 is_engine_active = self.paces.has_interval_since(target.start, since_seconds)
                 if not (may_be_queued and is_engine_active):
-                    target_state.went_silent(now_seconds)
-            elif ended.end is ItemRunEnd.NOT_THERE:
-                self._context.directory.disown(target.instance)
-            ledger.broke(progress, target.instance, now_seconds)
+                    target_state.record_no_response(now_seconds)
+            elif ended.end is ItemRunEnd.MISDIRECTED:
+                self._context.directory.remove_replaced(target.instance)
+            ledger.record_interruption(progress, target.instance, now_seconds)
 
     async def score(self, ledger: JobLedger, progress: ItemProgress) -> None:
         """Send an item's reward call, with retries, until it is answered or given up."""
@@ -424,16 +425,16 @@
                     outcome=outcome_label(outcome),
                     place=placement_event(
                         self._context,
-                        answer.place,
+                        answer.estimate,
                         answer.target.service if answer.target is not None else "",
                         WorkKind.CALL,
                     ),
                 )
             )
             if isinstance(outcome, TargetAnswer) and 200 <= outcome.status < 300:
-                ledger.scored(progress, stamp_of(outcome))
+                ledger.record_score(progress, server_stamp(outcome))
                 return
-            if not ledger.reward_failed(progress, answer.failures, route.most_attempts):
+            if not ledger.record_reward_failures(progress, answer.failures, route.most_attempts):
                 return
             if isinstance(outcome, NotRun) or answer.failures == 0:
                 await asyncio.sleep(self._reward_retry_delay_seconds(outcome))
--- a/rackswitch/gateway/items/item_starter.py
+++ b/rackswitch/gateway/items/item_starter.py
@@ -11,7 +11,7 @@
 from rackswitch.gateway.items.step_ranks import StepRanks
 from rackswitch.gateway.jobs.owned_job import OwnedJob
 from rackswitch.jobs import (
-    MIDDLE_URGENCY,
+    DEFAULT_URGENCY,
     EngineCapacity,
     ItemPhase,
     ItemProgress,
@@ -102,13 +102,13 @@
                 partial(item_tokens, forecast=forecast) if counts_memory else None,
             )
             for start in starts:
-                urgency = MIDDLE_URGENCY
+                urgency = DEFAULT_URGENCY
                 if is_load_based:
                     urgency = self._step_ranks.urgency(order, start.ledger, start.progress)
                 self._start(owned_jobs[start.ledger.job.job_id], start, urgency)
         for owned in owned_jobs.values():
             self._resume_reward_calls(owned)
-        has_waiting_items = any(ledger.waiting(now_seconds) for ledger in ledgers)
+        has_waiting_items = any(ledger.startable_items(now_seconds) for ledger in ledgers)
         if policy.room_shared:
             # Runs are moved only to engines where they need not queue.
             engines = [
@@ -123,7 +123,7 @@
 
         Slack, other owners' runs, memory, urgency and leaving engines count only for these.
         """
-        return frozenset(filter(self._context.places_by_load, services))
+        return frozenset(filter(self._context.chooses_by_load, services))
 
     def _services(self, owned_jobs: dict[str, OwnedJob], now_seconds: float) -> dict[str, str]:
         """Return the service that runs each job; give up items that no engine may run."""
@@ -133,9 +133,9 @@
             if route is not None:
                 services[job_id] = route.choices[0].serves
             elif self._context.table_revision:
-                self._give_up(owned, "its route was removed from the table")
+                self._give_up(owned, "its route is gone")
             if now_seconds >= owned.keep_until_seconds:
-                self._give_up(owned, "the retention time of its job has passed")
+                self._give_up(owned, "it is past the time it is kept for")
         return services
 
     def _route(self, owned: OwnedJob) -> RouteRow | None:
@@ -182,19 +182,19 @@
     ) -> EngineCapacity:
         slots = listed.slots or default_slots
         occupancy, own_runs = self._runner.occupancy, self._runner.own_runs
-        own_count = occupancy.own.get(listed.instance, 0)
-        last_others = occupancy.others_last(listed.instance)
+        own_count = occupancy.own_runs.get(listed.instance, 0)
+        last_others = occupancy.last_reported_other_runs(listed.instance)
         # Without a load report, each owner uses all of an engine's slots.
         counts_others = (
             is_load_based and self._context.policy.room_shared and last_others is not None
         )
         # An idle engine sends no load reports, so its last one may be old. It is used for new runs
         # whatever its age, but for moves only while it is current.
-        recent_others = occupancy.others(listed.instance, now_seconds)
+        recent_others = occupancy.other_runs(listed.instance, now_seconds)
         free = free_capacity(
             slots,
             own_count,
-            own_runs.queued(listed.start, now_seconds),
+            own_runs.queued_count(listed.start, now_seconds),
             last_others if last_others is not None else recent_others,
             self._free_tokens(listed, is_load_based, now_seconds),
             counts_others,
@@ -213,7 +213,7 @@
             slots,
             own_count + recent_others,
             self._runner.load_tracker.estimate(listed, now_seconds),
-            self._context.load_estimator.usual_run_seconds(listed.service, WorkKind.TEXT),
+            self._context.load_estimator.typical_run_seconds(listed.service, WorkKind.TEXT),
             free.tokens,
         )
 
@@ -222,11 +222,11 @@
         runner = self._runner
         if not (is_load_based and self._context.policy.memory_counted):
             return math.inf
-        own_tokens = tokens_at_end(runner.own_runs.at(listed.start), runner.forecast)
+        own_tokens = tokens_at_end(runner.own_runs.runs_at(listed.start), runner.forecast)
         return runner.memory.free_tokens(listed.start, own_tokens, now_seconds)
 
     def _start(self, owned: OwnedJob, start: ItemStart, urgency: int) -> None:
-        start.ledger.started(start.progress)
+        start.ledger.record_start(start.progress)
         task = self._context.daemon.spawn(self._run_item(owned, start, urgency))
         owned.runs[start.progress.item.item_id] = task
 
@@ -246,18 +246,18 @@
         ledger, progress = start.ledger, start.progress
         listed = self._context.directory.entries.get(start.instance)
         if listed is None:
-            ledger.broke(progress, start.instance, self._context.now_seconds())
+            ledger.record_interruption(progress, start.instance, self._context.now_seconds())
             return
         quarantined_until_seconds = await self._runner.quarantined_until(ledger.job, progress.item)
         if quarantined_until_seconds is not None:
-            ledger.postponed(progress, quarantined_until_seconds)
+            ledger.postpone(progress, quarantined_until_seconds)
             owned.runs.pop(progress.item.item_id, None)
             return
-        self._runner.occupancy.began(start.instance)
+        self._runner.occupancy.record_start(start.instance)
         try:
             ended = await self._runner.run(ledger, progress, listed, urgency)
         finally:
-            self._runner.occupancy.ended(start.instance)
+            self._runner.occupancy.record_end(start.instance)
             self._wake.set()
         if ended.end is ItemRunEnd.NOT_RUN:
             until_seconds = self._context.now_seconds() + REFUSAL_COOLDOWN_SECONDS
--- a/rackswitch/gateway/items/leaving_run_mover.py
+++ b/rackswitch/gateway/items/leaving_run_mover.py
@@ -93,7 +93,7 @@
         runs_by_key = {
             run.key: run
             for start in self._leaving_engines.until_seconds
-            for run in self._runner.own_runs.at(start)
+            for run in self._runner.own_runs.runs_at(start)
             if self._can_move(run)
         }
         leaving_runs = [
@@ -119,7 +119,7 @@
         """Record which engines with runs of this daemon are leaving."""
         leaving_starts: set[str] = set()
         for start in self._runner.own_runs.by_start:
-            run = self._runner.own_runs.at(start)[0]
+            run = self._runner.own_runs.runs_at(start)[0]
             if service_of.get(run.ledger.job.job_id) not in load_based_services:
                 continue
             instance = run.instance
@@ -139,14 +139,14 @@
         self, start: str, instance: str, left_seconds: float | None, now_seconds: float
     ) -> None:
         min_seconds = self._context.settings.drain_seconds
-        if not self._leaving_engines.noticed(start, now_seconds, left_seconds, min_seconds):
+        if not self._leaving_engines.record_notice(start, now_seconds, left_seconds, min_seconds):
             return
         self._context.log.write(
             EngineLeaves(
                 target=instance,
                 left_seconds=round(self._leaving_engines.until_seconds[start] - now_seconds, 3),
                 is_told=left_seconds is not None,
-                runs=len(self._runner.own_runs.at(start)),
+                runs=len(self._runner.own_runs.runs_at(start)),
             )
         )
 
@@ -162,7 +162,7 @@
             if may_start or not is_engine_available or now_seconds >= reserved.until_seconds:
                 del self._reserved_slots[key]
                 continue
-            engines_by_instance[reserved.instance].begin(reserved.tokens)
+            engines_by_instance[reserved.instance].reserve(reserved.tokens)
 
     def _make_leaving_run(self, run: LocalRun, order: SlackOrder, now_seconds: float) -> LeavingRun:
         job = run.ledger.job
--- a/rackswitch/gateway/items/load_poller.py
+++ b/rackswitch/gateway/items/load_poller.py
@@ -46,7 +46,7 @@
         self._order_client = order_client
         self._occupancy = occupancy
 
-    async def look(self, service: str) -> None:
+    async def poll(self, service: str) -> None:
         """Poll all usable engines of a service."""
         targets = self._context.directory.usable(service, self._context.now_seconds())
         await asyncio.gather(*(self._poll_target(target) for target in targets))
@@ -56,17 +56,17 @@
         if isinstance(report, EngineReport):
             now_seconds = self._context.now_seconds()
             load = EngineLoad(report.running, report.waiting)
-            self._occupancy.heard(target.instance, load, now_seconds)
+            self._occupancy.record_load(target.instance, load, now_seconds)
             if self._on_report is not None:
                 self._on_report(target, report)
             self._record_load(target, report, now_seconds)
 
     def _record_load(self, target: ListedTarget, report: EngineReport, now_seconds: float) -> None:
         """Pass a report to the load estimator; it states no pace."""
-        if not target.slots or not self._context.places_by_load(target.service):
+        if not target.slots or not self._context.chooses_by_load(target.service):
             return
         reported_at_seconds = now_seconds - ASSUMED_REPORT_AGE_SECONDS
         reported_load = ReportedLoad(
             report.running, report.waiting, target.slots, None, reported_at_seconds
         )
-        self._context.load_estimator.heard(target.start, target.service, reported_load)
+        self._context.load_estimator.record_report(target.start, target.service, reported_load)
--- a/rackswitch/gateway/items/run_load_tracker.py
+++ b/rackswitch/gateway/items/run_load_tracker.py
@@ -24,28 +24,30 @@
 
     def estimate(self, target: ListedTarget, now_seconds: float) -> TargetEstimate | None:
         """Return an engine's estimate for a typical run; None if its load is not considered."""
-        if not self._context.places_by_load(target.service):
+        if not self._context.chooses_by_load(target.service):
             return None
         return self._estimate(target, now_seconds)
 
     def record_start(self, target: ListedTarget, now_seconds: float) -> SentRequest:
         """Add a run that starts now."""
         estimate = self._estimate(target, now_seconds)
-        return self._context.load_estimator.sent(target, WorkKind.TEXT, estimate, now_seconds)
+        return self._context.load_estimator.record_send(
+            target, WorkKind.TEXT, estimate, now_seconds
+        )
 
     def record_end(self, sent: SentRequest, ended: ItemRunEnded | None, pieces: int) -> None:
         """Remove a run and update the estimates by its end; `ended` is None if it was cancelled."""
         load_estimator = self._context.load_estimator
-        load_estimator.done(sent)
+        load_estimator.record_end(sent)
         if ended is None:
             return
         now_seconds = self._context.now_seconds()
-        if ended.end is ItemRunEnd.WHOLE and pieces > 0:
-            load_estimator.worked(sent, float(pieces), now_seconds)
+        if ended.end is ItemRunEnd.COMPLETE and pieces > 0:
+            load_estimator.record_completion(sent, float(pieces), now_seconds)
         elif ended.end is ItemRunEnd.FAILED:
-            load_estimator.failed(sent.start, now_seconds)
+            load_estimator.record_failure(sent.start, now_seconds)
         elif ended.end is ItemRunEnd.NOT_RUN:
-            load_estimator.refused(sent.start, now_seconds)
+            load_estimator.record_refusal(sent.start, now_seconds)
 
     def expected_interval_seconds(
         self, target: ListedTarget, intervals: PieceIntervals, remaining_pieces: float
@@ -57,15 +59,15 @@
         """
         measured_seconds = intervals.seconds_per_piece()
         load_estimator = self._context.load_estimator
-        if measured_seconds is None or not self._context.places_by_load(target.service):
+        if measured_seconds is None or not self._context.chooses_by_load(target.service):
             return measured_seconds
         now_seconds = self._context.now_seconds()
-        estimate = load_estimator.place(target, WorkKind.TEXT, remaining_pieces, now_seconds)
+        estimate = load_estimator.estimate(target, WorkKind.TEXT, remaining_pieces, now_seconds)
         return estimate.unit_seconds * estimate.pace
 
     def _estimate(self, target: ListedTarget, now_seconds: float) -> TargetEstimate:
         load_estimator = self._context.load_estimator
-        units = load_estimator.usual_units(target.service, WorkKind.TEXT)
+        units = load_estimator.typical_units(target.service, WorkKind.TEXT)
         target_state = self._context.targets.get(target.instance)
         arrival_seconds = 2 * target_state.one_way_seconds if target_state is not None else 0.0
-        return load_estimator.place(target, WorkKind.TEXT, units, now_seconds, arrival_seconds)
+        return load_estimator.estimate(target, WorkKind.TEXT, units, now_seconds, arrival_seconds)
--- a/rackswitch/gateway/items/step_ranks.py
+++ b/rackswitch/gateway/items/step_ranks.py
@@ -6,7 +6,7 @@
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.jobs.owned_job import OwnedJob
 from rackswitch.jobs import (
-    MIDDLE_URGENCY,
+    DEFAULT_URGENCY,
     EngineCapacity,
     ItemProgress,
     Job,
@@ -87,9 +87,9 @@
     def urgency(self, order: SlackOrder, ledger: JobLedger, progress: ItemProgress) -> int:
         """Return the urgency that is sent to the engine with an item's run."""
         if not self._context.policy.urgency_told:
-            return MIDDLE_URGENCY
+            return DEFAULT_URGENCY
         job_id = ledger.job.job_id
-        rank = order.class_of[job_id]
+        rank = order.rank_of[job_id]
         ranks = self._ranks(order.service_of.get(job_id, ""))
         slack_seconds = order.start_by_seconds(ledger, progress) - self._context.now_seconds()
         return urgency_of(
@@ -103,7 +103,7 @@
         route = self._context.routes.find(job.host, job.path)
         if route is None:
             return RouteRow(name="", choices=()).caller_class
-        return self._context.tenants.of_tenant(job.tenant).rank(route.caller_class)
+        return self._context.tenants.caller_of_tenant(job.tenant).rank(route.caller_class)
 
     def _ranks(self, service: str) -> _ServiceRanks:
         if self._table_revision != self._context.table_revision:
--- a/rackswitch/gateway/items/tests/test_item_runner.py
+++ b/rackswitch/gateway/items/tests/test_item_runner.py
@@ -44,13 +44,13 @@
     def __init__(self):
         self.reports = []
 
-    def broke(self, fingerprint, target):
+    def record_failure(self, fingerprint, target):
         self.reports.append("broke")
 
-    def answered(self, fingerprint_of):
+    def record_answer(self, fingerprint_of):
         self.reports.append("answered")
 
-    def not_run(self, fingerprint_of):
+    def record_not_run(self, fingerprint_of):
         self.reports.append("not run")
 
 
@@ -63,7 +63,7 @@
 
 async def run_item(runner: ItemRunner, ledger: JobLedger) -> ItemRunEnded:
     progress = ledger.items["i0"]
-    ledger.started(progress)
+    ledger.record_start(progress)
     return await runner.run(ledger, progress, ENGINE)
 
 
@@ -87,7 +87,7 @@
         await asyncio.sleep(FIRST_PIECE_TIMEOUT_SECONDS * 0.9)
         now_seconds = runner._context.now_seconds()
         if others_progress:
-            runner.paces.note(ENGINE.start, 0.04, now_seconds)
+            runner.paces.record_interval(ENGINE.start, 0.04, now_seconds)
         await run_task
         return runner._context.targets[ENGINE.instance].open_until_seconds > now_seconds
 
@@ -100,11 +100,11 @@
         engine = ScriptedEngine([TextPiece(1, "a", 1)], ItemRunEnd.SILENT, 1.2)
         runner, ledger = make_runner(engine)
         progress = ledger.items["i0"]
-        ledger.started(progress)
+        ledger.record_start(progress)
         run_task = asyncio.create_task(runner.run(ledger, progress, ENGINE, urgency))
         await asyncio.sleep(1.0)
         now_seconds = runner._context.now_seconds()
-        runner.paces.note(ENGINE.start, 0.04, now_seconds)
+        runner.paces.record_interval(ENGINE.start, 0.04, now_seconds)
         await run_task
         return runner._context.targets[ENGINE.instance].open_until_seconds > now_seconds
 
@@ -115,7 +115,7 @@
 def test_a_run_moves_to_a_faster_engine_if_that_saves_time(spare_seconds_per_piece):
     async def scenario():
         pieces = [TextPiece(number, "a", 1) for number in range(1, 101)]
-        runner, ledger = make_runner(ScriptedEngine(pieces, ItemRunEnd.WHOLE, 0.0, 0.05))
+        runner, ledger = make_runner(ScriptedEngine(pieces, ItemRunEnd.COMPLETE, 0.0, 0.05))
         if spare_seconds_per_piece is not None:
             runner.spare["s"] = SpareCapacity("e2", spare_seconds_per_piece, 1, {"m": 1})
         ended = await run_item(runner, ledger)
@@ -123,17 +123,17 @@
 
     end, moves, spare = run_virtual(scenario())
     assert moves == (spare_seconds_per_piece == 0.04)
-    assert (end is ItemRunEnd.WHOLE) is (moves == 0)
+    assert (end is ItemRunEnd.COMPLETE) is (moves == 0)
     assert all(capacity.free_slots == 1 - moves for capacity in spare.values())
 
 
 def test_records_the_load_reported_in_a_stream():
     async def scenario():
         runner, ledger = make_runner(
-            ScriptedEngine([EngineLoad(7, 2), TextPiece(1, "a", 1)], ItemRunEnd.WHOLE, 0.0)
+            ScriptedEngine([EngineLoad(7, 2), TextPiece(1, "a", 1)], ItemRunEnd.COMPLETE, 0.0)
         )
         await run_item(runner, ledger)
-        return runner.occupancy.others(ENGINE.instance, runner._context.now_seconds())
+        return runner.occupancy.other_runs(ENGINE.instance, runner._context.now_seconds())
 
     assert run_virtual(scenario()) == 9
 
@@ -157,9 +157,9 @@
         order_client = FakeOrderClient(
             {"e1": EngineReport({"m": 1}, False, 0, waiting=3, running=12)}
         )
-        await LoadPoller(context, order_client, occupancy).look("s")
+        await LoadPoller(context, order_client, occupancy).poll("s")
         now_seconds = context.now_seconds()
-        return occupancy.others("e1", now_seconds), occupancy.others("e2", now_seconds)
+        return occupancy.other_runs("e1", now_seconds), occupancy.other_runs("e2", now_seconds)
 
     assert run_virtual(scenario()) == (15, 0)
 
@@ -167,15 +167,15 @@
 @pytest.mark.parametrize(
     ("end", "was_sent", "report"),
     [
-        (ItemRunEnd.BROKEN, True, "broke"),
+        (ItemRunEnd.INTERRUPTED, True, "broke"),
         (ItemRunEnd.SILENT, True, "broke"),
         # An item that could not be sent cannot have caused the engine's end.
         (ItemRunEnd.SILENT, False, "not run"),
         (ItemRunEnd.NOT_RUN, True, "not run"),
-        (ItemRunEnd.NOT_THERE, True, "not run"),
+        (ItemRunEnd.MISDIRECTED, True, "not run"),
         (ItemRunEnd.FAILED, True, "answered"),
         (ItemRunEnd.IMPOSSIBLE, True, "answered"),
-        (ItemRunEnd.WHOLE, True, "answered"),
+        (ItemRunEnd.COMPLETE, True, "answered"),
     ],
 )
 def test_reports_the_end_of_a_run_to_quarantine(end, was_sent, report):
@@ -193,7 +193,7 @@
     async def scenario():
         quarantine = RecordingQuarantine()
         pieces_of_run = [TextPiece(number + 1, "a", 1) for number in range(pieces)]
-        engine = ScriptedEngine(pieces_of_run, ItemRunEnd.BROKEN, 0.0, interval_seconds=0.04)
+        engine = ScriptedEngine(pieces_of_run, ItemRunEnd.INTERRUPTED, 0.0, interval_seconds=0.04)
         await run_item(*make_runner(engine, quarantine))
         return quarantine.reports
 
--- a/rackswitch/gateway/items/tests/test_item_starter.py
+++ b/rackswitch/gateway/items/tests/test_item_starter.py
@@ -19,7 +19,7 @@
 from rackswitch.gateway.policy import PolicySettings
 from rackswitch.gateway.tests.support import NoQuarantine, make_gateway_context
 from rackswitch.jobs import EngineCapacity, EngineLoad, Job, JobItem, SlackOrder, TextPiece
-from rackswitch.jobs.schedule import FIRST_PIECES_PER_TOKEN
+from rackswitch.jobs.schedule import INITIAL_PIECES_PER_TOKEN
 from rackswitch.platform.item_runs import ItemRunEnd, ItemRunEnded
 from rackswitch.platform.orders import EngineReport
 from rackswitch.routing import ListedTarget, Target
@@ -102,10 +102,10 @@
                 for number in range(request.after_piece + 1, self.lengths[item] + 1):
                     await asyncio.sleep(PIECE_SECONDS)
                     if name in self.ended_engines:
-                        yield ItemRunEnded(ItemRunEnd.BROKEN, "reset")
+                        yield ItemRunEnded(ItemRunEnd.INTERRUPTED, "reset")
                         return
                     yield TextPiece(number, f"{item}:{number}", 1)
-                yield ItemRunEnded(ItemRunEnd.WHOLE)
+                yield ItemRunEnded(ItemRunEnd.COMPLETE)
             finally:
                 self._release_slot(name)
         finally:
@@ -153,7 +153,7 @@
         for number in range(count):
             self.list_engine(f"e{number}")
         reported_load = ReportedLoad(0, 0, SLOTS, pace, self.context.now_seconds())
-        self.context.load_estimator.heard("of another engine@0", "s", reported_load)
+        self.context.load_estimator.record_report("of another engine@0", "s", reported_load)
         paces = EnginePaces()
         self.runner = ItemRunner(self.context, engines, None, paces, NoQuarantine())
         self.wake = asyncio.Event()
@@ -197,7 +197,7 @@
             headers=(),
             body=b"",
             tokens=100_000,
-            expected_tokens=pieces / FIRST_PIECES_PER_TOKEN,
+            expected_tokens=pieces / INITIAL_PIECES_PER_TOKEN,
             group=f"g{number}",
         )
         for number, pieces in enumerate(lengths)
@@ -209,7 +209,7 @@
 
 def lengths_of(*jobs: Job) -> dict[str, int]:
     return {
-        item.item_id: round(item.expected_tokens * FIRST_PIECES_PER_TOKEN)
+        item.item_id: round(item.expected_tokens * INITIAL_PIECES_PER_TOKEN)
         for job in jobs
         for item in job.items
     }
@@ -276,7 +276,7 @@
         owner.add_job(step)
         await owner.run_for(0.1)
         owner.list_engine("e1")
-        owner.context.directory.disown("e0")
+        owner.context.directory.remove_replaced("e0")
         await owner.run_for(10.0)
         check_complete_texts(owner, engines)
         return [name for name, _ in engines.requests]
@@ -291,7 +291,7 @@
     monkeypatch, single_version, expected_engines
 ):
     suspected = []
-    monkeypatch.setattr(NoQuarantine, "broke", lambda *args: suspected.append(args))
+    monkeypatch.setattr(NoQuarantine, "record_failure", lambda *args: suspected.append(args))
 
     async def scenario():
         step = make_step("j", [150])
@@ -403,9 +403,9 @@
         small, large = (owner.context.directory.entries[name] for name in ("e0", "e1"))
         for target, total in ((small, 6000), (large, 60_000)):
             report = EngineReport({"m": 1}, False, 0, 0, 1, 500, total)
-            owner.runner.occupancy.heard(target.instance, EngineLoad(1, 0), 0.0)
-            owner.runner.hear_memory(target, report)
-        owner.runner.paces.note(large.start, 0.08, owner.context.now_seconds())
+            owner.runner.occupancy.record_load(target.instance, EngineLoad(1, 0), 0.0)
+            owner.runner.record_memory(target, report)
+        owner.runner.paces.record_interval(large.start, 0.08, owner.context.now_seconds())
         owner.add_job(step)
         await owner.run_for(0.1)
         return sorted(name for name, _ in engines.requests)
@@ -436,14 +436,14 @@
             capacities = []
             for listed in owner.context.directory.usable("s", now_seconds):
                 if rng.random() < 0.5:
-                    occupancy.own[listed.instance] = rng.randint(0, SLOTS)
+                    occupancy.own_runs[listed.instance] = rng.randint(0, SLOTS)
                 if rng.random() < 0.3:
                     load = EngineLoad(rng.randint(0, SLOTS), rng.randint(0, 3))
-                    occupancy.heard(listed.instance, load, now_seconds)
+                    occupancy.record_load(listed.instance, load, now_seconds)
                     report = EngineReport({"m": 1}, False, 0, 0, 0, 900, 1000)
-                    owner.runner.hear_memory(listed, report)
-                own_count = occupancy.own.get(listed.instance, 0)
-                others = occupancy.others(listed.instance, now_seconds)
+                    owner.runner.record_memory(listed, report)
+                own_count = occupancy.own_runs.get(listed.instance, 0)
+                others = occupancy.other_runs(listed.instance, now_seconds)
                 capacities.append((listed.instance, SLOTS - own_count, own_count + others))
             owner.starter.start_items(owner.owned)
             expected_capacities.append(capacities)
@@ -476,9 +476,9 @@
         owner = Owner("a", SharedEngines({}), 1, ON)
         owner.add_job(make_step("j", [10]))
         listed = owner.context.directory.entries["e0"]
-        owner.runner.occupancy.heard("e0", EngineLoad(4, 0), owner.context.now_seconds())
+        owner.runner.occupancy.record_load("e0", EngineLoad(4, 0), owner.context.now_seconds())
         report = EngineReport({"m": 1}, False, 0, 0, 4, 900, 1000)
-        owner.runner.hear_memory(listed, report)
+        owner.runner.record_memory(listed, report)
         owner.starter.start_items(owner.owned)
 
     run_virtual(scenario())
@@ -536,7 +536,7 @@
         owner.add_job(make_step("j", [10]))
         owner.add_job(make_step("k", [10], path="/third"))
         for name in ("e0", "t0"):
-            owner.runner.occupancy.heard(name, EngineLoad(4, 0), owner.context.now_seconds())
+            owner.runner.occupancy.record_load(name, EngineLoad(4, 0), owner.context.now_seconds())
         await asyncio.sleep(2.0)
         owner.starter.start_items(owner.owned)
 
@@ -549,8 +549,8 @@
         step = make_step("j", [100])
         owner = Owner("a", SharedEngines(lengths_of(step)), 1, ON)
         listed = owner.context.directory.entries["e0"]
-        owner.runner.occupancy.heard("e0", EngineLoad(SLOTS, 0), owner.context.now_seconds())
-        owner.runner.hear_memory(listed, EngineReport({"m": 1}, False, 0, 0, SLOTS, 900, 1000))
+        owner.runner.occupancy.record_load("e0", EngineLoad(SLOTS, 0), owner.context.now_seconds())
+        owner.runner.record_memory(listed, EngineReport({"m": 1}, False, 0, 0, SLOTS, 900, 1000))
         spare = []
         for seconds in (0.1, 2.0):
             await asyncio.sleep(seconds)
@@ -595,18 +595,18 @@
                     owner.list_engine(name, draining=True, leaving_in_seconds=rng.choice([None, 1]))
         for owner in owners:
             loading_engine = rng.choice([name for name in owner.context.directory.entries])
-            owner.context.loads.told(loading_engine, "m", 1, owner.context.now_seconds())
+            owner.context.loads.record_order(loading_engine, "m", 1, owner.context.now_seconds())
         await asyncio.sleep(rng.uniform(0.5, 2.5))
         engines.ended_engines.update(ended_names)
         await asyncio.sleep(0.5)
         for owner in owners:
             for name in ended_names:
-                owner.context.directory.disown(name)
+                owner.context.directory.remove_replaced(name)
         await asyncio.gather(*owner_tasks)
         for owner in owners:
             check_complete_texts(owner, engines)
             assert owner.runner.own_runs.by_start == {}
-            assert all(count == 0 for count in owner.runner.occupancy.own.values())
+            assert all(count == 0 for count in owner.runner.occupancy.own_runs.values())
 
     run_virtual(scenario())
 
@@ -636,7 +636,7 @@
             await asyncio.sleep(0.01)
             now_seconds = owners[0].context.now_seconds()
             items_wait = any(
-                owned.ledger.waiting(now_seconds)
+                owned.ledger.startable_items(now_seconds)
                 for owner in owners
                 for owned in owner.owned.values()
             )
