--- a/rackswitch/gateway/items/tests/test_run_load_tracker.py
+++ b/rackswitch/gateway/items/tests/test_run_load_tracker.py
@@ -34,7 +34,7 @@
 def report_load(runner, listed, running=0, waiting=0, pace: float | None = 1.0):
     now_seconds = runner._context.now_seconds()
     reported_load = ReportedLoad(running, waiting, 12, pace, now_seconds)
-    runner._context.load_estimator.heard(listed.start, "s", reported_load)
+    runner._context.load_estimator.record_report(listed.start, "s", reported_load)
 
 
 def capacities_of(runner):
@@ -56,7 +56,7 @@
 
 async def run_item(runner, ledger):
     progress = ledger.items["i0"]
-    ledger.started(progress)
+    ledger.record_start(progress)
     return await runner.run(ledger, progress, ENGINES[0])
 
 
@@ -76,15 +76,17 @@
         capacities_before = capacities_of(runner)
         for listed in ENGINES:
             report_load(runner, listed, running=12, waiting=6, pace=None)
-            runner._context.load_estimator.refused(listed.start, runner._context.now_seconds())
+            runner._context.load_estimator.record_refusal(
+                listed.start, runner._context.now_seconds()
+            )
         return capacities_before, capacities_of(runner)
 
     capacities_before, capacities_after = run_virtual(scenario())
     assert capacities_before == capacities_after
-    assert all(engine.place is None for engine in capacities_after)
+    assert all(engine.estimate is None for engine in capacities_after)
 
 
-@pytest.mark.parametrize("end", [ItemRunEnd.WHOLE, ItemRunEnd.NOT_RUN, ItemRunEnd.BROKEN])
+@pytest.mark.parametrize("end", [ItemRunEnd.COMPLETE, ItemRunEnd.NOT_RUN, ItemRunEnd.INTERRUPTED])
 def test_counts_a_run_only_until_its_end(end):
     async def scenario():
         runner = make_runner(ScriptedEngine([TextPiece(1, "a", 1)], end, 0.5))
@@ -104,7 +106,7 @@
 
 def test_does_not_count_a_cancelled_run():
     async def scenario():
-        runner = make_runner(ScriptedEngine([], ItemRunEnd.WHOLE, 9.0))
+        runner = make_runner(ScriptedEngine([], ItemRunEnd.COMPLETE, 9.0))
         report_load(runner, ENGINES[0])
         run_task = asyncio.create_task(run_item(runner, JobLedger(make_job())))
         await asyncio.sleep(0.1)
@@ -120,7 +122,7 @@
     async def scenario():
         pieces = [TextPiece(number, "a", 1) for number in range(1, 101)]
         interval_seconds = 0.04 * pace
-        runner = make_runner(ScriptedEngine(pieces, ItemRunEnd.WHOLE, 0.0, interval_seconds))
+        runner = make_runner(ScriptedEngine(pieces, ItemRunEnd.COMPLETE, 0.0, interval_seconds))
         report_load(runner, ENGINES[0], pace=pace)
         report_load(runner, ENGINES[1], pace=1.0)
         runner.spare["s"] = SpareCapacity("e2", 0.04, 1, {"m": 1})
@@ -143,11 +145,11 @@
 
 def test_logs_the_estimate_of_the_engine_with_the_run(monkeypatch):
     async def scenario():
-        runner = make_runner(ScriptedEngine([TextPiece(1, "a", 1)], ItemRunEnd.WHOLE, 0.1))
+        runner = make_runner(ScriptedEngine([TextPiece(1, "a", 1)], ItemRunEnd.COMPLETE, 0.1))
         logged_events = []
         monkeypatch.setattr(DecisionLog, "write", lambda log, event: logged_events.append(event))
         report_load(runner, ENGINES[0], running=12, waiting=3, pace=1.5)
-        run_seconds = runner._context.load_estimator.usual_run_seconds("s", WorkKind.TEXT)
+        run_seconds = runner._context.load_estimator.typical_run_seconds("s", WorkKind.TEXT)
         await asyncio.sleep(0.2)
         await run_item(runner, JobLedger(make_job()))
         return logged_events[-1].place, run_seconds
--- a/rackswitch/gateway/jobs/hand_over_sender.py
+++ b/rackswitch/gateway/jobs/hand_over_sender.py
@@ -14,7 +14,7 @@
 from rackswitch.jobs import (
     OwnerCandidate,
     SuccessorCandidate,
-    is_renewed,
+    is_restarted,
     order_jobs,
     order_successors,
 )
@@ -98,7 +98,7 @@
         """Offer a job to one daemon after the other until one takes it."""
         job_id = owned.ledger.job.job_id
         until_seconds = self._context.now_seconds() + OFFERS_TIMEOUT_SECONDS
-        service_unreachable = self._context.contact.is_away
+        service_unreachable = self._context.contact.is_unreachable
         for successor in self._successors(owned):
             if self._context.now_seconds() >= until_seconds or not self._is_owned_here(owned):
                 break
@@ -138,10 +138,10 @@
             SuccessorCandidate(
                 OwnerCandidate(
                     name,
-                    context.room_of(name),
+                    context.free_slots_of(name),
                     open_items[name],
                     now_unix_seconds - last_submits.get(name, float("-inf")),
-                    is_renewed(
+                    is_restarted(
                         context.process_start(name),
                         context.process_started_unix_seconds,
                         now_unix_seconds,
--- a/rackswitch/gateway/jobs/job_claims.py
+++ b/rackswitch/gateway/jobs/job_claims.py
@@ -97,7 +97,7 @@
 
     def owner_put(self, key_part: str, owner: JobOwner) -> None:
         """Record a job's owner and the start time of the owner's process."""
-        self._orphans.owned(key_part)
+        self._orphans.record_owned(key_part)
         self._owner_process_starts[key_part] = self._context.process_start(owner.daemon)
 
     def record_marker_deleted(self, key: str) -> None:
@@ -107,7 +107,7 @@
     def owner_deleted(self, key: str) -> None:
         """Record that a job has no owner."""
         key_part = key.removeprefix(OWNERS_PREFIX)
-        self._orphans.orphaned(key_part, self._context.now_seconds())
+        self._orphans.record_orphaned(key_part, self._context.now_seconds())
 
     def session_lost(self) -> None:
         """Record that this daemon's owner keys were deleted with its lease."""
@@ -115,14 +115,14 @@
         for job_id, owned in self._jobs.by_id.items():
             # Another daemon may append results until this one has claimed the job again.
             owned.may_miss_results = True
-            self._orphans.orphaned(job_key_part(job_id), now_seconds)
+            self._orphans.record_orphaned(job_key_part(job_id), now_seconds)
 
     # Claims
 
     def claim_due(self) -> None:
         """Start the claims that are due, in the order in which training steps need the jobs."""
-        is_unreachable = self._context.contact.is_away
-        if is_unreachable or (self._session.lease_id is not None and not self._session.is_sure()):
+        is_unreachable = self._context.contact.is_unreachable
+        if is_unreachable or (self._session.lease_id is not None and not self._session.is_valid()):
             self._probe()
         if is_unreachable:
             return
@@ -147,12 +147,12 @@
             return
         awaits_claim = owned is not None and owned.awaits_claim
         if awaits_claim or (owned is None and self._known.owner(key_part) is None):
-            self._orphans.orphaned(key_part, now_seconds)
+            self._orphans.record_orphaned(key_part, now_seconds)
         if not self._orphans.is_orphan(key_part):
             return
         released = self._is_released(key_part)
         live = self._context.daemon.membership.live()
-        if self._orphans.may_claim(key_part, live, owned is not None, released, now_seconds):
+        if self._orphans.try_claim(key_part, live, owned is not None, released, now_seconds):
             self._context.daemon.spawn(self.claim(job_id, marker_revision))
 
     def _probe(self) -> None:
@@ -180,7 +180,7 @@
 
     def _has_just_recovered(self) -> bool:
         """Return whether an outage of the key-value service has ended a moment ago."""
-        recovered_at_seconds = self._context.contact.back_seconds
+        recovered_at_seconds = self._context.contact.recovered_at_seconds
         return self._context.now_seconds() - recovered_at_seconds < RECOVERY_GRACE_SECONDS
 
     async def claim(self, job_id: str, marker_revision: int) -> None:
@@ -190,7 +190,7 @@
             await self._local_claims.claim(owned)
             return
         lease_id, stored = await asyncio.gather(
-            self._session.hold(), self._store.load_checkpoint(job_id)
+            self._session.acquire_lease(), self._store.load_checkpoint(job_id)
         )
         if lease_id is None or isinstance(stored, KvUnavailable):
             return
@@ -203,7 +203,7 @@
         if claimed == 0:
             await self._local_claims.resolve_refused_claim(job_id)
             return
-        self._orphans.owned(job_key_part(job_id))
+        self._orphans.record_owned(job_key_part(job_id))
         owned = self._jobs.by_id.get(job_id)
         if owned is not None:
             owned.record_claim(claimed, may_miss_results=True)
@@ -212,7 +212,7 @@
 
     def record_offered_job(self, job: Job, marker_revision: int) -> None:
         """Record a job that another daemon offered, unless the watch has reported it."""
-        self._known.created(make_marker(job), marker_revision)
+        self._known.record_created(make_marker(job), marker_revision)
 
     def is_open(self, job_id: str) -> bool:
         """Return whether a job is known and has not been ended."""
@@ -235,7 +235,7 @@
                 self._jobs.incoming.discard(job_id)
             if is_claimed:
                 return
-        await self._session.end_predecessors(owner.lease_id)
+        await self._session.revoke_predecessor_lease(owner.lease_id)
 
     def _may_reclaim(self, job_id: str) -> bool:
         is_free = job_id not in self._jobs.by_id and job_id not in self._jobs.incoming
@@ -251,7 +251,7 @@
             self._store.load_checkpoint(job_id),
             self._store.load_items(job_id),
             self._store.load_results(job_id, 0),
-            self._session.hold(),
+            self._session.acquire_lease(),
         )
         if isinstance(stored, KvUnavailable) or isinstance(results, KvUnavailable):
             return False
@@ -262,7 +262,7 @@
         )
         if not isinstance(claimed, int) or not claimed:
             return False
-        self._orphans.owned(job_key_part(job_id))
+        self._orphans.record_owned(job_key_part(job_id))
         owned = self._jobs.add(job, claimed, results)
         if stored.checkpoint is not None:
             self._checkpoints.resume(owned, stored.checkpoint)
--- a/rackswitch/gateway/jobs/job_cleaner.py
+++ b/rackswitch/gateway/jobs/job_cleaner.py
@@ -8,9 +8,9 @@
 from rackswitch.gateway.jobs.job_records import job_key_part
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.known_jobs import KnownJobs
-from rackswitch.jobs import is_forgettable
+from rackswitch.jobs import is_expired
 from rackswitch.leases import rank_candidates
-from rackswitch.telemetry.events import JobForgotten
+from rackswitch.telemetry.events import JobExpired
 
 __all__ = ["JobCleaner"]
 
@@ -42,7 +42,7 @@
         """Delete one old job after the other until cancelled."""
         while True:
             await asyncio.sleep(CLEAN_INTERVAL_SECONDS * (0.5 + self._context.rng.random()))
-            if self._context.daemon.stopping or self._context.contact.is_away:
+            if self._context.daemon.stopping or self._context.contact.is_unreachable:
                 continue
             job_id = self._next_job()
             if job_id is not None:
@@ -54,7 +54,7 @@
         now_unix_seconds = time.time()
         for job_id, known in self._known.jobs.items():
             marker = known.marker
-            is_old = is_forgettable(
+            is_old = is_expired(
                 marker.submitted_at_unix_seconds,
                 marker.ended,
                 self._context.settings.keep_results_seconds,
@@ -69,4 +69,4 @@
     async def _delete(self, job_id: str) -> None:
         failure = await self._store.delete_job(job_id)
         outcome = failure.detail if isinstance(failure, KvUnavailable) else "forgotten"
-        self._context.log.write(JobForgotten(job=job_id, outcome=outcome))
+        self._context.log.write(JobExpired(job=job_id, outcome=outcome))
--- a/rackswitch/gateway/jobs/job_handler.py
+++ b/rackswitch/gateway/jobs/job_handler.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from rackswitch.gateway.callers.disconnects import done_before_disconnect
-from rackswitch.gateway.callers.refusals import TEXT, Refusal, refuse, refuse_before_routing
+from rackswitch.gateway.callers.refusals import TEXT_HEADERS, Refusal, refuse, refuse_before_routing
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.jobs.job_manager import JobManager
 from rackswitch.gateway.jobs.job_outcomes import JobCreated, JobKnown, JobNotStored, JobTooLarge
@@ -140,7 +140,7 @@
     def _retry_after_seconds(self) -> float:
         """Return the retry delay for a refused trainer, longer during an outage."""
         contact = self._context.contact
-        if not contact.is_away:
+        if not contact.is_unreachable:
             return RETRY_AFTER_SECONDS
         now_seconds = self._context.now_seconds()
         remaining_seconds = contact.outage.remaining_seconds(now_seconds)
@@ -155,7 +155,7 @@
             await exchange.respond(202)
             return _SubmissionAnswer(202, type(outcome).__name__)
         if isinstance(outcome, JobNotStored) and outcome.effect_unknown:
-            await exchange.respond(504, TEXT, b"the job may have been taken; send it again")
+            await exchange.respond(504, TEXT_HEADERS, b"the job may have been taken; send it again")
             return _SubmissionAnswer(504, outcome.detail)
         if isinstance(outcome, JobTooLarge):
             refusal = Refusal(413, outcome.detail)
--- a/rackswitch/gateway/jobs/job_manager.py
+++ b/rackswitch/gateway/jobs/job_manager.py
@@ -154,12 +154,12 @@
             return JobKnown()
         route = self._context.routes.find(job.host, job.path)
         if route is not None and self._context.policy.loads_asked:
-            self._context.daemon.spawn(self._load_poller.look(route.choices[0].serves))
+            self._context.daemon.spawn(self._load_poller.poll(route.choices[0].serves))
         outcome = await write_on_lease(
             self._session, lambda lease_id: self._store.create(job, lease_id)
         )
         if isinstance(outcome, JobCreated):
-            self.known.created(make_marker(job), outcome.owner_revision)
+            self.known.record_created(make_marker(job), outcome.owner_revision)
             self._jobs.add(job, outcome.owner_revision, [])
         return outcome
 
@@ -175,7 +175,7 @@
 
     # Requests of other daemons
 
-    async def yield_job(
+    async def release_job(
         self, job_id: str, owner_revision: int, daemon: str = ""
     ) -> JobCheckpoint | None:
         """Release a job to its next owner; return its final checkpoint.
@@ -196,7 +196,7 @@
         """
         return await self._jobs.checkpoint_for(job_id, owner_revision, daemon)
 
-    async def receive(self, request: pb.HandOverRequest) -> pb.HandOverReply:
+    async def receive_hand_over(self, request: pb.HandOverRequest) -> pb.HandOverReply:
         """Take over a job of a daemon that stops, or reply with the reason for a refusal."""
         return await self._receiver.receive(request)
 
--- a/rackswitch/gateway/jobs/job_placer.py
+++ b/rackswitch/gateway/jobs/job_placer.py
@@ -9,14 +9,14 @@
 from rackswitch.gateway.jobs.job_outcomes import JobCreated, JobKnown, JobNotStored, JobTooLarge
 from rackswitch.gateway.jobs.job_records import job_key_part, make_marker, pack_job, unpack_job
 from rackswitch.gateway.jobs.known_jobs import JobOwner
-from rackswitch.jobs import Job, OwnerCandidate, OwnerSelector, is_renewed
+from rackswitch.jobs import Job, OwnerCandidate, OwnerSelector, is_restarted
 from rackswitch.membership import MemberUpdate
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.peers.gateway_grpc import GatewayPeersStub
 from rackswitch.peers.links import PeerUnreachable
 from rackswitch.telemetry.events import JobPlaced
 
-__all__ = ["AdoptedJobs", "JobPlacer"]
+__all__ = ["ForwardedJobReceiver", "JobPlacer"]
 
 FORWARD_TIMEOUT_SECONDS = 0.6
 """Covers two calls of a slow key-value service by the other daemon."""
@@ -71,7 +71,7 @@
         During an outage of the key-value service that is this daemon: others are probably cut off
         too, and the submitter would wait `FORWARD_TIMEOUT_SECONDS` for an unknown outcome.
         """
-        if not self._context.policy.jobs_gathered or self._context.contact.is_away:
+        if not self._context.policy.jobs_gathered or self._context.contact.is_unreachable:
             return self._context.daemon_name
         open_items = self._job_manager.known.open_items()
         last_submits = self._job_manager.known.last_submit_unix_seconds()
@@ -80,28 +80,30 @@
         candidates = [
             OwnerCandidate(
                 name,
-                self._context.room_of(name),
+                self._context.free_slots_of(name),
                 open_items[name],
                 idle_seconds=job.submitted_at_unix_seconds - last_submits.get(name, float("-inf")),
-                is_renewed=name in restarted,
+                is_restarted=name in restarted,
             )
             for name, member_zone in self._context.daemon.membership.live_zones()
             if member_zone == zone
         ]
-        return self._owner_selector.owner(candidates, len(job.items), self._context.now_seconds())
+        return self._owner_selector.select_owner(
+            candidates, len(job.items), self._context.now_seconds()
+        )
 
     def _restarted_daemons(self) -> set[str]:
         """Return the daemons that were restarted already during a rolling restart."""
         context = self._context
         live = context.daemon.membership.live()
-        leaving = set(context.daemon.membership.others_reachable()) - set(live)
+        leaving = set(context.daemon.membership.reachable_peers()) - set(live)
         if not leaving or not context.policy.jobs_handed_over:
             return set()
         starts = {name: self._process_start(name) for name in live}
         oldest = min((start for start in starts.values() if start is not None), default=0.0)
         now_unix_seconds = context.unix_seconds()
         return {
-            name for name, start in starts.items() if is_renewed(start, oldest, now_unix_seconds)
+            name for name, start in starts.items() if is_restarted(start, oldest, now_unix_seconds)
         }
 
     def _process_start(self, daemon: str) -> float | None:
@@ -136,9 +138,9 @@
             )
         )
         if isinstance(outcome, JobNotStored):
-            self._owner_selector.failed(peer.daemon, now_seconds)
+            self._owner_selector.record_refusal(peer.daemon, now_seconds)
         elif isinstance(outcome, JobCreated):
-            self._job_manager.known.created(make_marker(job), outcome.owner_revision)
+            self._job_manager.known.record_created(make_marker(job), outcome.owner_revision)
             owner = JobOwner(peer.daemon, outcome.owner_revision, 0)
             self._job_manager.known.record_owner(job_key_part(job.job_id), owner)
         return outcome
@@ -155,7 +157,7 @@
     return JobCreated(reply.owner_revision) if reply.owner_revision else JobKnown()
 
 
-class AdoptedJobs:
+class ForwardedJobReceiver:
     """Receives jobs that other daemons forward.
 
     Parameters
@@ -172,7 +174,7 @@
         self._context = context
         self._job_manager = job_manager
 
-    async def take(self, request: pb.TakeJobRequest) -> pb.TakeJobReply:
+    async def receive(self, request: pb.TakeJobRequest) -> pb.TakeJobReply:
         """Store a job, or reply with the reason for a refusal."""
         if self._context.daemon.stopping:
             return pb.TakeJobReply(detail="this daemon is stopping")
--- a/rackswitch/gateway/jobs/job_reader.py
+++ b/rackswitch/gateway/jobs/job_reader.py
@@ -128,7 +128,7 @@
     ) -> ResultsPage | None:
         """Return results of a job that is owned here; None if the ownership is not certain."""
         owned = self._job_manager.owned.get(job_id)
-        if owned is None or not owned.may_serve_results or not self._session.is_sure():
+        if owned is None or not owned.may_serve_results or not self._session.is_valid():
             return None
         return await self._owned_results(owned, position, deadline_seconds)
 
@@ -194,7 +194,7 @@
         # Readers at other daemons may have read an unconfirmed segment already.
         has_unconfirmed_append = owned.appending.locked() or owned.append_is_unknown
         # If the job was released meanwhile, the caller reads it elsewhere at once.
-        is_certain = self._session.is_sure() and (owned.may_serve_results or ledger.ended)
+        is_certain = self._session.is_valid() and (owned.may_serve_results or ledger.ended)
         if len(ledger.listed) <= position and (has_unconfirmed_append or not is_certain):
             return None
         return ResultsPage(
--- a/rackswitch/gateway/jobs/job_store.py
+++ b/rackswitch/gateway/jobs/job_store.py
@@ -348,7 +348,7 @@
         return reply[0]
 
     def _record_reply(self, reply: object) -> None:
-        self._context.contact.note(self._context.now_seconds(), reply)
+        self._context.contact.record_result(self._context.now_seconds(), reply)
 
 
 def _checkpoint_put(key_part: str, checkpoint: JobCheckpoint) -> Operation:
--- a/rackswitch/gateway/jobs/known_jobs.py
+++ b/rackswitch/gateway/jobs/known_jobs.py
@@ -81,7 +81,7 @@
         self._former_owners.pop(key_part, None)
         return removed_ids
 
-    def created(self, marker: JobMarker, revision: int) -> None:
+    def record_created(self, marker: JobMarker, revision: int) -> None:
         """Record a job that was just created, unless the watch has reported it."""
         self.jobs.setdefault(marker.job_id, KnownJob(marker, revision))
 
--- a/rackswitch/gateway/jobs/lease_writes.py
+++ b/rackswitch/gateway/jobs/lease_writes.py
@@ -33,11 +33,11 @@
         "no session with the key-value service", effect_unknown=False
     )
     for _ in range(MAX_LEASE_ATTEMPTS):
-        lease_id = await session.hold()
+        lease_id = await session.acquire_lease()
         if lease_id is None:
             return JobNotStored("no session with the key-value service", effect_unknown=False)
         outcome = await write(lease_id)
         if not isinstance(outcome, JobNotStored) or not outcome.lease_gone:
             return outcome
-        session.over(lease_id)
+        session.record_lease_lost(lease_id)
     return outcome
--- a/rackswitch/gateway/jobs/local_job_claims.py
+++ b/rackswitch/gateway/jobs/local_job_claims.py
@@ -91,7 +91,9 @@
                     owned.append_is_unknown = True
         if claimed is None:
             next_attempt_seconds = self._context.now_seconds() + RETRY_DELAY_SECONDS
-            self._orphans.retry(job_key_part(owned.ledger.job.job_id), next_attempt_seconds)
+            self._orphans.schedule_claim(
+                job_key_part(owned.ledger.job.job_id), next_attempt_seconds
+            )
         return claimed
 
     async def _claim_on_lease(
@@ -114,7 +116,7 @@
         if not isinstance(claimed, int):
             return None
         if claimed:
-            self._orphans.owned(job_key_part(job_id))
+            self._orphans.record_owned(job_key_part(job_id))
             owned.record_claim(claimed, may_miss_results=position is None)
         return claimed
 
@@ -140,7 +142,7 @@
             ),
         )
         if isinstance(claimed, int) and claimed:
-            self._orphans.owned(job_key_part(job_id))
+            self._orphans.record_owned(job_key_part(job_id))
         return claimed
 
     async def resolve_refused_claim(self, job_id: str) -> None:
@@ -158,9 +160,9 @@
         revision = entry.mod_revision if entry is not None else 0
         lease_id = decode_holder(entry.value)[1] if entry is not None else 0
         if revision == owned.owner_revision and not owned.awaits_claim:
-            self._orphans.owned(job_key_part(job_id))
+            self._orphans.record_owned(job_key_part(job_id))
         elif self._session.is_own(lease_id):
-            self._orphans.owned(job_key_part(job_id))
+            self._orphans.record_owned(job_key_part(job_id))
             owned.record_claim(revision, may_miss_results=True)
         elif self._is_claimable(owned, revision):
             # The position holds results of an earlier attempt; the next append reads them.
--- a/rackswitch/gateway/jobs/owned_job.py
+++ b/rackswitch/gateway/jobs/owned_job.py
@@ -76,7 +76,7 @@
 
     def add_listed_results(self, position: int, results: list[JobResult]) -> None:
         """Add results that are in the key-value service already; cancel their items' runs."""
-        self.ledger.appended(position, results)
+        self.ledger.record_segment(position, results)
         for result in results:
             run = self.runs.pop(result.item_id, None)
             if run is not None:
--- a/rackswitch/gateway/jobs/result_appender.py
+++ b/rackswitch/gateway/jobs/result_appender.py
@@ -10,7 +10,7 @@
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.owned_job import OwnedJob
 from rackswitch.gateway.store.session import Session
-from rackswitch.jobs import JobResult, OrphanedJobs, listing_pause_seconds
+from rackswitch.jobs import JobResult, OrphanedJobs, listing_interval_seconds
 from rackswitch.telemetry.events import ResultsAppended
 
 __all__ = ["ResultAppender"]
@@ -54,7 +54,7 @@
 
     def append_due(self, owned_jobs: Iterable[OwnedJob]) -> None:
         """Start appending finished results, where the interval since the last segment is over."""
-        if self._context.policy.jobs_handed_over and not self._session.is_sure():
+        if self._context.policy.jobs_handed_over and not self._session.is_valid():
             # The append would time out or be refused, and delay the claim that appends the same
             # results.
             return
@@ -67,13 +67,13 @@
             if not owned.ledger.has_pending:
                 self._catch_up_if_due(owned, now_seconds)
                 continue
-            due_seconds = owned.last_append_seconds + listing_pause_seconds(owned.ledger)
+            due_seconds = owned.last_append_seconds + listing_interval_seconds(owned.ledger)
             if now_seconds >= max(due_seconds, owned.next_append_seconds):
                 self._context.daemon.spawn(self._append(owned))
 
     def _catch_up_if_due(self, owned: OwnedJob, now_seconds: float) -> None:
         is_due = owned.may_miss_results and now_seconds >= owned.next_append_seconds
-        if is_due and self._session.is_sure():
+        if is_due and self._session.is_valid():
             owned.next_append_seconds = now_seconds + APPEND_RETRY_DELAY_SECONDS
             self._context.daemon.spawn(self._catch_up(owned))
 
@@ -128,7 +128,7 @@
             if outcome.already_stored:
                 owned.add_listed_results(position, outcome.results)
             else:
-                owned.ledger.appended(position, outcome.results)
+                owned.ledger.record_segment(position, outcome.results)
                 owned.may_miss_results = owned.may_miss_results and ownership != self._ownership(
                     owned
                 )
@@ -136,7 +136,7 @@
         elif isinstance(outcome, AppendConflict):
             # The owner key is deleted or another daemon's: a new claim resolves that.
             owned.may_miss_results = True
-            self._orphans.orphaned(job_key_part(job_id), now_seconds)
+            self._orphans.record_orphaned(job_key_part(job_id), now_seconds)
             owned.next_append_seconds = now_seconds + APPEND_RETRY_DELAY_SECONDS
         else:
             owned.next_append_seconds = now_seconds + APPEND_RETRY_DELAY_SECONDS
@@ -147,7 +147,7 @@
         self, owned: OwnedJob, position: int, segment: list[JobResult]
     ) -> None:
         """Record results that were stored by the write that claimed their job."""
-        owned.ledger.appended(position, segment)
+        owned.ledger.record_segment(position, segment)
         owned.append_is_unknown = False
         owned.last_append_seconds = self._context.now_seconds()
         owned.notify_readers()
--- a/rackswitch/gateway/jobs/tests/fault_injection_run.py
+++ b/rackswitch/gateway/jobs/tests/fault_injection_run.py
@@ -26,7 +26,7 @@
 from rackswitch.gateway.store.replicas import PrefixReplica
 from rackswitch.gateway.store.session import Session
 from rackswitch.gateway.tests.support import (
-    NoLooks,
+    NoLoadPoller,
     NoQuarantine,
     break_at_random,
     make_gateway_context,
@@ -127,21 +127,21 @@
         super().__init__(context, None, None, EnginePaces(), NoQuarantine())
         self._rng = rng
 
-    async def _stream(self, ledger, progress, target, gaps, urgency) -> ItemRunEnded:
+    async def _stream(self, ledger, progress, target, intervals, urgency) -> ItemRunEnded:
         while True:
             await asyncio.sleep(self._rng.expovariate(4.0))
             number = progress.last_number + 1
             text = piece_text(progress.item.item_id, number)
             fault = progress.accept(TextPiece(number, text, 1), 0)
             if fault is not None:
-                return ItemRunEnded(ItemRunEnd.BROKEN, fault.detail)
+                return ItemRunEnded(ItemRunEnd.INTERRUPTED, fault.detail)
             draw = self._rng.random()
             if draw < 0.05:
-                return ItemRunEnded(ItemRunEnd.BROKEN, "stream interrupted")
+                return ItemRunEnded(ItemRunEnd.INTERRUPTED, "stream interrupted")
             if draw < 0.06:
                 return ItemRunEnded(ItemRunEnd.FAILED, "status 500")
             if draw < 0.2:
-                return ItemRunEnded(ItemRunEnd.WHOLE)
+                return ItemRunEnded(ItemRunEnd.COMPLETE)
 
 
 class UnfencedJobStore(JobStore):
@@ -177,9 +177,9 @@
 
     async def _answer(self, process: "DaemonProcess", message):
         if isinstance(message, pb.HandOverRequest):
-            return await process.job_manager.receive(message)
+            return await process.job_manager.receive_hand_over(message)
         assert isinstance(message, pb.YieldJobRequest)
-        checkpoint = await process.job_manager.yield_job(
+        checkpoint = await process.job_manager.release_job(
             message.job_id, message.owner_revision, message.daemon
         )
         if checkpoint is None:
@@ -217,7 +217,7 @@
         )
         runner = (make_runner or RandomRunner)(self.context, rng)
         store = store_class(self.context)
-        self.job_manager = JobManager(self.context, self.session, store, runner, NoLooks())
+        self.job_manager = JobManager(self.context, self.session, store, runner, NoLoadPoller())
         self._replica = PrefixReplica(CONTROL_PREFIX)
         self._members: dict[str, object] = {}
 
@@ -237,7 +237,7 @@
         self.context.daemon.membership.leave()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(STOP_GRACE_SECONDS):
-                await self.presence.tell_leaving()
+                await self.presence.announce_leaving()
                 await self.job_manager.hand_over()
         await self.session.end()
         await self.context.daemon.cancel_all()
@@ -247,7 +247,7 @@
         while True:
             await asyncio.sleep(REPLICA_INTERVAL_SECONDS * (0.5 + self.context.rng.random()))
             read = await self.kv.read(CONTROL_PREFIX, is_prefix=True)
-            self.context.contact.note(self.context.now_seconds(), read)
+            self.context.contact.record_result(self.context.now_seconds(), read)
             if isinstance(read, KvUnavailable):
                 continue
             changes = self._replica.replace(read.entries, read.revision)
@@ -278,7 +278,9 @@
 
     def _update_membership(self) -> None:
         members = list(self._members.values())
-        self.context.daemon.membership.learn_listed(members, self.context.now_seconds())
+        self.context.daemon.membership.update_from_complete_list(
+            members, self.context.now_seconds()
+        )
 
 
 @dataclass(slots=True)
@@ -360,7 +362,7 @@
                     owned = process.job_manager.owned.get(job.job_id)
                     if (
                         owned is not None
-                        and process.session.is_sure()
+                        and process.session.is_valid()
                         and process.kv.running.is_set()
                     ):
                         self.history.record_read(job.job_id, list(owned.ledger.listed))
--- a/rackswitch/gateway/jobs/tests/hand_over_fleet.py
+++ b/rackswitch/gateway/jobs/tests/hand_over_fleet.py
@@ -61,7 +61,7 @@
         super().__init__(context, None, None, EnginePaces(), NoQuarantine())
         self._steady_engines = engines
 
-    async def _stream(self, ledger, progress, target, gaps, urgency) -> ItemRunEnded:
+    async def _stream(self, ledger, progress, target, intervals, urgency) -> ItemRunEnded:
         item_id = progress.item.item_id
         engines = self._steady_engines
         engines.running[item_id] += 1
@@ -75,7 +75,7 @@
                 progress.accept(TextPiece(number, piece_text(item_id, number), 1), 0)
         finally:
             engines.running[item_id] -= 1
-        return ItemRunEnded(ItemRunEnd.WHOLE)
+        return ItemRunEnded(ItemRunEnd.COMPLETE)
 
 
 def make_batch(job_id: str = "j", items: int = FULL_LOAD_ITEMS) -> Job:
--- a/rackswitch/gateway/jobs/tests/test_hand_over.py
+++ b/rackswitch/gateway/jobs/tests/test_hand_over.py
@@ -420,7 +420,9 @@
 
 def test_an_invalid_hand_over_request_is_refused():
     async def scenario(fleet):
-        reply = await fleet.processes["a"].job_manager.receive(pb.HandOverRequest(job=b"\xff\x00"))
+        reply = await fleet.processes["a"].job_manager.receive_hand_over(
+            pb.HandOverRequest(job=b"\xff\x00")
+        )
         assert not reply.taken
 
     run_with_fleet(scenario)
@@ -509,7 +511,7 @@
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
         fleet.set_service_down(True)
-        assert not fleet.processes["a"].context.contact.is_away
+        assert not fleet.processes["a"].context.contact.is_unreachable
         await fleet.processes["a"].job_manager.hand_over()
         assert fleet.processes["b"].job_manager.owned["j"].awaits_claim
         await fleet.processes["a"].context.daemon.cancel_all()
@@ -546,7 +548,7 @@
         sender_job = fleet.processes["a"].job_manager.owned["j"]
         # The offer was sent before the reply to the append, so it lists no results.
         sender_job.successor = "b"
-        reply = await fleet.processes["b"].job_manager.receive(
+        reply = await fleet.processes["b"].job_manager.receive_hand_over(
             pb.HandOverRequest(
                 daemon="a",
                 job=pack_job(job),
@@ -593,8 +595,8 @@
         await asyncio.sleep(0.1)
         old_lease_id = process.session.lease_id
         fleet.kv.end_lease(old_lease_id)
-        process.session.over(old_lease_id)
-        while process.session.lease_id in (old_lease_id, None) or not process.session.is_sure():
+        process.session.record_lease_lost(old_lease_id)
+        while process.session.lease_id in (old_lease_id, None) or not process.session.is_valid():
             await asyncio.sleep(0.02)
         assert fleet.owners() == ["a"]
         assert await read_from_memory(process) is None
@@ -618,7 +620,7 @@
         await asyncio.sleep(0.5)
         old_lease_id = process.session.lease_id
         fleet.kv.end_lease(old_lease_id)
-        process.session.over(old_lease_id)
+        process.session.record_lease_lost(old_lease_id)
         # Another daemon owned the job for a moment and appended a segment.
         listed = await fleet.listed()
         missing = next(item.item_id for item in job.items if item.item_id not in listed)
@@ -661,9 +663,9 @@
         await append_done.wait()
         old_lease_id = process.session.lease_id
         fleet.kv.end_lease(old_lease_id)
-        process.session.over(old_lease_id)
+        process.session.record_lease_lost(old_lease_id)
         may_reply.set()
-        while process.session.lease_id is None or not process.session.is_sure():
+        while process.session.lease_id is None or not process.session.is_valid():
             await asyncio.sleep(0.02)
         assert process.job_manager.owned["j"].ledger.listed
         assert await read_from_memory(process) is None
@@ -675,7 +677,7 @@
     async def scenario(fleet):
         await asyncio.sleep(1.0)
         job = make_batch()
-        reply = await fleet.processes["b"].job_manager.receive(
+        reply = await fleet.processes["b"].job_manager.receive_hand_over(
             pb.HandOverRequest(
                 daemon="a",
                 job=pack_job(job),
--- a/rackswitch/gateway/jobs/tests/test_hand_over_machine.py
+++ b/rackswitch/gateway/jobs/tests/test_hand_over_machine.py
@@ -103,7 +103,7 @@
         """Return the results that a daemon serves from memory."""
         process = self.fleet.processes[name]
         owned = process.job_manager.owned.get(job_id)
-        if owned is None or not owned.may_serve_results or not process.session.is_sure():
+        if owned is None or not owned.may_serve_results or not process.session.is_valid():
             return []
         return list(owned.ledger.listed)
 
--- a/rackswitch/gateway/jobs/tests/test_job_checkpoints.py
+++ b/rackswitch/gateway/jobs/tests/test_job_checkpoints.py
@@ -35,13 +35,15 @@
         )
         now_seconds = context.now_seconds()
         checkpoints.resume(owned, checkpoint)
-        first_startable = {progress.item.item_id for progress in owned.ledger.waiting(now_seconds)}
+        first_startable = {
+            progress.item.item_id for progress in owned.ledger.startable_items(now_seconds)
+        }
         if evidence_after_seconds is not None:
             await asyncio.sleep(evidence_after_seconds)
             context.member_entries["a"] = make_member(FORMER_STARTED_UNIX_SECONDS + 1.0)
         await asyncio.sleep(PREDECESSOR_END_TIMEOUT_SECONDS)
         item = owned.ledger.items["i0"]
-        startable = item in owned.ledger.waiting(context.now_seconds())
+        startable = item in owned.ledger.startable_items(context.now_seconds())
         await context.daemon.cancel_all()
         return first_startable, item.pieces, startable
 
--- a/rackswitch/gateway/jobs/tests/test_job_cleaner.py
+++ b/rackswitch/gateway/jobs/tests/test_job_cleaner.py
@@ -38,7 +38,7 @@
 
 def set_members(context: GatewayContext, *names: str) -> None:
     entries = [VmEntry(name, "127.0.0.1", 1, "z", leaving=False) for name in names]
-    context.daemon.membership.learn_listed(entries, 0.0)
+    context.daemon.membership.update_from_complete_list(entries, 0.0)
 
 
 async def clean(context: GatewayContext, known: KnownJobs) -> None:
@@ -82,7 +82,7 @@
         assert any(key.startswith(JOBS_PREFIX) for key in kv.keys) or kv.keys == {}
         faults.lost_answer = 0.0
         # Stands for a successful renewal of the session.
-        context.contact.answered(context.now_seconds())
+        context.contact.record_answer(context.now_seconds())
         await clean(context, known)
         assert kv.keys == {}
 
--- a/rackswitch/gateway/jobs/tests/test_job_manager.py
+++ b/rackswitch/gateway/jobs/tests/test_job_manager.py
@@ -12,9 +12,9 @@
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.lease_writes import MAX_LEASE_ATTEMPTS
 from rackswitch.gateway.store.session import Session
-from rackswitch.gateway.tests.support import NoLooks, make_gateway_context
+from rackswitch.gateway.tests.support import NoLoadPoller, make_gateway_context
 from rackswitch.jobs import Job
-from rackswitch.jobs.orphaned_jobs import RANK_PAUSE_SECONDS
+from rackswitch.jobs.orphaned_jobs import RANK_DELAY_SECONDS
 from rackswitch.jobs.tests.support import make_job
 from rackswitch.standins.kv_store import KvStore
 
@@ -22,9 +22,9 @@
 def make_job_manager(name: str, kv: KvStore) -> JobManager:
     context = make_gateway_context(name, kv)
     session = Session(context, lambda: None, lambda: True)
-    session.lease.taken(0.0, kv.grant(1000.0, 0.0), 1000.0)
+    session.lease.record_grant(0.0, kv.grant(1000.0, 0.0), 1000.0)
     session._own_leases.add(session.lease_id)
-    return JobManager(context, session, JobStore(context), runner=None, load_poller=NoLooks())
+    return JobManager(context, session, JobStore(context), runner=None, load_poller=NoLoadPoller())
 
 
 def owner_entry(kv: KvStore) -> KvEntry:
@@ -109,8 +109,8 @@
             assert "j" not in job_manager.owned
             await asyncio.sleep(0.1)
         # A request with a claim that is not later than the owner's own is refused.
-        assert await job_manager.yield_job("j", before) is None
-        checkpoint = await job_manager.yield_job("j", claimed)
+        assert await job_manager.release_job("j", before) is None
+        checkpoint = await job_manager.release_job("j", claimed)
         assert "j" not in job_manager.owned
         assert checkpoint.runs_ended
         assert [(item.item_id, len(item.pieces)) for item in checkpoint.items] == [("i1", 5)]
@@ -149,7 +149,7 @@
         await apply_entries(job_manager, kv)
         kv.end_lease(job_manager._session.lease_id)
         job_manager.owner_deleted(OWNERS_PREFIX + "j")
-        job_manager._session.lease.taken(0.0, kv.grant(1000.0, 0.0), 1000.0)
+        job_manager._session.lease.record_grant(0.0, kv.grant(1000.0, 0.0), 1000.0)
         job_manager._session._own_leases.add(job_manager._session.lease_id)
         marker = await job_manager._store.load_marker("j")
         unanswered = JobStore(make_gateway_context("a", kv))
@@ -180,9 +180,9 @@
         kv.end_lease(job_manager._session.lease_id)
         job_manager.owner_deleted(OWNERS_PREFIX + "j")
         job_manager._claims.claim_due()
-        await asyncio.sleep(RANK_PAUSE_SECONDS / 2)
+        await asyncio.sleep(RANK_DELAY_SECONDS / 2)
         assert owner_entry(kv).mod_revision == job_manager.owned["j"].owner_revision > before
-        assert job_manager._session.is_sure()
+        assert job_manager._session.is_valid()
         assert kv.keys[OWNERS_PREFIX + "j"].lease_id == job_manager._session.lease_id
 
     run_virtual(scenario())
--- a/rackswitch/gateway/jobs/tests/test_job_placer.py
+++ b/rackswitch/gateway/jobs/tests/test_job_placer.py
@@ -6,12 +6,12 @@
 
 from rackswitch.daemon.tests.support import run_virtual
 from rackswitch.gateway.jobs.job_outcomes import JobCreated, JobKnown, JobNotStored
-from rackswitch.gateway.jobs.job_placer import AdoptedJobs, JobPlacer
+from rackswitch.gateway.jobs.job_placer import ForwardedJobReceiver, JobPlacer
 from rackswitch.gateway.jobs.job_records import make_marker, pack_job
 from rackswitch.gateway.jobs.known_jobs import JobOwner
 from rackswitch.gateway.jobs.tests.test_job_manager import make_job_manager
 from rackswitch.gateway.policy import PolicySettings
-from rackswitch.gateway.tests.path import check_whole, play, wait_for
+from rackswitch.gateway.tests.path import check_complete, play, wait_for
 from rackswitch.gateway.tests.support import make_member
 from rackswitch.jobs.tests.support import make_job
 from rackswitch.membership import VmEntry
@@ -40,9 +40,9 @@
     job_manager = make_job_manager("a", kv)
     context = job_manager._context
     context.daemon.links = links
-    context.daemon.membership.learn_listed([VmEntry("b", "h", 1, "z", False)], 0.0)
+    context.daemon.membership.update_from_complete_list([VmEntry("b", "h", 1, "z", False)], 0.0)
     other = make_job(job_id="other")
-    job_manager.known.created(make_marker(other), 1)
+    job_manager.known.record_created(make_marker(other), 1)
     job_manager.known.record_owner("other", JobOwner("b", 1, 0))
     return JobPlacer(context, job_manager)
 
@@ -77,8 +77,10 @@
 def test_a_job_stored_by_the_other_daemon_without_a_reply_is_stored_once():
     async def scenario():
         kv = KvStore()
-        receiver = AdoptedJobs(make_job_manager("b", kv)._context, make_job_manager("b", kv))
-        links = FixedLinks(PeerUnreachable("its answer was lost"), receiver.take)
+        receiver = ForwardedJobReceiver(
+            make_job_manager("b", kv)._context, make_job_manager("b", kv)
+        )
+        links = FixedLinks(PeerUnreachable("its answer was lost"), receiver.receive)
         placer = make_placer(kv, links)
         assert await placer.submit(make_job()) == JobKnown()
         assert not placer._job_manager.owned
@@ -97,7 +99,7 @@
 def test_a_job_that_may_be_stored_elsewhere_is_not_reported_as_refused(reply, unknown):
     async def scenario():
         placer = make_placer(KvStore(), FixedLinks(reply))
-        placer._job_manager._session.lease.lost()
+        placer._job_manager._session.lease.record_loss()
         placer._context.daemon.kv.faults.down = True
         outcome = await placer.submit(make_job())
         assert isinstance(outcome, JobNotStored)
@@ -112,7 +114,7 @@
     async def scenario():
         links = FixedLinks(PeerUnreachable("silent"))
         placer = make_placer(KvStore(), links)
-        placer._context.contact.failed(placer._context.now_seconds(), "no answer")
+        placer._context.contact.record_failure(placer._context.now_seconds(), "no answer")
         assert isinstance(await placer.submit(make_job()), JobCreated)
         assert links.called == []
 
@@ -125,8 +127,8 @@
     async def scenario():
         job_manager = make_job_manager("b", KvStore())
         job_manager._context.daemon.kv.faults.delay_seconds = 0.2
-        receiver = AdoptedJobs(job_manager._context, job_manager)
-        call = asyncio.create_task(receiver.take(pb.TakeJobRequest(job=pack_job(make_job()))))
+        receiver = ForwardedJobReceiver(job_manager._context, job_manager)
+        call = asyncio.create_task(receiver.receive(pb.TakeJobRequest(job=pack_job(make_job()))))
         await asyncio.sleep(0.05)
         call.cancel()
         await asyncio.sleep(1.0)
@@ -151,7 +153,7 @@
             VmEntry("c", "h", 1, "z", False),
             VmEntry("d", "h", 1, "z", True),
         ]
-        context.daemon.membership.learn_listed(entries, 0.0)
+        context.daemon.membership.update_from_complete_list(entries, 0.0)
         await placer.submit(make_job())
         assert links.called == called
 
@@ -161,12 +163,12 @@
 def test_an_invalid_or_late_forwarded_job_is_refused():
     async def scenario():
         job_manager = make_job_manager("b", KvStore())
-        receiver = AdoptedJobs(job_manager._context, job_manager)
-        reply = await receiver.take(pb.TakeJobRequest(job=b"\xff\x00"))
+        receiver = ForwardedJobReceiver(job_manager._context, job_manager)
+        reply = await receiver.receive(pb.TakeJobRequest(job=b"\xff\x00"))
         assert not reply.kept
         assert "`job`" in reply.detail
         job_manager._context.daemon.stopping = True
-        assert not (await receiver.take(pb.TakeJobRequest(job=pack_job(make_job())))).kept
+        assert not (await receiver.receive(pb.TakeJobRequest(job=pack_job(make_job())))).kept
 
     run_virtual(scenario())
 
@@ -182,6 +184,6 @@
         assert not gateways["d1"].jobs.owned
         assert not gateways["d2"].jobs.owned
         for number, name in enumerate(("d2", "d1", "d0")):
-            check_whole(await fleet.read_all(name, f"k{number}"), [2, 3], f"k{number}")
+            check_complete(await fleet.read_all(name, f"k{number}"), [2, 3], f"k{number}")
 
     play(scenario, daemons=3)
--- a/rackswitch/gateway/jobs/tests/test_path_jobs.py
+++ b/rackswitch/gateway/jobs/tests/test_path_jobs.py
@@ -7,7 +7,7 @@
 from rackswitch.clients.kv import Operation, TxnPart
 from rackswitch.gateway.jobs.job_records import JOBS_PREFIX, job_key_part
 from rackswitch.gateway.policy import PolicySettings
-from rackswitch.gateway.tests.path import SCENARIO_SECONDS, check_whole, play, wait_for
+from rackswitch.gateway.tests.path import SCENARIO_SECONDS, check_complete, play, wait_for
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.peers.links import PeerUnreachable
 
@@ -18,7 +18,7 @@
         assert await fleet.submit("d0", "j1", pieces) == 202
         assert await fleet.submit("d1", "j1", pieces) == 202
         results = await fleet.read_all("d1", "j1")
-        check_whole(results, pieces, "j1")
+        check_complete(results, pieces, "j1")
         assert all(result["versions"] == [1] for result in results)
         assert (await fleet.read("d0", "j1")).results == results
         assert (await fleet.read("d1", "j1", 4)).results == results[4:]
@@ -38,7 +38,7 @@
             engine.faults.break_after = 2
         pieces = [9, 7, 8]
         assert await fleet.submit("d0", "j1", pieces) == 202
-        check_whole(await fleet.read_all("d0", "j1"), pieces, "j1")
+        check_complete(await fleet.read_all("d0", "j1"), pieces, "j1")
         resumed = [run for engine in fleet.engines for run in engine.runs if run.last_event_id]
         assert resumed
 
@@ -54,7 +54,7 @@
                 pass
         await fleet.gateways["d0"].crash()
         results = await fleet.read_all("d1", "j1", 20.0)
-        check_whole(results, pieces, "j1")
+        check_complete(results, pieces, "j1")
         assert results[: len(before)] == before
 
     play(scenario)
@@ -84,7 +84,7 @@
         status = await fleet.submit("d0", "j1", [2, 3])
         assert status == 504
         assert await fleet.submit("d1", "j1", [2, 3]) == 202
-        check_whole(await fleet.read_all("d1", "j1"), [2, 3], "j1")
+        check_complete(await fleet.read_all("d1", "j1"), [2, 3], "j1")
 
     play(scenario)
 
@@ -98,7 +98,7 @@
         await wait_for(lambda: sum(len(engine.runs) for engine in fleet.engines) == 3)
         await asyncio.sleep(1.0)
         fleet.store.faults.down = ""
-        check_whole(await fleet.read_all("d0", "j1"), [40, 50, 60], "j1")
+        check_complete(await fleet.read_all("d0", "j1"), [40, 50, 60], "j1")
         assert await fleet.submit("d0", "j2", [2]) == 202
 
     play(scenario)
@@ -114,7 +114,7 @@
         await asyncio.sleep(0.1)
         status, _, _ = await fleet.request("d0", "GET", "/look/1")
         assert status == 200
-        check_whole(await fleet.read_all("d1", "j1", 15.0), pieces, "j1")
+        check_complete(await fleet.read_all("d1", "j1", 15.0), pieces, "j1")
         await stopping
         # The texts are handed over too, so no piece is generated again.
         runs = [run for engine in fleet.engines for run in engine.runs]
@@ -139,7 +139,7 @@
         assert all(item.last_number > 5 for item in received["j1"].ledger.items.values())
         await stopping
         fleet.store.faults.down = ""
-        check_whole(await fleet.read_all("d1", "j1", 15.0), pieces, "j1")
+        check_complete(await fleet.read_all("d1", "j1", 15.0), pieces, "j1")
         assert not received["j1"].awaits_claim
 
     play(scenario)
@@ -155,7 +155,7 @@
         await wait_for(lambda: sum(item.last_number > 20 for item in items.values()) == 2)
         former.direct.url = "http://127.0.0.1:9"
         fleet.store.end_lease(former.session.lease_id or 0)
-        check_whole(await fleet.read_all("d1", "j1", 15.0), pieces, "j1")
+        check_complete(await fleet.read_all("d1", "j1", 15.0), pieces, "j1")
         runs = [run for engine in fleet.engines for run in engine.runs]
         resumed = [run for run in runs if run.last_event_id]
         assert len(runs) == 5
@@ -175,7 +175,7 @@
         await stopping
 
     # Only a claim without a wait happens within the scenario's timeout.
-    monkeypatch.setattr("rackswitch.jobs.orphaned_jobs.RANK_PAUSE_SECONDS", 1000.0)
+    monkeypatch.setattr("rackswitch.jobs.orphaned_jobs.RANK_DELAY_SECONDS", 1000.0)
     play(scenario)
 
 
@@ -189,7 +189,7 @@
         await wait_for(lambda: any("j1" in g.jobs.owned for g in fleet.gateways.values()))
 
     # Only a claim without a wait happens within the scenario's timeout.
-    monkeypatch.setattr("rackswitch.jobs.orphaned_jobs.RANK_PAUSE_SECONDS", 1000.0)
+    monkeypatch.setattr("rackswitch.jobs.orphaned_jobs.RANK_DELAY_SECONDS", 1000.0)
     play(scenario)
 
 
--- a/rackswitch/gateway/jobs/tests/test_unsettled_appends.py
+++ b/rackswitch/gateway/jobs/tests/test_unsettled_appends.py
@@ -39,7 +39,7 @@
         await apply_entries(job_manager, kv)
         owned = job_manager.owned["j"]
         item_id, progress = next(iter(owned.ledger.items.items()))
-        owned.ledger.take_result(progress, JobResult(item_id=item_id, completed=False))
+        owned.ledger.record_result(progress, JobResult(item_id=item_id, completed=False))
         claim = JobStore.claim_and_append
 
         async def claim_unanswered(store, *write):
@@ -48,7 +48,7 @@
 
         with patch.object(JobStore, "claim_and_append", claim_unanswered):
             kv.end_lease(job_manager._session.lease_id)
-            job_manager._session.lease.taken(0.0, kv.grant(1000.0, 0.0), 1000.0)
+            job_manager._session.lease.record_grant(0.0, kv.grant(1000.0, 0.0), 1000.0)
             await job_manager._claims.claim("j", job_manager.known.marker_revision("j"))
         assert owned.append_is_unknown
         assert not owned.ledger.listed
--- a/rackswitch/gateway/listeners.py
+++ b/rackswitch/gateway/listeners.py
@@ -8,7 +8,7 @@
 from rackswitch.gateway.callers.caller_handler import CallerHandler
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.daemon_snapshot import DaemonSnapshot
-from rackswitch.gateway.store.watching import ReplicaManager
+from rackswitch.gateway.store.replica_manager import ReplicaManager
 from rackswitch.platform.settings import METRICS_PATH
 from rackswitch.web import WebServer
 from rackswitch.web.exchange import Exchange
--- a/rackswitch/gateway/main.py
+++ b/rackswitch/gateway/main.py
@@ -46,7 +46,7 @@
     while not signals.stop.is_set():
         if gateway.context.daemon.broken is not None:
             logger.critical("stopping on a broken invariant")
-            gateway.log.pump()
+            gateway.log.flush()
             return EXIT_BROKEN_INVARIANT
         gateway.check_suspension()
         if signals.reload.is_set() or loop.time() >= next_reload_seconds:
--- a/rackswitch/gateway/peer_service.py
+++ b/rackswitch/gateway/peer_service.py
@@ -7,7 +7,7 @@
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.duties.usage_service import UsageService
 from rackswitch.gateway.jobs.job_manager import JobManager
-from rackswitch.gateway.jobs.job_placer import AdoptedJobs
+from rackswitch.gateway.jobs.job_placer import ForwardedJobReceiver
 from rackswitch.gateway.jobs.job_reader import JobReader, ResultsPage
 from rackswitch.gateway.jobs.job_records import pack_checkpoint, pack_results
 from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
@@ -34,7 +34,7 @@
         Manages the jobs owned by this daemon.
     passed_on : ForwardedCalls
         Makes calls to the key-value service for daemons that cannot reach it.
-    taken : AdoptedJobs
+    taken : ForwardedJobReceiver
         Takes ownership of jobs that other daemons accepted.
     usage : UsageService
         Serves this daemon's usage counts.
@@ -49,7 +49,7 @@
         reader: JobReader,
         jobs: JobManager,
         passed_on: ForwardedCalls,
-        taken: AdoptedJobs,
+        taken: ForwardedJobReceiver,
         usage: UsageService,
         quarantine: QuarantineManager,
     ):
@@ -100,7 +100,7 @@
         request = await stream.recv_message()
         if request is None:
             return
-        checkpoint = await self._jobs.yield_job(
+        checkpoint = await self._jobs.release_job(
             request.job_id, request.owner_revision, request.daemon
         )
         reply = pb.YieldJobReply(worked_on=False)
@@ -112,13 +112,13 @@
         """Take over a job of a stopping daemon."""
         request = await stream.recv_message()
         if request is not None:
-            await stream.send_message(await self._jobs.receive(request))
+            await stream.send_message(await self._jobs.receive_hand_over(request))
 
     async def TakeJob(self, stream: Stream[pb.TakeJobRequest, pb.TakeJobReply]) -> None:
         """Take ownership of a job that another daemon accepted."""
         request = await stream.recv_message()
         if request is not None:
-            await stream.send_message(await self._adopted_jobs.take(request))
+            await stream.send_message(await self._adopted_jobs.receive(request))
 
     async def PassOn(self, stream: Stream[pb.PassOnRequest, pb.PassOnReply]) -> None:
         """Make a call to the key-value service for a daemon that cannot reach it."""
@@ -142,4 +142,4 @@
         """Record targets that ended during runs of another daemon."""
         request = await stream.recv_message()
         if request is not None:
-            await stream.send_message(self._quarantine.told(request))
+            await stream.send_message(self._quarantine.receive_record(request))
--- a/rackswitch/gateway/quarantine/end_detector.py
+++ b/rackswitch/gateway/quarantine/end_detector.py
@@ -3,9 +3,9 @@
 import asyncio
 from collections.abc import Callable
 
-from rackswitch.clients.probe import look_at
+from rackswitch.clients.probe import probe_target
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.quarantine import LOOK_PAUSE_SECONDS, EndEvidence, EndInvestigations, TargetEnd
+from rackswitch.quarantine import PROBE_INTERVAL_SECONDS, EndEvidence, EndInvestigations, TargetEnd
 from rackswitch.routing import ListedTarget
 from rackswitch.telemetry.events import TargetEnded
 
@@ -26,16 +26,16 @@
         Called with each end and the runs that failed there.
     """
 
-    __slots__ = ("_context", "_on_ended", "inquiries", "resolved")
+    __slots__ = ("_context", "_on_ended", "investigations", "resolved")
 
     def __init__(self, context: GatewayContext, on_ended: Callable[[TargetEnd], None]):
         self._context = context
         self._on_ended = on_ended
-        self.inquiries = EndInvestigations()
+        self.investigations = EndInvestigations()
         self.resolved = asyncio.Event()
         """Set when an investigation is closed, and then replaced by a new event."""
 
-    def broke(self, fingerprint: str, target: ListedTarget) -> None:
+    def record_failure(self, fingerprint: str, target: ListedTarget) -> None:
         """Record a failed run and investigate its target.
 
         A draining or unlisted target is ignored, as its end is planned.
@@ -44,23 +44,25 @@
         if listed is None or listed.draining:
             return
         now_seconds = self._context.now_seconds()
-        if self.inquiries.broke(target.start, fingerprint, now_seconds):
+        if self.investigations.record_interruption(target.start, fingerprint, now_seconds):
             self._context.daemon.spawn(self._investigate(target))
 
-    def ended(self, start: str, evidence: EndEvidence) -> None:
+    def record_end(self, start: str, evidence: EndEvidence) -> None:
         """Record that the platform's list shows the end of a target."""
-        self._report(self.inquiries.ended(start, evidence))
+        self._report(self.investigations.close(start, evidence))
 
     async def _investigate(self, target: ListedTarget) -> None:
-        while self.inquiries.is_open(target.start):
+        while self.investigations.is_open(target.start):
             probed_at_seconds = self._context.now_seconds()
-            outcome = await look_at(target.host, target.port, PROBE_TIMEOUT_SECONDS)
+            outcome = await probe_target(target.host, target.port, PROBE_TIMEOUT_SECONDS)
             now_seconds = self._context.now_seconds()
             self._report(
-                self.inquiries.looked(target.start, outcome, probed_at_seconds, now_seconds)
+                self.investigations.record_probe(
+                    target.start, outcome, probed_at_seconds, now_seconds
+                )
             )
-            if self.inquiries.is_open(target.start):
-                await asyncio.sleep(LOOK_PAUSE_SECONDS)
+            if self.investigations.is_open(target.start):
+                await asyncio.sleep(PROBE_INTERVAL_SECONDS)
         self.resolved.set()
         self.resolved = asyncio.Event()
 
--- a/rackswitch/gateway/quarantine/end_reporter.py
+++ b/rackswitch/gateway/quarantine/end_reporter.py
@@ -18,7 +18,7 @@
 from rackswitch.peers.gateway_grpc import GatewayPeersStub
 from rackswitch.peers.links import PeerUnreachable
 from rackswitch.quarantine import EndRecord, LocalEnds
-from rackswitch.telemetry.events import EndsTold
+from rackswitch.telemetry.events import EndsReported
 
 __all__ = ["ENDS_PREFIX", "EndReporter", "ReportUrgency"]
 
@@ -114,18 +114,18 @@
         self._stored_number = record.number
         if record.lease_id and self.lease.lease_id is None:
             # The lease may have expired; the next renewal or write shows it.
-            self.lease.taken(self._context.now_seconds(), record.lease_id, LEASE_TTL_SECONDS)
+            self.lease.record_grant(self._context.now_seconds(), record.lease_id, LEASE_TTL_SECONDS)
             self.lease.next_try_seconds = self._context.now_seconds()
         self._on_record(self._record())
 
     def restore_record(self) -> None:
         """Store the record again after the service has lost it."""
         if self._own_ends.ends and self._stored_number:
-            self.lease.lost()
+            self.lease.record_loss()
             self.schedule_report(ReportUrgency.NOW)
 
     def _record(self) -> EndRecord:
-        return self._own_ends.record(self._number, self.lease.lease_id or 0)
+        return self._own_ends.to_record(self._number, self.lease.lease_id or 0)
 
     async def run(self) -> None:
         """Write due reports and renew the lease until cancelled."""
@@ -157,7 +157,11 @@
 
     async def _report(self) -> None:
         self._own_ends.expire(self._context.unix_seconds())
-        if not self._own_ends.ends and not self._own_ends.acquittals and not self._stored_number:
+        if (
+            not self._own_ends.ends
+            and not self._own_ends.cleared_requests
+            and not self._stored_number
+        ):
             # Everything was cleared before it was reported.
             return
         number = self._number
@@ -168,7 +172,7 @@
             notified_peers = await self._notify_peers()
         is_stored = await writing
         self._context.log.write(
-            EndsTold(
+            EndsReported(
                 number=number, ends=len(self._own_ends.ends), kept=is_stored, told=notified_peers
             )
         )
@@ -188,11 +192,11 @@
         value = msgspec.json.encode(self._record())
         put = Operation(key, value, self.lease.lease_id or 0)
         result = await self._context.kv.txn([TxnPart((), (put,))])
-        self._context.contact.note(self._context.now_seconds(), result)
+        self._context.contact.record_result(self._context.now_seconds(), result)
         if isinstance(result, KvUnavailable):
             return False
         if result[0].lease_gone:
-            self.lease.lost()
+            self.lease.record_loss()
         return result[0].succeeded
 
     async def ensure_lease(self) -> bool:
@@ -201,10 +205,10 @@
             return True
         requested_at_seconds = self._context.now_seconds()
         granted = await self._context.kv.grant_lease(LEASE_TTL_SECONDS)
-        self._context.contact.note(self._context.now_seconds(), granted)
+        self._context.contact.record_result(self._context.now_seconds(), granted)
         if not isinstance(granted, LeaseGranted):
             return False
-        self.lease.taken(requested_at_seconds, granted.lease_id, granted.life_seconds)
+        self.lease.record_grant(requested_at_seconds, granted.lease_id, granted.life_seconds)
         return True
 
     async def _notify_peers(self) -> int:
@@ -228,5 +232,5 @@
                 )
             return not isinstance(reply, PeerUnreachable)
 
-        names = self._context.daemon.membership.others_reachable()
+        names = self._context.daemon.membership.reachable_peers()
         return sum(await asyncio.gather(*(notify(name) for name in names)))
--- a/rackswitch/gateway/quarantine/quarantine_manager.py
+++ b/rackswitch/gateway/quarantine/quarantine_manager.py
@@ -12,12 +12,12 @@
 from rackswitch.gateway.quarantine.end_reporter import ENDS_PREFIX, EndReporter, ReportUrgency
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.quarantine import (
+    AwaitingInvestigations,
     EndRecord,
     Evidence,
     HeldBack,
     LocalEnds,
     NotSuspected,
-    Paced,
     Suspicion,
     TargetEnd,
     TrialDue,
@@ -25,7 +25,7 @@
     judge,
 )
 from rackswitch.routing import ListedTarget
-from rackswitch.telemetry.events import RequestAcquitted, RequestHeldBack, TrialClaimed
+from rackswitch.telemetry.events import RequestCleared, RequestHeldBack, TrialClaimed
 
 __all__ = ["TRIALS_PREFIX", "HeldRequest", "QuarantineManager"]
 
@@ -73,7 +73,7 @@
 
     Attributes
     ----------
-    watch : EndDetector
+    end_detector : EndDetector
         Finds out which targets ended.
     """
 
@@ -85,7 +85,7 @@
         "_own_ends",
         "_reporter",
         "_trials",
-        "watch",
+        "end_detector",
     )
 
     def __init__(self, context: GatewayContext, entries_complete: Callable[[], bool]):
@@ -98,12 +98,16 @@
         self._reporter = EndReporter(
             context, self._own_ends, entries_complete, self._record_own_ends
         )
-        self.watch = EndDetector(context, self._record_end)
+        self.end_detector = EndDetector(context, self._record_end)
 
     @property
     def has_suspects(self) -> bool:
         """Whether any request is suspected; if none is, no fingerprint has to be computed."""
-        return not self._evidence.is_empty or bool(self._trials) or self.watch.inquiries.any_open
+        return (
+            not self._evidence.is_empty
+            or bool(self._trials)
+            or self.end_detector.investigations.any_open
+        )
 
     async def run(self) -> None:
         """Report ended targets to the other daemons until cancelled."""
@@ -116,7 +120,7 @@
         daemon = entry.key.removeprefix(ENDS_PREFIX)
         record = msgspec.json.decode(entry.value, type=EndRecord)
         if daemon != self._context.daemon_name:
-            self._evidence.take(daemon, record)
+            self._evidence.put_record(daemon, record)
         elif not self._entries_complete():
             # Written by an earlier process of this daemon; this one has not written yet.
             self._reporter.adopt(record)
@@ -127,7 +131,7 @@
         if daemon == self._context.daemon_name:
             self._reporter.restore_record()
         else:
-            self._evidence.drop(daemon)
+            self._evidence.remove_record(daemon)
 
     def trial_put(self, entry: KvEntry) -> None:
         """Store the trials of a request."""
@@ -139,11 +143,11 @@
         """Remove the trials of a request."""
         self._trials.pop(key.removeprefix(TRIALS_PREFIX), None)
 
-    def told(self, request: pb.TellEndsRequest) -> pb.TellEndsReply:
+    def receive_record(self, request: pb.TellEndsRequest) -> pb.TellEndsReply:
         """Store a record that a daemon sent directly."""
         record = msgspec.json.decode(request.record, type=EndRecord)
         if request.daemon != self._context.daemon_name:
-            self._evidence.take(request.daemon, record)
+            self._evidence.put_record(request.daemon, record)
         return pb.TellEndsReply()
 
     # Requests of this daemon
@@ -174,7 +178,7 @@
             verdict = judge(self._suspicion(fingerprint), now_unix_seconds)
             if isinstance(verdict, NotSuspected):
                 return None
-            if isinstance(verdict, Paced):
+            if isinstance(verdict, AwaitingInvestigations):
                 if not await self._wait_for_outcome(deadline_seconds):
                     return self._hold(fingerprint, PACED_RETRY_DELAY_SECONDS)
                 continue
@@ -188,34 +192,34 @@
                 return None
             return self._hold(fingerprint, UNCLAIMED_RETRY_DELAY_SECONDS)
 
-    def broke(self, fingerprint: str, target: ListedTarget) -> None:
+    def record_failure(self, fingerprint: str, target: ListedTarget) -> None:
         """Record that a run of a request failed at a target."""
-        self.watch.broke(fingerprint, target)
+        self.end_detector.record_failure(fingerprint, target)
 
-    def answered(self, fingerprint_of: Callable[[], str]) -> None:
+    def record_answer(self, fingerprint_of: Callable[[], str]) -> None:
         """Clear a request of suspicion, as a target has answered it."""
         if not self.has_suspects:
             return
         fingerprint = fingerprint_of()
-        self.watch.inquiries.acquit(fingerprint)
+        self.end_detector.investigations.clear(fingerprint)
         ends = self._evidence.count(fingerprint)
         is_on_trial = fingerprint in self._trials
         if not ends and not is_on_trial:
             return
         # Reported at once if it may decide about another request that was present at these ends.
-        is_suspected = self._evidence.max_suspected_beside(fingerprint) > 1
-        reported_by_others = self._evidence.targets_told_by_others(
+        is_suspected = self._evidence.max_ends_of_co_suspects(fingerprint) > 1
+        reported_by_others = self._evidence.targets_reported_by_others(
             fingerprint, self._context.daemon_name
         )
-        self._own_ends.acquit(fingerprint, reported_by_others, self._context.unix_seconds())
+        self._own_ends.clear(fingerprint, reported_by_others, self._context.unix_seconds())
         self._reporter.schedule_report(
             ReportUrgency.NOW if is_suspected else ReportUrgency.WITH_NEXT
         )
         if is_on_trial:
             self._context.daemon.spawn(self._end_trials(fingerprint))
-        self._context.log.write(RequestAcquitted(fingerprint=fingerprint, ends=ends))
+        self._context.log.write(RequestCleared(fingerprint=fingerprint, ends=ends))
 
-    def not_run(self, fingerprint_of: Callable[[], str]) -> None:
+    def record_not_run(self, fingerprint_of: Callable[[], str]) -> None:
         """Make a claimed trial available again, as the target did not begin the request."""
         if not self._trials:
             return
@@ -227,8 +231,8 @@
         trials = self._trials.get(fingerprint)
         return Suspicion(
             ends=self._evidence.count(fingerprint),
-            unknown=self.watch.inquiries.count(fingerprint),
-            is_alone=self._evidence.is_alone(fingerprint),
+            unresolved=self.end_detector.investigations.count(fingerprint),
+            is_sole_suspect=self._evidence.is_sole_suspect(fingerprint),
             newest_end_unix_seconds=self._evidence.newest_unix_seconds(fingerprint),
             trial=trials.record if trials is not None else None,
         )
@@ -251,7 +255,7 @@
         """Wait until an investigation is closed; return False if the deadline passes first."""
         try:
             async with asyncio.timeout_at(deadline_seconds):
-                await self.watch.resolved.wait()
+                await self.end_detector.resolved.wait()
         except TimeoutError:
             return False
         return True
@@ -267,7 +271,7 @@
             key, msgspec.json.encode(trial_due.claim), self._reporter.lease.lease_id or 0
         )
         result = await self._context.kv.txn([TxnPart((unchanged,), (put,), (key,))])
-        self._context.contact.note(self._context.now_seconds(), result)
+        self._context.contact.record_result(self._context.now_seconds(), result)
         is_claimed = False
         if not isinstance(result, KvUnavailable) and result[0].succeeded:
             is_claimed = True
@@ -285,13 +289,13 @@
         key = TRIALS_PREFIX + fingerprint
         unchanged = Compare(key, "mod", known_trials.revision)
         result = await self._context.kv.txn([TxnPart((unchanged,), (Operation(key, None),))])
-        self._context.contact.note(self._context.now_seconds(), result)
+        self._context.contact.record_result(self._context.now_seconds(), result)
 
     def _record_end(self, end: TargetEnd) -> None:
         """Record that a target ended under runs of this daemon."""
         is_repeated = any(self._evidence.count(run) > 0 for run in end.fingerprints)
-        self._own_ends.ended(end.target, end.fingerprints, self._context.unix_seconds())
+        self._own_ends.record_end(end.target, end.fingerprints, self._context.unix_seconds())
         self._reporter.schedule_report(ReportUrgency.NOW if is_repeated else ReportUrgency.SOON)
 
     def _record_own_ends(self, record: EndRecord) -> None:
-        self._evidence.take(self._context.daemon_name, record)
+        self._evidence.put_record(self._context.daemon_name, record)
--- a/rackswitch/gateway/quarantine/tests/quarantine_run.py
+++ b/rackswitch/gateway/quarantine/tests/quarantine_run.py
@@ -72,7 +72,7 @@
         if process.is_partitioned or self._own_process.is_partitioned:
             await asyncio.sleep(timeout_seconds)
             return PeerUnreachable("cut off")
-        return process.quarantine.told(message)
+        return process.quarantine.receive_record(message)
 
 
 class DaemonProcess:
@@ -90,7 +90,9 @@
         self.quarantine = run.manager_class(self.context, lambda: self._replica.revision > 0)
         self._replica = PrefixReplica(CONTROL)
         members = [vm_entry(other, make_member()) for other in DAEMON_NAMES]
-        self.context.daemon.membership.learn_listed(members, self.context.now_seconds())
+        self.context.daemon.membership.update_from_complete_list(
+            members, self.context.now_seconds()
+        )
         for target in run.targets:
             self.context.directory.put(target.listed())
         self.context.daemon.spawn_duty(self.quarantine.run())
@@ -139,12 +141,12 @@
             return "held"
         listed = target.listed()
         if not target.is_up:
-            self.quarantine.not_run(lambda: fingerprint)
+            self.quarantine.record_not_run(lambda: fingerprint)
             return "not there"
         if await self.run.runs(target, self, fingerprint, work_seconds):
-            self.quarantine.answered(lambda: fingerprint)
+            self.quarantine.record_answer(lambda: fingerprint)
             return "answered"
-        self.quarantine.broke(fingerprint, listed)
+        self.quarantine.record_failure(fingerprint, listed)
         return "broke"
 
     async def crash(self) -> None:
@@ -170,7 +172,7 @@
 
     async def simulate(self, seconds: float) -> None:
         with (
-            patch("rackswitch.gateway.quarantine.end_detector.look_at", self._probe),
+            patch("rackswitch.gateway.quarantine.end_detector.probe_target", self._probe),
             patch.object(
                 GatewayContext, "unix_seconds", lambda ctx: BASE_UNIX_SECONDS + ctx.now_seconds()
             ),
--- a/rackswitch/gateway/quarantine/tests/test_path_quarantine.py
+++ b/rackswitch/gateway/quarantine/tests/test_path_quarantine.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rackswitch.gateway.tests.path import check_whole, play, wait_for
+from rackswitch.gateway.tests.path import check_complete, play, wait_for
 
 LETHAL_BODY = b"ends whoever runs it"
 
@@ -94,7 +94,7 @@
             await gateway.crash()
         for name in list(fleet.gateways):
             await fleet.start_gateway(name)
-        await wait_for(lambda: all(g.copies.is_complete for g in fleet.gateways.values()))
+        await wait_for(lambda: all(g.replicas.is_complete for g in fleet.gateways.values()))
         count_before = run_count(fleet.services)
         answers = await resend(fleet, fleet.services, 6)
         # One trial is due, and another restart must not grant it again.
@@ -103,7 +103,7 @@
             await gateway.crash()
         for name in list(fleet.gateways):
             await fleet.start_gateway(name)
-        await wait_for(lambda: all(g.copies.is_complete for g in fleet.gateways.values()))
+        await wait_for(lambda: all(g.replicas.is_complete for g in fleet.gateways.values()))
         answers = await resend(fleet, fleet.services, 6)
         assert run_count(fleet.services) - count_before <= 1
         assert all(status == 503 for status, _ in answers)
@@ -174,7 +174,7 @@
             restart_target = fleet.engines[number].end_and_start_again()
             restart = asyncio.create_task(restart_target)
             await asyncio.sleep(0.15)
-        check_whole(await fleet.read_all("d1", "j1", 20.0), pieces, "j1")
+        check_complete(await fleet.read_all("d1", "j1", 20.0), pieces, "j1")
         await restart
 
     play(scenario, engines=3)
--- a/rackswitch/gateway/store/control_entries.py
+++ b/rackswitch/gateway/store/control_entries.py
@@ -144,4 +144,6 @@
             return
         self._members_changed = False
         membership = self._context.daemon.membership
-        membership.learn_listed(list(self._members.values()), self._context.now_seconds())
+        membership.update_from_complete_list(
+            list(self._members.values()), self._context.now_seconds()
+        )
--- a/rackswitch/gateway/store/lease_renewal.py
+++ b/rackswitch/gateway/store/lease_renewal.py
@@ -16,14 +16,14 @@
     if isinstance(renewal, KvUnavailable):
         record_lease_failure(context, lease, renewal)
         return True
-    context.contact.answered(context.now_seconds())
+    context.contact.record_answer(context.now_seconds())
     if lease_id != (lease.lease_id or 0):
         # Another call has found in the meantime that this lease is over.
         return True
     if renewal:
-        lease.renewed(requested_at_seconds)
+        lease.record_renewal(requested_at_seconds)
         return True
-    lease.lost()
+    lease.record_loss()
     context.log.write(SessionLost(lease=lease_id))
     return False
 
@@ -34,5 +34,5 @@
     """Record a failed call about a lease; `failure` is None if the service rejected the call."""
     now_seconds = context.now_seconds()
     if failure is not None:
-        context.contact.failed(now_seconds, failure.detail)
-    lease.unanswered(now_seconds, context.rng.random())
+        context.contact.record_failure(now_seconds, failure.detail)
+    lease.record_no_answer(now_seconds, context.rng.random())
--- a/rackswitch/gateway/store/peer_replicas.py
+++ b/rackswitch/gateway/store/peer_replicas.py
@@ -13,8 +13,8 @@
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.peers.gateway_grpc import GatewayPeersStub
 from rackswitch.peers.links import PeerUnreachable
-from rackswitch.spread import DistributionTree, SourceSelector, TreeMember, fresh_seconds
-from rackswitch.telemetry.events import CannotFollow, Follows
+from rackswitch.spread import DistributionTree, SourceSelector, TreeMember, max_age_seconds
+from rackswitch.telemetry.events import ReplicationRefused, ReplicationStarted
 
 __all__ = ["PeerFollower"]
 
@@ -94,7 +94,7 @@
     async def run(self) -> None:
         """Follow or watch until cancelled."""
         await self._read_initial_state()
-        self.selector.lost_since_seconds = self._context.now_seconds()
+        self.selector.without_source_since_seconds = self._context.now_seconds()
         while True:
             await self._follow_once()
 
@@ -131,7 +131,7 @@
         sources, level = tree.sources(own), tree.level(own)
         now_seconds = self._context.now_seconds()
         self._retry_sources_after_outage()
-        if self.selector.followed not in sources:
+        if self.selector.source not in sources:
             self.selector.stop_following(now_seconds)
         must_watch = self.selector.must_watch(sources, level, now_seconds)
         self._watch.set_enabled(must_watch, is_root=not sources)
@@ -147,17 +147,17 @@
         Otherwise, after an outage of the whole fleet, every daemon would watch the service itself
         until its sources' cooldowns end, at a time of many changes.
         """
-        back_seconds = self._context.contact.back_seconds
+        back_seconds = self._context.contact.recovered_at_seconds
         if back_seconds > self._recovered_at_seconds:
             self._recovered_at_seconds = back_seconds
-            self.selector.ask_all_again()
+            self.selector.clear_cooldowns()
 
     def _current_tree(self) -> DistributionTree:
         live = self._context.daemon.membership.live_zones()
         if live != self._live_zones:
             self._live_zones = live
             self._tree = DistributionTree(
-                TreeMember(name, zone, self._context.room_of(name)) for name, zone in live
+                TreeMember(name, zone, self._context.free_slots_of(name)) for name, zone in live
             )
         return self._tree
 
@@ -168,9 +168,9 @@
         """
         peer = self._context.daemon.membership.address(name)
         if peer is None:
-            self._record_follow_failure(self.selector.failed, name, "no address")
+            self._record_follow_failure(self.selector.record_failure, name, "no address")
             return
-        wait_seconds = FOLLOW_WAIT_SECONDS if name == self.selector.followed else 0.0
+        wait_seconds = FOLLOW_WAIT_SECONDS if name == self.selector.source else 0.0
         requested_at_seconds = self._context.now_seconds()
         reply = await self._context.daemon.links.call(
             peer,
@@ -181,22 +181,22 @@
         )
         now_seconds = self._context.now_seconds()
         if isinstance(reply, PeerUnreachable):
-            self._record_follow_failure(self.selector.failed, name, reply.detail)
+            self._record_follow_failure(self.selector.record_failure, name, reply.detail)
         elif reply.refused or len(reply.news) < len(self._replicas.by_prefix):
-            self.selector.not_ready(name, now_seconds)
-        elif self._apply_reply(reply, requested_at_seconds, now_seconds) > fresh_seconds(level):
+            self.selector.record_not_ready(name, now_seconds)
+        elif self._apply_reply(reply, requested_at_seconds, now_seconds) > max_age_seconds(level):
             self._record_follow_failure(self._record_stale_source, name, "not fresh")
         elif reply.cut_off:
             self._record_follow_failure(self._record_stale_source, name, "cut off from the service")
-        elif self.selector.succeeded(name):
-            self._context.log.write(Follows(daemon_followed=name))
+        elif self.selector.record_success(name):
+            self._context.log.write(ReplicationStarted(daemon_followed=name))
 
     def _record_stale_source(self, name: str, now_seconds: float) -> None:
         """Start the cooldown of a stale source: a short one soon after an outage."""
         if now_seconds < self._recovered_at_seconds + RECOVERY_WINDOW_SECONDS:
-            self.selector.not_ready(name, now_seconds)
+            self.selector.record_not_ready(name, now_seconds)
         else:
-            self.selector.stale(name, now_seconds)
+            self.selector.record_stale(name, now_seconds)
 
     def _request(self, wait_seconds: float) -> pb.FollowRequest:
         positions = [
@@ -212,7 +212,7 @@
     ) -> None:
         """Record that a daemon cannot be followed, and log why."""
         record_failure(name, self._context.now_seconds())
-        self._context.log.write(CannotFollow(daemon_asked=name, reason=reason))
+        self._context.log.write(ReplicationRefused(daemon_asked=name, reason=reason))
 
     def _apply_reply(
         self, reply: pb.FollowReply, requested_at_seconds: float, now_seconds: float
@@ -238,7 +238,7 @@
                 self._replicas.confirm(message.prefix, now_seconds - age_seconds)
         if self._context.policy.calls_through_peers:
             self._context.contact.record_peer_contact(now_seconds - oldest_seconds, now_seconds)
-        self._paces.hear(reply.paces, now_seconds)
+        self._paces.record_peer_paces(reply.paces, now_seconds)
         return oldest_seconds
 
     def _apply_prefix_changes(self, message: pb.CopyNews) -> None:
--- a/rackswitch/gateway/store/presence.py
+++ b/rackswitch/gateway/store/presence.py
@@ -15,7 +15,7 @@
 from rackswitch.leases import SessionLease
 from rackswitch.telemetry.events import (
     EntryContinued,
-    LeavingTold,
+    LeavingNotified,
     SessionBegun,
 )
 
@@ -53,9 +53,9 @@
         self._members_read = members_read
         self.lease = SessionLease(max(LEASE_TTL_SECONDS, context.settings.lease_least_seconds))
 
-    def is_sure(self) -> bool:
+    def is_valid(self) -> bool:
         """Return whether the entry's lease is known to be valid now."""
-        return self.lease.is_sure(self._context.now_seconds())
+        return self.lease.is_valid(self._context.now_seconds())
 
     async def run(self) -> None:
         """Create the entry and renew its lease until cancelled."""
@@ -69,7 +69,7 @@
             remaining_seconds = self.lease.next_try_seconds - now_seconds
             await asyncio.sleep(max(MIN_POLL_INTERVAL_SECONDS, remaining_seconds))
 
-    async def tell_leaving(self) -> None:
+    async def announce_leaving(self) -> None:
         """Announce that this daemon is stopping, so that others take over its jobs at once.
 
         Otherwise they would first wait for it to resume the jobs itself.
@@ -83,7 +83,7 @@
             # The others then wait, as they do for a daemon that may recover.
             result = KvUnavailable("no answer in time", effect_unknown=True)
         outcome = result.detail if isinstance(result, KvUnavailable) else "told"
-        self._context.log.write(LeavingTold(outcome=outcome))
+        self._context.log.write(LeavingNotified(outcome=outcome))
 
     @property
     def _key(self) -> str:
@@ -103,7 +103,7 @@
             return
         result = await self._put_entry(entry.lease_id)
         if not isinstance(result, KvUnavailable) and result[0].succeeded:
-            self.lease.taken(requested_at_seconds, entry.lease_id, self.lease.life_seconds)
+            self.lease.record_grant(requested_at_seconds, entry.lease_id, self.lease.ttl_seconds)
             self._context.log.write(EntryContinued(lease=entry.lease_id))
 
     async def _put_entry(self, lease_id: int) -> list[TxnPartDone] | KvUnavailable:
@@ -128,7 +128,7 @@
 
     async def _acquire(self) -> None:
         requested_at_seconds = self._context.now_seconds()
-        granted = await self._context.kv.grant_lease(self.lease.life_seconds)
+        granted = await self._context.kv.grant_lease(self.lease.ttl_seconds)
         if not isinstance(granted, LeaseGranted):
             record_lease_failure(self._context, self.lease, granted)
             return
@@ -137,6 +137,6 @@
             failure = result if isinstance(result, KvUnavailable) else None
             record_lease_failure(self._context, self.lease, failure)
             return
-        self._context.contact.answered(self._context.now_seconds())
-        self.lease.taken(requested_at_seconds, granted.lease_id, granted.life_seconds)
+        self._context.contact.record_answer(self._context.now_seconds())
+        self.lease.record_grant(requested_at_seconds, granted.lease_id, granted.life_seconds)
         self._context.log.write(SessionBegun(lease=granted.lease_id))
--- a/rackswitch/gateway/store/reachability.py
+++ b/rackswitch/gateway/store/reachability.py
@@ -19,9 +19,9 @@
 
     Attributes
     ----------
-    away_since_seconds : float or None
+    unreachable_since_seconds : float or None
         When the first call of the current outage failed; None while the service is reachable.
-    back_seconds : float
+    recovered_at_seconds : float
         When the service last became reachable again; minus infinity if never.
     outage : OutageTracker
         Durations of the current and of earlier outages.
@@ -30,31 +30,31 @@
     """
 
     log: DecisionLog
-    away_since_seconds: float | None = None
-    back_seconds: float = float("-inf")
+    unreachable_since_seconds: float | None = None
+    recovered_at_seconds: float = float("-inf")
     outage: OutageTracker = field(default_factory=OutageTracker)
     last_failure_at_seconds: float = float("-inf")
 
     @property
-    def is_away(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Whether the service is unreachable."""
-        return self.away_since_seconds is not None
+        return self.unreachable_since_seconds is not None
 
-    def note(self, now_seconds: float, answer: object) -> None:
+    def record_result(self, now_seconds: float, answer: object) -> None:
         """Record the outcome of a call: `KvUnavailable`, or else an answer."""
         if isinstance(answer, KvUnavailable):
-            self.failed(now_seconds, answer.detail)
+            self.record_failure(now_seconds, answer.detail)
         else:
-            self.answered(now_seconds)
+            self.record_answer(now_seconds)
 
-    def answered(self, now_seconds: float) -> None:
+    def record_answer(self, now_seconds: float) -> None:
         """Record that the service answered."""
-        if self.away_since_seconds is None:
+        if self.unreachable_since_seconds is None:
             return
-        away_seconds = now_seconds - self.away_since_seconds
-        self.away_since_seconds = None
-        self.outage.there(now_seconds)
-        self.back_seconds = now_seconds
+        away_seconds = now_seconds - self.unreachable_since_seconds
+        self.unreachable_since_seconds = None
+        self.outage.record_available(now_seconds)
+        self.recovered_at_seconds = now_seconds
         self.log.write(DependencyRegained(dependency=KEY_VALUE, away_seconds=away_seconds))
 
     def record_peer_contact(self, at_seconds: float, now_seconds: float) -> None:
@@ -63,14 +63,14 @@
         Peers forward calls, so the service is reachable through that daemon. Otherwise a follower
         would notice this only at its next lease renewal, and claim no jobs until then.
         """
-        if self.is_away and at_seconds > self.last_failure_at_seconds:
-            self.answered(now_seconds)
+        if self.is_unreachable and at_seconds > self.last_failure_at_seconds:
+            self.record_answer(now_seconds)
 
-    def failed(self, now_seconds: float, detail: str) -> None:
+    def record_failure(self, now_seconds: float, detail: str) -> None:
         """Record a call that got no answer."""
         self.last_failure_at_seconds = now_seconds
-        if self.away_since_seconds is not None:
+        if self.unreachable_since_seconds is not None:
             return
-        self.away_since_seconds = now_seconds
-        self.outage.missing(now_seconds)
+        self.unreachable_since_seconds = now_seconds
+        self.outage.record_unavailable(now_seconds)
         self.log.write(DependencyLost(dependency=KEY_VALUE, detail=detail))
--- a/rackswitch/gateway/store/watching.py
+++ b/rackswitch/gateway/store/replica_manager.py
@@ -52,7 +52,7 @@
         self.server = ReplicaServer(context, self._replicas, paces, self._watch)
 
     @property
-    def copies(self) -> dict[str, PrefixReplica]:
+    def replicas(self) -> dict[str, PrefixReplica]:
         """The replicas, by prefix."""
         return self._replicas.by_prefix
 
@@ -64,10 +64,10 @@
     @property
     def followed(self) -> str:
         """The daemon that is followed; empty if this daemon follows none."""
-        return self._follower.selector.followed
+        return self._follower.selector.source
 
     @property
-    def looked(self) -> asyncio.Event:
+    def members_read(self) -> asyncio.Event:
         """Set once the members have been read, including an entry of an earlier process."""
         return self._follower.members_read
 
--- a/rackswitch/gateway/store/replica_messages.py
+++ b/rackswitch/gateway/store/replica_messages.py
@@ -2,7 +2,7 @@
 
 import math
 
-from rackswitch.clients.kv import KvEntry, WatchNews
+from rackswitch.clients.kv import KvEntry, WatchUpdate
 from rackswitch.gateway.store.replicas import PrefixReplica
 from rackswitch.peers import gateway_pb2 as pb
 
@@ -13,13 +13,13 @@
 infinite age, which the message field cannot hold."""
 
 
-def decode_changes(message: pb.CopyNews) -> WatchNews:
+def decode_changes(message: pb.CopyNews) -> WatchUpdate:
     """Return the changes of one replica from its message."""
     entries = tuple(
         KvEntry(entry.key, entry.value, entry.create_revision, entry.revision)
         for entry in message.entries
     )
-    return WatchNews(entries, message.revision, tuple(message.deleted))
+    return WatchUpdate(entries, message.revision, tuple(message.deleted))
 
 
 def append_changes(
--- a/rackswitch/gateway/store/replica_server.py
+++ b/rackswitch/gateway/store/replica_server.py
@@ -46,7 +46,7 @@
         If this daemon is cut off from the service, it replies at once as well, so that followers
         switch to another source before the replicas' age shows the outage.
         """
-        self._paces.hear(request.paces, self._context.now_seconds())
+        self._paces.record_peer_paces(request.paces, self._context.now_seconds())
         if not await self._wait_until_complete():
             return pb.FollowReply(refused=True)
         revisions = {position.prefix: position.revision for position in request.positions}
@@ -94,4 +94,4 @@
 
 def paces_to_send(context: GatewayContext, paces: EnginePaces) -> list[pb.EnginePace]:
     """Return the engines' paces to send with replica changes."""
-    return paces.to_tell(context.now_seconds()) if context.policy.paces_told else []
+    return paces.current_paces(context.now_seconds()) if context.policy.paces_told else []
--- a/rackswitch/gateway/store/replica_set.py
+++ b/rackswitch/gateway/store/replica_set.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from rackswitch.clients.kv import KvEntry, WatchNews
+from rackswitch.clients.kv import KvEntry, WatchUpdate
 from rackswitch.gateway.store.replicas import PrefixReplica
 
 __all__ = ["ReplicaHandlers", "ReplicaSet"]
@@ -82,7 +82,7 @@
         """Replace a replica by a snapshot of all entries under its prefix."""
         self._notify_handlers(prefix, self.by_prefix[prefix].replace(entries, revision))
 
-    def apply_changes(self, prefix: str, update: WatchNews) -> None:
+    def apply_changes(self, prefix: str, update: WatchUpdate) -> None:
         """Apply changes under a prefix."""
         self.by_prefix[prefix].apply(update)
         self._notify_handlers(prefix, update)
@@ -107,7 +107,7 @@
             return False
         return True
 
-    def _notify_handlers(self, prefix: str, update: WatchNews) -> None:
+    def _notify_handlers(self, prefix: str, update: WatchUpdate) -> None:
         handlers = self._handlers[prefix]
         for entry in update.entries:
             handlers.on_put(entry)
--- a/rackswitch/gateway/store/replicas.py
+++ b/rackswitch/gateway/store/replicas.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from rackswitch.clients.kv import KvEntry, WatchNews
+from rackswitch.clients.kv import KvEntry, WatchUpdate
 
 __all__ = ["PrefixReplica", "ReplicaChanges"]
 
@@ -52,13 +52,13 @@
     _changes: deque[_Change] = field(default_factory=deque)
     _oldest_revision: int = 0
 
-    def replace(self, entries: Iterable[KvEntry], revision: int) -> WatchNews:
+    def replace(self, entries: Iterable[KvEntry], revision: int) -> WatchUpdate:
         """Replace the entries by a snapshot; return the changes.
 
         A snapshot older than the replica changes nothing.
         """
         if revision < self.revision:
-            return WatchNews((), self.revision)
+            return WatchUpdate((), self.revision)
         listed = {entry.key: entry for entry in entries}
         changed = tuple(
             entry
@@ -66,11 +66,11 @@
             if key not in self.entries or self.entries[key].mod_revision != entry.mod_revision
         )
         deleted = tuple(key for key in self.entries if key not in listed)
-        update = WatchNews(changed, revision, deleted)
+        update = WatchUpdate(changed, revision, deleted)
         self.apply(update)
         return update
 
-    def apply(self, update: WatchNews) -> None:
+    def apply(self, update: WatchUpdate) -> None:
         """Apply changes."""
         if self.revision == 0:
             self._oldest_revision = update.revision
--- a/rackswitch/gateway/store/service_watch.py
+++ b/rackswitch/gateway/store/service_watch.py
@@ -6,7 +6,7 @@
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.store.replica_set import ReplicaSet
 from rackswitch.requests import backoff_seconds
-from rackswitch.telemetry.events import WatchesService
+from rackswitch.telemetry.events import ServiceWatchChanged
 
 __all__ = ["ServiceWatch"]
 
@@ -74,7 +74,7 @@
         self._is_root = is_root
         if enabled == self.is_enabled:
             return
-        self._context.log.write(WatchesService(watches=enabled))
+        self._context.log.write(ServiceWatchChanged(watches=enabled))
         if enabled:
             self._enabled.set()
         else:
@@ -114,8 +114,8 @@
         if prefix == self._members_prefix:
             return False
         contact = self._context.contact
-        grace_until_seconds = contact.back_seconds + RECOVERY_GRACE_SECONDS
-        if contact.is_away or (
+        grace_until_seconds = contact.recovered_at_seconds + RECOVERY_GRACE_SECONDS
+        if contact.is_unreachable or (
             not self._is_root and self._context.now_seconds() < grace_until_seconds
         ):
             return True
@@ -131,7 +131,7 @@
         """Read all entries of a prefix; return whether the service answered."""
         requested_at_seconds = self._context.now_seconds()
         read = await self._context.kv.read(prefix, is_prefix=True)
-        self._context.contact.note(self._context.now_seconds(), read)
+        self._context.contact.record_result(self._context.now_seconds(), read)
         if isinstance(read, KvUnavailable):
             return False
         self._replicas.apply_snapshot(prefix, read.entries, read.revision)
@@ -151,9 +151,9 @@
             now_seconds = self._context.now_seconds()
             if isinstance(update, KvUnavailable):
                 if not update.history_lost:
-                    self._context.contact.failed(now_seconds, f"watch: {update.detail}")
+                    self._context.contact.record_failure(now_seconds, f"watch: {update.detail}")
                 return True, update.history_lost
-            self._context.contact.answered(now_seconds)
+            self._context.contact.record_answer(now_seconds)
             # A working watch never ends, so the failure count is reset here; otherwise followers
             # would go on avoiding a daemon whose connection has recovered.
             self._set_failures(prefix, 0)
--- a/rackswitch/gateway/store/session.py
+++ b/rackswitch/gateway/store/session.py
@@ -12,7 +12,7 @@
 from rackswitch.gateway.store.lease_renewal import renew_lease
 from rackswitch.leases import SessionLease
 from rackswitch.telemetry.events import (
-    PredecessorEnded,
+    PredecessorLeaseRevoked,
     SessionBegun,
     SessionEnded,
     SessionLost,
@@ -78,15 +78,15 @@
         """The current lease, or None if there is none."""
         return self.lease.lease_id
 
-    def is_sure(self) -> bool:
+    def is_valid(self) -> bool:
         """Return whether the lease is known to be valid now."""
-        return self.lease.is_sure(self._context.now_seconds())
+        return self.lease.is_valid(self._context.now_seconds())
 
     def is_own(self, lease_id: int) -> bool:
         """Return whether this process acquired a lease."""
         return lease_id in self._own_leases
 
-    async def hold(self) -> int | None:
+    async def acquire_lease(self) -> int | None:
         """Return the lease for a new ownership, acquiring it if needed; None if that fails."""
         self._needed_until_seconds = self._context.now_seconds() + IDLE_HOLD_SECONDS
         async with self._acquire_lock:
@@ -94,11 +94,11 @@
                 await self._acquire()
         return self.lease.lease_id
 
-    def over(self, lease_id: int) -> None:
+    def record_lease_lost(self, lease_id: int) -> None:
         """Record that another call found that the service no longer knows a lease."""
         if lease_id != self.lease.lease_id:
             return
-        self.lease.lost()
+        self.lease.record_loss()
         self._context.log.write(SessionLost(lease=lease_id))
         self._on_lost()
 
@@ -111,13 +111,13 @@
         requested_at_seconds = self._context.now_seconds()
         lease_id = self.lease.lease_id
         renewal = await self._context.kv.keep_lease(lease_id or NO_LEASE_ID)
-        self._context.contact.note(self._context.now_seconds(), renewal)
+        self._context.contact.record_result(self._context.now_seconds(), renewal)
         if isinstance(renewal, KvUnavailable) or lease_id is None:
             return
         if not renewal:
-            self.over(lease_id)
+            self.record_lease_lost(lease_id)
         elif self.lease.lease_id == lease_id:
-            self.lease.renewed(requested_at_seconds)
+            self.lease.record_renewal(requested_at_seconds)
 
     async def run(self) -> None:
         """Renew the lease while it is needed."""
@@ -132,7 +132,7 @@
             else:
                 # The lease expires by itself, which saves a call.
                 self._log_end(self.lease.lease_id, "not needed")
-                self.lease.lost()
+                self.lease.record_loss()
 
     async def end(self) -> None:
         """Revoke the lease, so that others need not wait until it expires."""
@@ -150,7 +150,7 @@
             outcome = "no answer in time"
         self._log_end(lease_id, outcome)
 
-    async def end_predecessors(self, lease_id: int) -> None:
+    async def revoke_predecessor_lease(self, lease_id: int) -> None:
         """Revoke the lease of an earlier process of this daemon.
 
         Other daemons can then take over its jobs at once.
@@ -159,18 +159,18 @@
             return
         self._revoked_predecessors.add(lease_id)
         await self._context.kv.revoke_lease(lease_id)
-        self._context.log.write(PredecessorEnded(lease=lease_id))
+        self._context.log.write(PredecessorLeaseRevoked(lease=lease_id))
 
     def _log_end(self, lease_id: int, outcome: str) -> None:
         self._context.log.write(SessionEnded(lease=lease_id, outcome=outcome))
 
     async def _acquire(self) -> None:
         requested_at_seconds = self._context.now_seconds()
-        granted = await self._context.kv.grant_lease(self.lease.life_seconds)
+        granted = await self._context.kv.grant_lease(self.lease.ttl_seconds)
         if not isinstance(granted, LeaseGranted):
-            self._context.contact.failed(self._context.now_seconds(), granted.detail)
+            self._context.contact.record_failure(self._context.now_seconds(), granted.detail)
             return
-        self._context.contact.answered(self._context.now_seconds())
+        self._context.contact.record_answer(self._context.now_seconds())
         self._own_leases.add(granted.lease_id)
-        self.lease.taken(requested_at_seconds, granted.lease_id, granted.life_seconds)
+        self.lease.record_grant(requested_at_seconds, granted.lease_id, granted.life_seconds)
         self._context.log.write(SessionBegun(lease=granted.lease_id))
--- a/rackswitch/gateway/store/state_manager.py
+++ b/rackswitch/gateway/store/state_manager.py
@@ -120,13 +120,13 @@
         if isinstance(target, MalformedEntry):
             self._log_unreadable(entry, target)
             # A malformed entry describes no usable target.
-            self._context.directory.disown(instance)
+            self._context.directory.remove_replaced(instance)
             return
         previous = self._context.directory.entries.get(instance)
         self._report_ended_starts(previous, target)
         self._context.directory.put(target)
         self._track_start(target)
-        self._context.loads.listed(instance, target.versions, self._context.now_seconds())
+        self._context.loads.record_versions(instance, target.versions, self._context.now_seconds())
         if previous is None or previous.draining != target.draining:
             self._context.log.write(
                 TargetListed(
@@ -143,27 +143,27 @@
         Skipped while no inquiry is open: searching the whole list for each entry would make the
         first snapshot of a long list quadratic.
         """
-        if not self._ends.inquiries.any_open:
+        if not self._ends.investigations.any_open:
             return
         if previous is not None and previous.start != target.start:
-            self._ends.ended(previous.start, EndEvidence.REPLACED)
+            self._ends.record_end(previous.start, EndEvidence.REPLACED)
         for other in self._context.directory.at_address(target.host, target.port):
             if other.instance != target.instance:
-                self._ends.ended(other.start, EndEvidence.REPLACED)
+                self._ends.record_end(other.start, EndEvidence.REPLACED)
 
     def _target_deleted(self, key: str) -> None:
         instance = target_instance(key)
         previous = self._context.directory.entries.get(instance)
         now_seconds = self._context.now_seconds()
-        back_seconds = self._context.contact.back_seconds
+        back_seconds = self._context.contact.recovered_at_seconds
         self._context.directory.remove(instance, now_seconds, back_seconds)
         is_lapsed = instance in self._context.directory.lapsed
         if not is_lapsed:
-            self._context.loads.gone(instance)
+            self._context.loads.remove_engine(instance)
             if previous is not None:
                 self._context.load_estimator.forget(previous.start)
             if previous is not None and not previous.draining:
-                self._ends.ended(previous.start, EndEvidence.UNLISTED)
+                self._ends.record_end(previous.start, EndEvidence.UNLISTED)
         self._context.log.write(TargetGone(target=instance, still_used=is_lapsed))
 
     def _track_start(self, listed: ListedTarget) -> None:
@@ -175,7 +175,7 @@
         known = self._context.targets.get(listed.instance)
         if known is not None and known.start == listed.start:
             return
-        self._context.loads.gone(listed.instance)
+        self._context.loads.remove_engine(listed.instance)
         if known is not None:
             self._context.load_estimator.forget(known.start)
         same_zone = listed.zone == self._context.settings.zone
--- a/rackswitch/gateway/store/store_relay.py
+++ b/rackswitch/gateway/store/store_relay.py
@@ -20,7 +20,7 @@
 from rackswitch.platform.store_messages import StoreAnswer
 from rackswitch.relay import OWN_PATH, PathSelector
 from rackswitch.telemetry import DecisionLog
-from rackswitch.telemetry.events import CallNotPassedOn, StorePathChanged
+from rackswitch.telemetry.events import RelayRefused, StorePathChanged
 
 __all__ = ["ForwardedCalls", "RelayTransport"]
 
@@ -83,7 +83,7 @@
         )
         for path in paths:
             last_result = await self._send_via(path, call, has_alternatives=len(paths) > 1)
-            if isinstance(last_result, StoreAnswer) and not last_result.turned_away:
+            if isinstance(last_result, StoreAnswer) and not last_result.is_rejected:
                 return last_result
             if (
                 isinstance(last_result, KvUnavailable)
@@ -105,9 +105,9 @@
         started_at_seconds = _now_seconds()
         answer = await self._direct.send(call)
         if _is_failure(answer):
-            if self.path_selector.failed(OWN_PATH, _now_seconds()):
+            if self.path_selector.record_failure(OWN_PATH, _now_seconds()):
                 self._log.write(StorePathChanged(is_good=False, detail=_detail(answer)))
-        elif self.path_selector.answered(OWN_PATH, _elapsed_seconds(call, started_at_seconds)):
+        elif self.path_selector.record_answer(OWN_PATH, _elapsed_seconds(call, started_at_seconds)):
             self._log.write(StorePathChanged(is_good=True, detail=""))
         return answer
 
@@ -120,17 +120,17 @@
             )
         answer = await self._forward_to(path, call)
         if _is_failure(answer):
-            self.path_selector.failed(path, _now_seconds())
+            self.path_selector.record_failure(path, _now_seconds())
         else:
-            self.path_selector.answered(path, 0.0)
+            self.path_selector.record_answer(path, 0.0)
         return answer
 
     def _with_shorter_timeout(self, call: StoreCall) -> StoreCall:
         """Return a call with the direct path's timeout for the case that there are other paths."""
-        if not call.repeatable or call.held:
+        if not call.repeatable or call.is_long_poll:
             return call
-        limit_seconds = self.path_selector.patience_seconds(call.limit_seconds)
-        return msgspec.structs.replace(call, limit_seconds=limit_seconds)
+        limit_seconds = self.path_selector.call_timeout_seconds(call.timeout_seconds)
+        return msgspec.structs.replace(call, timeout_seconds=limit_seconds)
 
     async def _forward_to(self, name: str, call: StoreCall) -> StoreAnswer | KvUnavailable:
         peer = self._membership.address(name)
@@ -144,7 +144,7 @@
             peer,
             lambda stub: stub.PassOn,
             request,
-            call.limit_seconds + PEER_TIMEOUT_MARGIN_SECONDS,
+            call.timeout_seconds + PEER_TIMEOUT_MARGIN_SECONDS,
             GatewayPeersStub,
         )
         if isinstance(reply, PeerUnreachable):
@@ -182,7 +182,7 @@
         call = decode_call(request.call)
         if isinstance(call, MalformedCall):
             return self._refuse(request, call.detail)
-        if not self._relay.path_selector.own_is_good:
+        if not self._relay.path_selector.is_own_path_up:
             return pb.PassOnReply(refused="no path to the service here either")
         if self._in_flight >= MAX_FORWARDED_CALLS:
             return pb.PassOnReply(refused="too many forwarded calls are in progress")
@@ -196,7 +196,7 @@
         return pb.PassOnReply(answered=True, status=answer.status, content=answer.content)
 
     def _refuse(self, request: pb.PassOnRequest, detail: str) -> pb.PassOnReply:
-        self._context.log.write(CallNotPassedOn(daemon_asking=request.daemon, detail=detail))
+        self._context.log.write(RelayRefused(daemon_asking=request.daemon, detail=detail))
         return pb.PassOnReply(refused=detail)
 
 
@@ -206,7 +206,7 @@
 
 
 def _is_failure(answer: StoreAnswer | KvUnavailable) -> bool:
-    return isinstance(answer, KvUnavailable) or answer.turned_away
+    return isinstance(answer, KvUnavailable) or answer.is_rejected
 
 
 def _detail(answer: StoreAnswer | KvUnavailable) -> str:
@@ -215,4 +215,4 @@
 
 def _elapsed_seconds(call: StoreCall, started_at_seconds: float) -> float:
     """Return how long an answer took; 0 for a call that the service holds open."""
-    return 0.0 if call.held else _now_seconds() - started_at_seconds
+    return 0.0 if call.is_long_poll else _now_seconds() - started_at_seconds
--- a/rackswitch/gateway/store/tests/spread_run.py
+++ b/rackswitch/gateway/store/tests/spread_run.py
@@ -9,14 +9,14 @@
     KvUnavailable,
     Operation,
     TxnPart,
-    WatchNews,
-    latest_news,
+    WatchUpdate,
+    latest_update,
 )
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.store.member_entries import MEMBERS_PREFIX, decode_member, vm_entry
 from rackswitch.gateway.store.presence import Presence
+from rackswitch.gateway.store.replica_manager import ReplicaManager
 from rackswitch.gateway.store.replica_set import ReplicaHandlers
-from rackswitch.gateway.store.watching import ReplicaManager
 from rackswitch.gateway.tests.support import make_gateway_context
 from rackswitch.peers.links import PeerUnreachable
 from rackswitch.standins.faulty_kv import FaultyKv, KvFaults
@@ -36,14 +36,14 @@
 
     Attributes
     ----------
-    priced : float
+    billed_calls : float
         Calls so far; a lease renewal or a stale read counts as 0.1 calls.
     """
 
     store: KvStore = field(default_factory=KvStore)
     history: list[tuple[int, str, KvEntry | None]] = field(default_factory=list)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    priced: float = 0.0
+    billed_calls: float = 0.0
 
     def put(self, key: str, value: bytes) -> None:
         self.store.txn([TxnPart((), (Operation(key, value),))])
@@ -59,14 +59,14 @@
             self.changed.set()
             self.changed = asyncio.Event()
 
-    def changes_after(self, prefix: str, revision: int) -> WatchNews:
+    def changes_after(self, prefix: str, revision: int) -> WatchUpdate:
         self.record_changes()
         newer = [
             change
             for change in self.history
             if change[0] > revision and change[1].startswith(prefix)
         ]
-        return latest_news(
+        return latest_update(
             [entry for _, _, entry in newer if entry is not None],
             [(key, at) for at, key, entry in newer if entry is None],
             self.store.revision,
@@ -81,19 +81,19 @@
         self._service = service
 
     async def read(self, key, is_prefix=False, keys_only=False, may_be_stale=False):
-        self._service.priced += 0.1 if may_be_stale else 1.0
+        self._service.billed_calls += 0.1 if may_be_stale else 1.0
         return await super().read(key, is_prefix)
 
     async def keep_lease(self, lease_id):
-        self._service.priced += 0.1
+        self._service.billed_calls += 0.1
         return await super().keep_lease(lease_id)
 
     async def grant_lease(self, life_seconds):
-        self._service.priced += 1.0
+        self._service.billed_calls += 1.0
         return await super().grant_lease(life_seconds)
 
     async def txn(self, parts):
-        self._service.priced += 1.0
+        self._service.billed_calls += 1.0
         result = await super().txn(parts)
         self._service.record_changes()
         return result
@@ -102,7 +102,7 @@
         revision = from_revision
         wait_seconds = 0.0
         while True:
-            self._service.priced += 1.0
+            self._service.billed_calls += 1.0
             deadline_seconds = asyncio.get_running_loop().time() + wait_seconds
             update = self._service.changes_after(key, revision)
             while not (update.entries or update.deleted):
@@ -118,7 +118,7 @@
                 return
             revision = max(revision, update.revision)
             wait_seconds = WATCH_SECONDS
-            yield WatchNews(update.entries, revision, update.deleted)
+            yield WatchUpdate(update.entries, revision, update.deleted)
 
 
 class SimulatedDaemon:
@@ -140,7 +140,7 @@
             STATE: ReplicaHandlers(self._state_put, lambda key: None),
         }
         self.replica_manager = ReplicaManager(self.context, handlers, EnginePaces(), CONTROL)
-        self.presence = Presence(self.context, 1, self.replica_manager.looked)
+        self.presence = Presence(self.context, 1, self.replica_manager.members_read)
 
     def _member_put(self, entry: KvEntry) -> None:
         name = entry.key.removeprefix(MEMBERS_PREFIX)
@@ -155,7 +155,9 @@
 
     def _update_membership(self) -> None:
         members = list(self._members.values())
-        self.context.daemon.membership.learn_listed(members, self.context.now_seconds())
+        self.context.daemon.membership.update_from_complete_list(
+            members, self.context.now_seconds()
+        )
 
     def _state_put(self, entry: KvEntry) -> None:
         self.received_at_seconds.setdefault(entry.value.decode(), self.context.now_seconds())
@@ -169,7 +171,7 @@
         self._zone = zone
 
     async def call(self, peer, method, message, timeout_seconds, stub_kind):
-        daemon = self._run.nodes[peer.daemon]
+        daemon = self._run.daemons[peer.daemon]
         same_zone = daemon.zone == self._zone
         transit_seconds = SAME_ZONE_LATENCY_SECONDS if same_zone else OTHER_ZONE_LATENCY_SECONDS
         if not daemon.alive:
@@ -193,14 +195,14 @@
         self.rng = random.Random(seed)
         self.service = Service()
         daemon_zones = [(f"d{number:03d}", f"z{number % zones}") for number in range(daemons)]
-        self.nodes = {
+        self.daemons = {
             name: SimulatedDaemon(name, zone, self.service, self.rng) for name, zone in daemon_zones
         }
         self._tasks: list[tuple[SimulatedDaemon, asyncio.Task[None]]] = []
 
     async def start(self) -> None:
         self.service.put(STATE + "a", b"first")
-        for daemon in self.nodes.values():
+        for daemon in self.daemons.values():
             daemon.context.daemon.links = FleetLinks(self, daemon.zone)
             for coroutine in (daemon.replica_manager.run(), daemon.presence.run()):
                 delay_seconds = self.rng.uniform(0.0, START_SECONDS)
@@ -225,12 +227,12 @@
         daemon.context.kv.faults.refused = 1.0
 
     def living(self) -> list[SimulatedDaemon]:
-        return [daemon for daemon in self.nodes.values() if daemon.alive]
+        return [daemon for daemon in self.daemons.values() if daemon.alive]
 
     def watchers(self) -> list[SimulatedDaemon]:
         return [daemon for daemon in self.living() if not daemon.replica_manager.followed]
 
-    async def settled(self, limit_seconds: float = 10.0) -> float:
+    async def wait_until_settled(self, limit_seconds: float = 10.0) -> float:
         """Wait until one daemon watches and all others follow; return the time taken."""
         loop = asyncio.get_running_loop()
         started_at_seconds = loop.time()
@@ -246,7 +248,7 @@
         followed = {daemon.replica_manager.followed for daemon in living} - {""}
         return all_complete and len(self.watchers()) == 1 and followed <= living_names
 
-    async def spread(self, value: str, limit_seconds: float = 10.0) -> list[float]:
+    async def propagate(self, value: str, limit_seconds: float = 10.0) -> list[float]:
         """Change an entry; return the sorted delays until each reachable daemon received it."""
         loop = asyncio.get_running_loop()
         started_at_seconds = loop.time()
--- a/rackswitch/gateway/store/tests/test_path_store.py
+++ b/rackswitch/gateway/store/tests/test_path_store.py
@@ -24,8 +24,8 @@
 def test_a_daemon_whose_store_calls_fail_receives_changes_from_peers():
     async def scenario(fleet):
         gateways = fleet.gateways.values()
-        await wait_for(lambda: sum(bool(g.copies.followed) for g in gateways) == 2)
-        follower = next(gateway for gateway in gateways if gateway.copies.followed)
+        await wait_for(lambda: sum(bool(g.replicas.followed) for g in gateways) == 2)
+        follower = next(gateway for gateway in gateways if gateway.replicas.followed)
         # Its direct calls fail from here on; its source still answers.
         follower.direct.url = "http://127.0.0.1:9"
         fleet.store.put("op/config", desired_state(9, routes=[]))
--- a/rackswitch/gateway/store/tests/test_replica_machine.py
+++ b/rackswitch/gateway/store/tests/test_replica_machine.py
@@ -8,7 +8,7 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from rackswitch.clients.kv import KvEntry, WatchNews, latest_news
+from rackswitch.clients.kv import KvEntry, WatchUpdate, latest_update
 from rackswitch.gateway.store.replicas import PrefixReplica
 from rackswitch.table import TableDocument, TableView
 
@@ -39,12 +39,12 @@
         self.entries.pop(key, None)
         self.history.append((self.revision, key, None))
 
-    def changes_after(self, revision: int) -> WatchNews | None:
+    def changes_after(self, revision: int) -> WatchUpdate | None:
         """Return the changes of a watch; None if that part of the history is discarded."""
         if revision < self.oldest_known_revision:
             return None
         newer = [change for change in self.history if change[0] > revision]
-        return latest_news(
+        return latest_update(
             [entry for _, _, entry in newer if entry is not None],
             [(key, changed) for changed, key, entry in newer if entry is None],
             self.revision,
@@ -58,7 +58,7 @@
         self.replica = PrefixReplica("op/")
         self.view = TableView()
 
-    def apply_table_changes(self, update: WatchNews) -> None:
+    def apply_table_changes(self, update: WatchUpdate) -> None:
         for entry in update.entries:
             if entry.key == CONFIG:
                 self.view.offer(TableDocument(revision=int(entry.value)))
@@ -133,7 +133,7 @@
         if changes.is_complete:
             daemon.apply_table_changes(daemon.replica.replace(changes.entries, changes.revision))
             return
-        update = WatchNews(changes.entries, changes.revision, changes.deleted)
+        update = WatchUpdate(changes.entries, changes.revision, changes.deleted)
         daemon.replica.apply(update)
         daemon.apply_table_changes(update)
 
--- a/rackswitch/gateway/store/tests/test_watching.py
+++ b/rackswitch/gateway/store/tests/test_replica_manager.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from rackswitch.clients.kv import KvEntry, WatchNews
+from rackswitch.clients.kv import KvEntry, WatchUpdate
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.peer_service import GatewayPeersService
+from rackswitch.gateway.store.replica_manager import ReplicaManager
 from rackswitch.gateway.store.replica_set import ReplicaHandlers
-from rackswitch.gateway.store.watching import ReplicaManager
 from rackswitch.gateway.tests.support import make_gateway_context, make_member
 from rackswitch.membership import VmEntry
 from rackswitch.peers.links import PeerLinks
-from rackswitch.spread import fresh_seconds
+from rackswitch.spread import max_age_seconds
 from rackswitch.standins.faulty_kv import FaultyKv, KvFaults
 from rackswitch.standins.kv_store import KvStore
 
@@ -26,7 +26,7 @@
     async def watch(self, key, from_revision):
         while True:
             await asyncio.sleep(0.2)
-            yield WatchNews((), from_revision)
+            yield WatchUpdate((), from_revision)
 
 
 class SlowLinks(PeerLinks):
@@ -76,7 +76,7 @@
 
     def put(self, key: str, revision: int, age_seconds: float = 0.0) -> None:
         """Apply a change as if the service had sent it `age_seconds` ago."""
-        update = WatchNews((KvEntry(key, b"v", revision, revision),), revision)
+        update = WatchUpdate((KvEntry(key, b"v", revision, revision),), revision)
         self.replicas.apply_changes(PREFIX, update)
         self.replicas.confirm(PREFIX, self.now_seconds() - age_seconds)
 
@@ -94,7 +94,7 @@
         daemons = [Daemon(name) for name in "abcd"[:count]]
         entries = [await daemon.start() for daemon in daemons]
         for daemon in daemons:
-            daemon.context.daemon.membership.learn_listed(entries, 0.0)
+            daemon.context.daemon.membership.update_from_complete_list(entries, 0.0)
         try:
             await scenario(*daemons)
         finally:
@@ -145,7 +145,7 @@
 
 def test_daemons_that_follow_each_other_in_a_cycle_stop_following():
     async def scenario(one, other):
-        one.put("p/x", 5, age_seconds=fresh_seconds(1) - 0.3)
+        one.put("p/x", 5, age_seconds=max_age_seconds(1) - 0.3)
         await other.follower.poll_source("a", 1)
         assert other.replica_manager.followed == "a"
         for _ in range(3):
@@ -161,8 +161,8 @@
     async def scenario(source, follower):
         source.put("p/x", 5)
         now_seconds = follower.now_seconds()
-        source.paces.note("e1", 0.12, now_seconds)
-        follower.paces.note("e2", 0.13, now_seconds)
+        source.paces.record_interval("e1", 0.12, now_seconds)
+        follower.paces.record_interval("e2", 0.13, now_seconds)
         await follower.follower.poll_source("a", 1)
         assert follower.paces.get("e1", now_seconds) == 0.12
         assert source.paces.get("e2", now_seconds) == 0.13
@@ -246,7 +246,7 @@
         members = follower.context.daemon.membership
         entry = VmEntry("e", "127.0.0.1", 1, "z", False)
         entries["e"] = make_member(room=0.9)
-        members.learn_listed([entry], 0.0)
+        members.update_from_complete_list([entry], 0.0)
         assert follower.follower._current_tree().root == "e"
 
     run_scenario(scenario)
@@ -255,12 +255,12 @@
 def test_a_follower_learns_from_its_source_that_the_service_is_reachable_again():
     async def scenario(source, follower):
         source.put("p/x", 5)
-        follower.context.contact.failed(follower.now_seconds(), "no answer")
+        follower.context.contact.record_failure(follower.now_seconds(), "no answer")
         await follower.follower.poll_source("a", 1)
         # The source's last confirmation is older than the failure.
-        assert follower.context.contact.is_away
+        assert follower.context.contact.is_unreachable
         source.put("p/y", 6)
         await follower.follower.poll_source("a", 1)
-        assert not follower.context.contact.is_away
+        assert not follower.context.contact.is_unreachable
 
     run_scenario(scenario)
--- a/rackswitch/gateway/store/tests/test_replicas.py
+++ b/rackswitch/gateway/store/tests/test_replicas.py
@@ -1,7 +1,7 @@
 import hypothesis.strategies as st
 from hypothesis import given
 
-from rackswitch.clients.kv import KvEntry, WatchNews
+from rackswitch.clients.kv import KvEntry, WatchUpdate
 from rackswitch.gateway.store.replicas import PrefixReplica
 
 
@@ -16,7 +16,7 @@
     if changes.is_complete:
         follower.replace(changes.entries, changes.revision)
     else:
-        follower.apply(WatchNews(changes.entries, changes.revision, changes.deleted))
+        follower.apply(WatchUpdate(changes.entries, changes.revision, changes.deleted))
 
 
 def test_a_snapshot_returns_only_the_changes():
@@ -30,7 +30,7 @@
 def test_an_older_snapshot_is_ignored():
     replica = PrefixReplica("p/")
     replica.replace([entry("p/a", 7)], 8)
-    assert replica.replace([], 5) == WatchNews((), 8)
+    assert replica.replace([], 5) == WatchUpdate((), 8)
     assert set(replica.entries) == {"p/a"}
 
 
@@ -47,7 +47,7 @@
 def test_a_lagging_follower_gets_only_the_changes_it_lacks():
     leader = PrefixReplica("p/")
     leader.replace([entry("p/a", 1), entry("p/b", 2)], 5)
-    leader.apply(WatchNews((entry("p/c", 6),), 6))
+    leader.apply(WatchUpdate((entry("p/c", 6),), 6))
     changes = leader.changes_since(5)
     assert changes is not None and not changes.is_complete
     assert [item.key for item in changes.entries] == ["p/c"]
@@ -64,9 +64,9 @@
     for key, is_put, follower_polls in steps:
         revision += 1
         if is_put:
-            leader.apply(WatchNews((entry(key, revision),), revision))
+            leader.apply(WatchUpdate((entry(key, revision),), revision))
         else:
-            leader.apply(WatchNews((), revision, (key,)))
+            leader.apply(WatchUpdate((), revision, (key,)))
         if follower_polls:
             follow(follower, leader)
             assert follower.entries == leader.entries
--- a/rackswitch/gateway/store/tests/test_service_watch.py
+++ b/rackswitch/gateway/store/tests/test_service_watch.py
@@ -6,7 +6,7 @@
 
 import asyncio
 
-from rackswitch.clients.kv import KvUnavailable, WatchNews
+from rackswitch.clients.kv import KvUnavailable, WatchUpdate
 from rackswitch.daemon.tests.support import run_virtual
 from rackswitch.gateway.store.replica_set import ReplicaHandlers, ReplicaSet
 from rackswitch.gateway.store.service_watch import CUT_OFF_FAILURES, ServiceWatch
@@ -24,7 +24,7 @@
 
     async def watch(self, key, from_revision):
         while not self.failures_left:
-            yield WatchNews((), from_revision)
+            yield WatchUpdate((), from_revision)
             await asyncio.sleep(1.0)
         self.failures_left -= 1
         yield KvUnavailable("silent", effect_unknown=False)
--- a/rackswitch/gateway/store/tests/test_session.py
+++ b/rackswitch/gateway/store/tests/test_session.py
@@ -90,16 +90,16 @@
         task = asyncio.create_task(session.run())
         await asyncio.sleep(5.0)
         assert context.kv.calls == 0
-        lease_id = await session.hold()
-        assert session.is_sure()
-        assert await session.hold() == lease_id
+        lease_id = await session.acquire_lease()
+        assert session.is_valid()
+        assert await session.acquire_lease() == lease_id
         owned_jobs.append("job")
         await asyncio.sleep(IDLE_HOLD_SECONDS * 2)
         assert session.lease_id == lease_id
         owned_jobs.clear()
         await asyncio.sleep(IDLE_HOLD_SECONDS)
         assert session.lease_id is None
-        assert not session.is_sure()
+        assert not session.is_valid()
         calls = context.kv.calls
         await asyncio.sleep(IDLE_HOLD_SECONDS)
         assert context.kv.calls == calls
@@ -112,7 +112,7 @@
     async def scenario():
         kv = KvStore()
         session = Session(make_gateway_context("a", kv), lambda: None, lambda: True)
-        leases = await asyncio.gather(*(session.hold() for _ in range(5)))
+        leases = await asyncio.gather(*(session.acquire_lease() for _ in range(5)))
         assert len(set(leases)) == 1
         assert len(kv.leases) == 1
 
@@ -124,9 +124,9 @@
     async def scenario():
         kv = KvStore()
         session = Session(make_gateway_context("a", kv), lambda: None, lambda: True)
-        lease_id = await session.hold() if is_own else kv.grant(100.0, 0.0)
-        await session.end_predecessors(lease_id)
-        await session.end_predecessors(lease_id)
+        lease_id = await session.acquire_lease() if is_own else kv.grant(100.0, 0.0)
+        await session.revoke_predecessor_lease(lease_id)
+        await session.revoke_predecessor_lease(lease_id)
         assert (lease_id in kv.leases) is is_own
         assert session._context.kv.calls == 1
 
@@ -138,10 +138,10 @@
         faults = KvFaults(down=True)
         context = make_gateway_context("a", KvStore(), faults=faults)
         session = Session(context, lambda: None, lambda: True)
-        assert await session.hold() is None
-        assert context.contact.is_away
+        assert await session.acquire_lease() is None
+        assert context.contact.is_unreachable
         faults.down = False
-        assert await session.hold() is not None
+        assert await session.acquire_lease() is not None
 
     run_virtual(scenario())
 
@@ -153,16 +153,16 @@
         session = Session(
             make_gateway_context("a", kv), lambda: lost_leases.append(1), lambda: True
         )
-        first_lease = await session.hold()
+        first_lease = await session.acquire_lease()
         kv.end_lease(first_lease)
-        session.over(first_lease)
+        session.record_lease_lost(first_lease)
         assert session.lease_id is None
-        second_lease = await session.hold()
+        second_lease = await session.acquire_lease()
         assert second_lease not in (None, first_lease)
         # Another write under the first lease reports the loss late.
-        session.over(first_lease)
+        session.record_lease_lost(first_lease)
         assert session.lease_id == second_lease
-        assert session.is_sure()
+        assert session.is_valid()
         assert len(lost_leases) == 1
 
     run_virtual(scenario())
@@ -175,7 +175,7 @@
         context = make_gateway_context("a", kv)
         lost_leases = []
         session = Session(context, lambda: lost_leases.append(1), lambda: True)
-        first_lease = await session.hold()
+        first_lease = await session.acquire_lease()
         renewal_answer = asyncio.get_running_loop().create_future()
         renewed_leases = []
 
@@ -188,14 +188,14 @@
         while not renewed_leases:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.1)
-        session.over(first_lease)
-        second_lease = await session.hold()
-        sure_until_seconds = session.lease.sure_until_seconds
+        session.record_lease_lost(first_lease)
+        second_lease = await session.acquire_lease()
+        sure_until_seconds = session.lease.valid_until_seconds
         renewal_answer.set_result(is_renewed)
         await asyncio.sleep(0.01)
         assert renewed_leases == [first_lease]
         assert session.lease_id == second_lease != first_lease
-        assert session.lease.sure_until_seconds == sure_until_seconds
+        assert session.lease.valid_until_seconds == sure_until_seconds
         assert len(lost_leases) == 1
         task.cancel()
 
--- a/rackswitch/gateway/store/tests/test_spread_runs.py
+++ b/rackswitch/gateway/store/tests/test_spread_runs.py
@@ -18,17 +18,17 @@
     async def scenario():
         run = SpreadRun(daemons)
         await run.start()
-        assert await run.settled() < 2.5
+        assert await run.wait_until_settled() < 2.5
         # Each daemon acquires a lease, writes an entry and makes some stale reads; the other
         # calls are the root's.
-        assert run.service.priced < 3.0 * daemons + 100
-        assert (await run.spread("second"))[-1] < 0.3
-        before = {name: daemon.served for name, daemon in run.nodes.items()}
-        calls = run.service.priced
+        assert run.service.billed_calls < 3.0 * daemons + 100
+        assert (await run.propagate("second"))[-1] < 0.3
+        before = {name: daemon.served for name, daemon in run.daemons.items()}
+        calls = run.service.billed_calls
         for number in range(10):
-            await run.spread(f"change {number}")
-        assert run.service.priced - calls < 30 + 0.1 * daemons
-        served = max(daemon.served - before[name] for name, daemon in run.nodes.items())
+            await run.propagate(f"change {number}")
+        assert run.service.billed_calls - calls < 30 + 0.1 * daemons
+        served = max(daemon.served - before[name] for name, daemon in run.daemons.items())
         assert served <= 10 * (FAN_OUT + ZONES) * 2
         await run.stop()
 
@@ -40,10 +40,10 @@
     async def scenario():
         run = SpreadRun(40, seed=seed)
         await run.start()
-        await run.settled()
+        await run.wait_until_settled()
         (root,) = run.watchers()
         run.kill(root)
-        recovery_seconds = (await run.spread("after its death"))[-1]
+        recovery_seconds = (await run.propagate("after its death"))[-1]
         assert recovery_seconds < CONFIG_SECONDS
         assert len(run.watchers()) <= 3
         await run.stop()
@@ -56,11 +56,11 @@
     async def scenario():
         run = SpreadRun(40, seed=seed)
         await run.start()
-        await run.settled()
+        await run.wait_until_settled()
         (root,) = run.watchers()
         run.reject_calls(root)
         # The rest of its watch, two retries, and one request to another daemon.
-        assert (await run.spread("after it was cut off"))[-1] < 1.25
+        assert (await run.propagate("after it was cut off"))[-1] < 1.25
         await run.stop()
 
     run_virtual(scenario())
@@ -71,10 +71,10 @@
     async def scenario():
         run = SpreadRun(60, seed=seed)
         await run.start()
-        await run.settled()
+        await run.wait_until_settled()
         for daemon in run.rng.sample(run.living(), 10):
             run.kill(daemon)
-        assert (await run.spread("without them"))[-1] < CONFIG_SECONDS
+        assert (await run.propagate("without them"))[-1] < CONFIG_SECONDS
         await run.stop()
 
     run_virtual(scenario())
@@ -85,15 +85,15 @@
     async def scenario():
         run = SpreadRun(24, seed=seed)
         await run.start()
-        await run.settled()
+        await run.wait_until_settled()
         stopping = [daemon for daemon in run.living() if daemon.replica_manager.followed][:6]
         for daemon in stopping:
             daemon.context.daemon.membership.leave()
-        calls = run.service.priced
+        calls = run.service.billed_calls
         await asyncio.sleep(4.0)
         assert all(daemon.replica_manager.followed for daemon in stopping)
-        assert run.service.priced - calls < 4.0 / 0.7 * 2 + 0.2 * 24 + 3
-        await run.spread("to all", 1.0)
+        assert run.service.billed_calls - calls < 4.0 / 0.7 * 2 + 0.2 * 24 + 3
+        await run.propagate("to all", 1.0)
         await run.stop()
 
     run_virtual(scenario())
@@ -104,16 +104,16 @@
     async def scenario():
         run = SpreadRun(64, zones=4)
         await run.start()
-        await run.settled()
-        calls = run.service.priced
+        await run.wait_until_settled()
+        calls = run.service.billed_calls
         for daemon in run.living():
             run.reject_calls(daemon)
         await asyncio.sleep(outage_seconds)
         for daemon in run.living():
             daemon.context.kv.faults.refused = 0.0
         await asyncio.sleep(3.0)
-        assert run.service.priced - calls < max_calls
-        assert (await run.spread("after it"))[-1] < 0.3
+        assert run.service.billed_calls - calls < max_calls
+        assert (await run.propagate("after it"))[-1] < 0.3
         await run.stop()
 
     run_virtual(scenario())
@@ -129,17 +129,17 @@
     async def scenario():
         run = SpreadRun(64, zones=4)
         await run.start()
-        await run.settled()
+        await run.wait_until_settled()
         for daemon in run.living():
             run.reject_calls(daemon)
         await asyncio.sleep(6.0)
         for daemon in run.living():
             daemon.context.kv.faults.refused = 0.0
-        calls = run.service.priced
+        calls = run.service.billed_calls
         for number in range(40):
             run.service.put(f"{STATE}{number}", b"changed")
             await asyncio.sleep(0.05)
-        assert run.service.priced - calls < 3 * 64
+        assert run.service.billed_calls - calls < 3 * 64
         assert len(run.watchers()) == 1
         await run.stop()
 
--- a/rackswitch/gateway/store/tests/test_store_relay.py
+++ b/rackswitch/gateway/store/tests/test_store_relay.py
@@ -8,7 +8,7 @@
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.policy import PolicySettings
 from rackswitch.gateway.store.store_relay import MAX_FORWARDED_CALLS, ForwardedCalls, RelayTransport
-from rackswitch.gateway.tests.path import check_whole, play, wait_for
+from rackswitch.gateway.tests.path import check_complete, play, wait_for
 from rackswitch.membership import MemberState, MemberUpdate
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.platform.store_calls import StoreCall, decode_call, encode_call
@@ -23,14 +23,14 @@
     method="GET",
     target="/rackswitch/kv-key?key=a",
     content=b"",
-    limit_seconds=1.5,
+    timeout_seconds=1.5,
     repeatable=True,
 )
 WRITE = StoreCall(
     method="POST",
     target="/rackswitch/kv-txn",
     content=b"{}",
-    limit_seconds=1.5,
+    timeout_seconds=1.5,
     repeatable=False,
 )
 
@@ -41,13 +41,13 @@
         gateway = fleet.gateways["d0"]
         assert await fleet.submit("d0", "j0", [LONG_ITEM_PIECES]) == 202
         gateway.direct.url = UNREACHABLE_URL
-        await wait_for(lambda: gateway.session.is_sure() is through_peers, 5.0)
+        await wait_for(lambda: gateway.session.is_valid() is through_peers, 5.0)
         await asyncio.sleep(0 if not through_peers else 2.5)
-        assert gateway.session.is_sure() is through_peers
+        assert gateway.session.is_valid() is through_peers
         status = await fleet.submit("d0", "j1", [3, 5])
         assert status == (202 if through_peers else 503)
         if through_peers:
-            check_whole(await fleet.read_all("d0", "j1"), [3, 5], "j1")
+            check_complete(await fleet.read_all("d0", "j1"), [3, 5], "j1")
 
     play(scenario, policy=PolicySettings(calls_through_peers=through_peers))
 
@@ -73,9 +73,9 @@
         reachable_url = gateway.direct.url
         gateway.direct.url = UNREACHABLE_URL
         path_selector = gateway.context.kv._transport.path_selector
-        await wait_for(lambda: not path_selector.own_is_good)
+        await wait_for(lambda: not path_selector.is_own_path_up)
         gateway.direct.url = reachable_url
-        await wait_for(lambda: path_selector.own_is_good, 3.0)
+        await wait_for(lambda: path_selector.is_own_path_up, 3.0)
 
     play(scenario)
 
@@ -86,7 +86,7 @@
             gateway.direct.url = UNREACHABLE_URL
         path_selectors = [g.context.kv._transport.path_selector for g in fleet.gateways.values()]
         await wait_for(
-            lambda: not any(path_selector.own_is_good for path_selector in path_selectors)
+            lambda: not any(path_selector.is_own_path_up for path_selector in path_selectors)
         )
         request = pb.PassOnRequest(daemon="d1", call=encode_call(READ))
         reply = await fleet.gateways["d0"]._peers._passed_on.serve(request)
@@ -211,7 +211,7 @@
         direct = FakePath(LOST)
         relay, _ = make_relay(direct, {"b": ANSWERED})
         await relay.send(READ)
-        assert direct.calls[0].limit_seconds < READ.limit_seconds / 2
+        assert direct.calls[0].timeout_seconds < READ.timeout_seconds / 2
 
     asyncio.run(scenario())
 
@@ -224,8 +224,8 @@
         ({"target": "/rackswitch/kv-key?key=a\r\nX: y"}, "`target`"),
         ({"target": "/rackswitch/kv-" + "a" * 3000}, "`target`"),
         ({"content": b"a" * 5_000_000}, "`content`"),
-        ({"limit_seconds": 60.0}, "`limit_seconds`"),
-        ({"limit_seconds": 0.0}, "`limit_seconds`"),
+        ({"timeout_seconds": 60.0}, "`limit_seconds`"),
+        ({"timeout_seconds": 0.0}, "`limit_seconds`"),
     ],
 )
 def test_a_call_that_may_not_be_forwarded_is_refused_naming_its_field(change, field):
--- a/rackswitch/gateway/store/tests/test_target_list.py
+++ b/rackswitch/gateway/store/tests/test_target_list.py
@@ -22,7 +22,7 @@
     def __init__(self):
         self.context = make_gateway_context("a", KvStore())
         self.quarantine = QuarantineManager(self.context, lambda: True)
-        self.handlers = StateManager(self.context, self.quarantine.watch).target_handlers()
+        self.handlers = StateManager(self.context, self.quarantine.end_detector).target_handlers()
         self._revision = 0
 
     def put(self, instance, started_at_unix_ms=STARTED_AT_UNIX_MS, **changes):
@@ -56,9 +56,9 @@
         target_list.put("i-1")
         now_seconds = target_list.context.now_seconds()
         previous_target = target_list.context.targets["i-1"]
-        previous_target.begin(500.0, (1, 2, 3))
-        previous_target.went_silent(now_seconds)
-        target_list.context.loads.told("i-1", "m", 4, now_seconds)
+        previous_target.record_start(500.0, (1, 2, 3))
+        previous_target.record_no_response(now_seconds)
+        target_list.context.loads.record_order("i-1", "m", 4, now_seconds)
         target_list.put("i-1", STARTED_AT_UNIX_MS, seq=2)
         assert target_list.context.targets["i-1"] is previous_target
         target_list.put(
@@ -79,7 +79,7 @@
     async def scenario():
         target_list = TargetList()
         target_list.put("i-1")
-        target_list.context.targets["i-1"].went_silent(target_list.context.now_seconds())
+        target_list.context.targets["i-1"].record_no_response(target_list.context.now_seconds())
         target_list.handlers.on_deleted("servers/i-1")
         target_list.put("i-1", STARTED_AT_UNIX_MS + 3000)
         assert target_list.context.targets["i-1"].open_until_seconds == 0.0
@@ -107,7 +107,7 @@
 def test_a_deleted_entry_is_evidence_of_an_end_unless_the_engine_was_draining():
     async def scenario():
         target_list = TargetList()
-        watch = target_list.quarantine.watch
+        watch = target_list.quarantine.end_detector
         for instance, host in (("i-1", "127.0.0.3"), ("i-2", "127.0.0.4"), ("i-3", "127.0.0.5")):
             target_list.put(instance, address=f"{host}:80")
         target_list.put("i-2", address="127.0.0.4:80", state="draining")
@@ -115,7 +115,7 @@
         for target in targets.values():
             # i-1 is under inquiry, i-2 is draining and i-3 had no failure.
             if target.instance != "i-3":
-                watch.broke(f"under {target.instance}", target)
+                watch.record_failure(f"under {target.instance}", target)
         for instance in ("i-1", "i-2", "i-3"):
             target_list.handlers.on_deleted(f"servers/{instance}")
         evidence = target_list.quarantine._evidence
@@ -129,7 +129,9 @@
     async def scenario():
         target_list = TargetList()
         target_list.put("i-1")
-        target_list.quarantine.watch.broke("f", target_list.context.directory.entries["i-1"])
+        target_list.quarantine.end_detector.record_failure(
+            "f", target_list.context.directory.entries["i-1"]
+        )
         target_list.put("i-9", STARTED_AT_UNIX_MS + 3000)
         assert target_list.quarantine._evidence.count("f") == 1
 
@@ -150,7 +152,9 @@
         target_list.put("i-1")
         target_list.put("i-2", address="127.0.0.4:80")
         assert not searched_hosts
-        target_list.quarantine.watch.broke("f", target_list.context.directory.entries["i-1"])
+        target_list.quarantine.end_detector.record_failure(
+            "f", target_list.context.directory.entries["i-1"]
+        )
         target_list.put("i-3", address="127.0.0.5:80")
         assert searched_hosts == ["127.0.0.5"]
 
@@ -164,8 +168,10 @@
         for instance in ("i-1", "i-2"):
             target_list.put(instance)
             target = context.directory.entries[instance]
-            context.load_estimator.heard(target.start, "engines", ReportedLoad(1, 0, 4, 1.0, 0.0))
-        context.contact.back_seconds = context.now_seconds()
+            context.load_estimator.record_report(
+                target.start, "engines", ReportedLoad(1, 0, 4, 1.0, 0.0)
+            )
+        context.contact.recovered_at_seconds = context.now_seconds()
         target_list.handlers.on_deleted("servers/i-1")
         context.forget_unlisted()
         during = context.load_estimator.starts()
--- a/rackswitch/gateway/tests/path.py
+++ b/rackswitch/gateway/tests/path.py
@@ -40,7 +40,7 @@
             await asyncio.sleep(0.02)
 
 
-def check_whole(results: list[dict], pieces: list[int], job_id: str) -> None:
+def check_complete(results: list[dict], pieces: list[int], job_id: str) -> None:
     """Check that every item is listed once, with its complete text and its own score."""
     by_id = {result["id"]: result for result in results}
     assert len(by_id) == len(results) == len(pieces)
--- a/rackswitch/gateway/tests/support.py
+++ b/rackswitch/gateway/tests/support.py
@@ -26,23 +26,23 @@
     return MemberEntry("127.0.0.1", 1, "z", 1, started_at_unix_seconds, processor_share=room)
 
 
-class NoLooks:
+class NoLoadPoller:
     """Load poller that polls no engine."""
 
-    async def look(self, service: str) -> None:
+    async def poll(self, service: str) -> None:
         return
 
 
 class NoQuarantine:
     """Quarantine that admits every request and ignores all outcomes."""
 
-    def broke(self, fingerprint: str, target: ListedTarget) -> None:
+    def record_failure(self, fingerprint: str, target: ListedTarget) -> None:
         return
 
-    def answered(self, fingerprint_of: Callable[[], str]) -> None:
+    def record_answer(self, fingerprint_of: Callable[[], str]) -> None:
         return
 
-    def not_run(self, fingerprint_of: Callable[[], str]) -> None:
+    def record_not_run(self, fingerprint_of: Callable[[], str]) -> None:
         return
 
     async def admit(
--- a/rackswitch/gateway/tests/test_path_daemon.py
+++ b/rackswitch/gateway/tests/test_path_daemon.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from rackswitch.gateway.policy import PolicySettings
-from rackswitch.gateway.tests.path import check_whole, play, wait_for
+from rackswitch.gateway.tests.path import check_complete, play, wait_for
 
 
 def test_applies_changed_settings_without_a_restart():
@@ -15,7 +15,9 @@
         gateway.settings_changed(replace(gateway.settings, kv_url="http://127.0.0.1:9"))
         assert await fleet.submit("d0", "j1", [2]) == 503
         gateway.settings_changed(replace(gateway.settings, kv_url=old_url))
-        await wait_for(lambda: gateway.copies.followed or not gateway.context.contact.is_away)
+        await wait_for(
+            lambda: gateway.replicas.followed or not gateway.context.contact.is_unreachable
+        )
         assert await fleet.submit("d0", "j1", [2]) == 202
 
     # Otherwise peers would forward the calls, and the wrong address would have no effect.
@@ -32,7 +34,7 @@
         assert snapshot.targets == {"desk": 2, "engines": 2}
         assert snapshot.jobs_owned["j1"].total == 2
         assert all(age >= 0 for age in snapshot.copy_ages_seconds.values())
-        check_whole(await fleet.read_all("d0", "j1"), [100, 100], "j1")
+        check_complete(await fleet.read_all("d0", "j1"), [100, 100], "j1")
 
     play(scenario)
 
@@ -45,10 +47,10 @@
             while True:
                 os.write(writer, b"x" * 4096)
         gateway = await fleet.start_gateway("d9", writer)
-        await wait_for(lambda: gateway.copies.is_complete)
+        await wait_for(lambda: gateway.replicas.is_complete)
         for number in range(100):
             status, _, _ = await fleet.request("d9", "GET", "/look/1", request_id=f"r{number}")
             assert status == 200
-        assert gateway.log.pump()
+        assert gateway.log.flush()
 
     play(scenario)
--- a/rackswitch/gateway/tests/test_path_tenants.py
+++ b/rackswitch/gateway/tests/test_path_tenants.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from rackswitch.explain import read_events
-from rackswitch.gateway.tests.path import check_whole, play, wait_for
+from rackswitch.gateway.tests.path import check_complete, play, wait_for
 from rackswitch.standins.platform_fleet import desired_state
 from rackswitch.telemetry.events import EntryUnreadable, RequestRefused
 
@@ -84,7 +84,7 @@
         await fleet.operate(state(2, ACME))
         await fleet.operate(state(3, {**ACME, "api_keys": ["acme-key-1"]}))
         fleet.store.faults.down = "busy"
-        await wait_for(lambda: fleet.gateways["d0"].context.contact.is_away)
+        await wait_for(lambda: fleet.gateways["d0"].context.contact.is_unreachable)
         fleet.key = "made-since"
         status, headers, _ = await fleet.request("d0", "GET", "/look/x")
         assert status == 503
@@ -135,7 +135,7 @@
         assert len(await fleet.read_all("d0", "j1")) == 1
         fleet.key = "acme-key-2"
         assert await fleet.submit("d1", "j1", pieces) == 202
-        check_whole(await fleet.read_all("d1", "j1"), pieces, "j1")
+        check_complete(await fleet.read_all("d1", "j1"), pieces, "j1")
         assert await fleet.end_job("d1", "j1") == 200
         runs = [run for engine in fleet.engines for run in engine.runs]
         assert {run.values("X-Rackswitch-Tenant")[0] for run in runs} == {"acme", "zeta"}
@@ -162,7 +162,7 @@
         del fleet.gateways[owner]
         assert (await fleet.read(other, "j1")).status == 401
         fleet.key = "acme-key-3"
-        check_whole(await fleet.read_all(other, "j1", 15.0), pieces, "j1")
+        check_complete(await fleet.read_all(other, "j1", 15.0), pieces, "j1")
         runs = [run for engine in fleet.engines for run in engine.runs]
         assert all(run.values("X-Rackswitch-Tenant") == ["acme"] for run in runs)
 
--- a/rackswitch/gateway/tests/test_suspension.py
+++ b/rackswitch/gateway/tests/test_suspension.py
@@ -15,13 +15,13 @@
         gateways = fleet.gateways.values()
         await wait_for(lambda: any(gateway.roles.may_act(ROLE) for gateway in gateways))
         assert await fleet.submit("d0", "j1", [1000]) == 202
-        assert fleet.gateways["d0"].session.is_sure()
+        assert fleet.gateways["d0"].session.is_valid()
         machine.suspended_seconds = SUSPENDED_SECONDS
         assert not any(gateway.roles.may_act(ROLE) for gateway in gateways)
-        assert not fleet.gateways["d0"].session.is_sure()
+        assert not fleet.gateways["d0"].session.is_valid()
         # Both are held again once the key-value service has confirmed them.
         await wait_for(lambda: any(gateway.roles.may_act(ROLE) for gateway in gateways))
-        await wait_for(fleet.gateways["d0"].session.is_sure)
+        await wait_for(fleet.gateways["d0"].session.is_valid)
 
     with suspendable_machine() as machine:
         play(scenario)
@@ -47,7 +47,7 @@
         gateway = fleet.gateways["d0"]
         status, _, _ = await fleet.request("d0", "POST", "/look/1", b"b", "r1")
         assert status == 200
-        [[(connection, _)]] = gateway._sessions._kept_connector._conns.values()
+        [[(connection, _)]] = gateway._sessions._pooled_connector._conns.values()
         gateway.check_suspension()
         assert connection.is_connected()
         machine.suspended_seconds = SUSPENDED_SECONDS
--- a/rackswitch/gateway/turns.py
+++ b/rackswitch/gateway/turns.py
@@ -71,7 +71,7 @@
 
     def record_entry(self, group: str, holder: str, revision: int) -> None:
         """Record the latest entry of a group."""
-        self.order_turns.entered(group, holder, revision, self._context.now_seconds())
+        self.order_turns.record_entry(group, holder, revision, self._context.now_seconds())
 
     def last_holder(self, group: str) -> str | None:
         """Return the daemon that wrote the last entry of a group.
@@ -125,7 +125,7 @@
         operations = (Operation(turn.key, record), *extra_operations)
         replies = await self._context.kv.txn([TxnPart((fence, *conditions), operations)])
         if isinstance(replies, KvUnavailable):
-            self._context.contact.failed(self._context.now_seconds(), replies.detail)
+            self._context.contact.record_failure(self._context.now_seconds(), replies.detail)
             return None
         if not replies[0].succeeded:
             if not conditions:
@@ -158,7 +158,7 @@
             return True
         read = await self._context.kv.read(turn.key)
         if isinstance(read, KvUnavailable):
-            self._context.contact.failed(self._context.now_seconds(), read.detail)
+            self._context.contact.record_failure(self._context.now_seconds(), read.detail)
             return False
         for entry in read.entries:
             on_entry(entry)
--- a/rackswitch/gateway/versions/tests/order_run.py
+++ b/rackswitch/gateway/versions/tests/order_run.py
@@ -86,7 +86,7 @@
         engine.orders_taken += 1
         engine.is_loading = True
         self._run.spawn(self._load(engine, order.version))
-        return OrderAnswer.TAKEN
+        return OrderAnswer.ACCEPTED
 
     async def _load(self, engine: Engine, version: int) -> None:
         await asyncio.sleep(LOAD_SECONDS)
--- a/rackswitch/gateway/versions/tests/test_path_versions.py
+++ b/rackswitch/gateway/versions/tests/test_path_versions.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import Counter
 
-from rackswitch.gateway.tests.path import check_whole, play, wait_for
+from rackswitch.gateway.tests.path import check_complete, play, wait_for
 from rackswitch.platform.connections import TargetSessions
 from rackswitch.platform.orders import EngineReport, NoReport, OrderClient
 
@@ -34,7 +34,7 @@
         await wait_for(lambda: any(engine.runs for engine in fleet.engines))
         fleet.store.put("op/version/m0", {"model": "m0", "version": 2})
         results = await fleet.read_all("d0", "j1")
-        check_whole(results, [120] * 4, "j1")
+        check_complete(results, [120] * 4, "j1")
         assert {tuple(result["versions"]) for result in results} <= {(1,), (1, 2), (2,)}
         assert Counter(len(result["versions"]) for result in results)[2] > 0
 
--- a/rackswitch/gateway/versions/version_manager.py
+++ b/rackswitch/gateway/versions/version_manager.py
@@ -9,7 +9,7 @@
 from rackswitch.clients.kv import KvEntry
 from rackswitch.daemon.roles import RoleManager
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.items.engine_paces import FIRST_PACE_SECONDS, EnginePaces
+from rackswitch.gateway.items.engine_paces import INITIAL_PACE_SECONDS, EnginePaces
 from rackswitch.gateway.turns import TurnManager
 from rackswitch.gateway.versions.order_sender import (
     ORDERS_PREFIX,
@@ -22,7 +22,7 @@
 from rackswitch.platform.orders import OrderClient
 from rackswitch.table import ServiceRow
 from rackswitch.weights import (
-    CarrierView,
+    EngineVersions,
     ModelNeed,
     RolloutState,
     ServiceLoad,
@@ -50,12 +50,12 @@
     def record_start(self, load: ServiceLoad) -> None:
         """Record that an order is about to be sent."""
         self.in_progress[load.order.engine] = load
-        self.state.ordered(load.order)
+        self.state.record_order(load.order)
 
     def record_end(self, engine: str, loaded: bool, now_seconds: float) -> None:
         """Record the end of a load."""
         self.in_progress.pop(engine, None)
-        self.state.ended(engine, loaded, now_seconds)
+        self.state.record_end(engine, loaded, now_seconds)
 
     def loading_versions(self, now_seconds: float) -> dict[str, tuple[str, int]]:
         """Return the model and version being loaded, by engine."""
@@ -157,7 +157,7 @@
             listed = self._context.directory.entries.get(load.engine)
             # Skip loads that have ended; the holder may not have noticed yet.
             if listed is not None and listed.versions.get(load.model, 0) < load.version:
-                self._context.loads.told(load.engine, load.model, load.version, now_seconds)
+                self._context.loads.record_order(load.engine, load.model, load.version, now_seconds)
 
     async def _update_service(self, row: ServiceRow) -> None:
         turn = version_turn(row.name)
@@ -203,7 +203,7 @@
             for target in self._context.directory.usable(row.name, now_seconds)
         }
         carriers = [
-            CarrierView(name, target.versions, self._pace_seconds(target.start))
+            EngineVersions(name, target.versions, self._pace_seconds(target.start))
             for name, target in listed.items()
         ]
         loads = self._loads.setdefault(row.name, _ServiceLoads())
@@ -219,7 +219,7 @@
     def _pace_seconds(self, start: str) -> float:
         """Return an engine's pace; the same for all if `fast_engine_first` is off."""
         if not self._context.policy.fast_engine_first:
-            return FIRST_PACE_SECONDS
+            return INITIAL_PACE_SECONDS
         return self._paces.get(start, self._context.now_seconds())
 
     def _model_need(self, model: str) -> ModelNeed | None:
--- a/rackswitch/jobs/checkpoints.py
+++ b/rackswitch/jobs/checkpoints.py
@@ -150,7 +150,7 @@
         progress.failures = checkpoint.failures
         progress.reward_failures = checkpoint.reward_failures
         if checkpoint.result is not None:
-            ledger.take_result(progress, checkpoint.result)
+            ledger.record_result(progress, checkpoint.result)
         elif checkpoint.is_complete_text:
-            ledger.whole(progress)
+            ledger.record_complete_text(progress)
     return restored
--- a/rackswitch/jobs/engine_memory.py
+++ b/rackswitch/jobs/engine_memory.py
@@ -65,7 +65,7 @@
     total_tokens: dict[str, int] = field(default_factory=dict)
     _others_usage: dict[str, _OthersUsage] = field(default_factory=dict)
 
-    def heard(
+    def record_usage(
         self,
         start: str,
         used_tokens: int,
--- a/rackswitch/jobs/hand_over.py
+++ b/rackswitch/jobs/hand_over.py
@@ -11,7 +11,7 @@
 from rackswitch.jobs.placement import OwnerCandidate
 from rackswitch.leases import rank_candidates
 
-__all__ = ["SuccessorCandidate", "is_renewed", "order_jobs", "order_successors"]
+__all__ = ["SuccessorCandidate", "is_restarted", "order_jobs", "order_successors"]
 
 FLEET_START_SPREAD_SECONDS = 1.0
 """Maximum interval between process starts in a fleet that is started at once. A process that is
@@ -34,7 +34,7 @@
     in_zone: bool
 
 
-def is_renewed(
+def is_restarted(
     started_unix_seconds: float | None, oldest_unix_seconds: float, now_unix_seconds: float
 ) -> bool:
     """Return whether a daemon was already restarted, and so is not the next to be stopped.
@@ -83,7 +83,7 @@
 
 def _successor_key(candidate: SuccessorCandidate, items: int) -> tuple[bool, ...]:
     return (
-        not candidate.owner.is_renewed,
+        not candidate.owner.is_restarted,
         not candidate.in_zone,
         not candidate.owner.has_capacity(items),
         not candidate.owner.has_connections,
--- a/rackswitch/jobs/leaving.py
+++ b/rackswitch/jobs/leaving.py
@@ -26,7 +26,7 @@
 
     until_seconds: dict[str, float] = field(default_factory=dict)
 
-    def noticed(
+    def record_notice(
         self, start: str, now_seconds: float, left_seconds: float | None, min_seconds: float
     ) -> bool:
         """Record that an engine is leaving; return whether this is new.
@@ -134,7 +134,7 @@
         engine = _fastest_engine(run, engines)
         if engine is None:
             continue
-        engine.begin(run.tokens)
+        engine.reserve(run.tokens)
         moves.append((run, engine.instance))
     return moves
 
--- a/rackswitch/jobs/ledger.py
+++ b/rackswitch/jobs/ledger.py
@@ -71,7 +71,7 @@
         """Whether every item is listed."""
         return len(self.listed) == self.total
 
-    def waiting(self, now_seconds: float) -> list[ItemProgress]:
+    def startable_items(self, now_seconds: float) -> list[ItemProgress]:
         """Return the items that may start now; none once the job is ended."""
         if self.ended:
             return []
@@ -81,20 +81,20 @@
             if progress.phase is ItemPhase.WAITING and now_seconds >= progress.not_before_seconds
         ]
 
-    def started(self, progress: ItemProgress) -> None:
+    def record_start(self, progress: ItemProgress) -> None:
         """Record the start of an item's run."""
         check_invariant(progress.phase is ItemPhase.WAITING, "an item runs once at a time")
         progress.phase = ItemPhase.RUNNING
         progress.run_number += 1
 
-    def postponed(self, progress: ItemProgress, until_seconds: float) -> None:
+    def postpone(self, progress: ItemProgress, until_seconds: float) -> None:
         """Record that an item was not sent and must not be sent before a given time."""
         if progress.result is not None:
             return
         progress.phase = ItemPhase.WAITING
         progress.not_before_seconds = until_seconds
 
-    def broke(self, progress: ItemProgress, target: str, now_seconds: float) -> None:
+    def record_interruption(self, progress: ItemProgress, target: str, now_seconds: float) -> None:
         """Record that a run was interrupted, through no fault of the item.
 
         Does nothing if the item's result was listed meanwhile, by another owner.
@@ -105,7 +105,7 @@
         progress.avoided_instance = target
         progress.not_before_seconds = now_seconds + RETRY_DELAY_SECONDS
 
-    def failed(self, progress: ItemProgress, now_seconds: float) -> None:
+    def record_failure(self, progress: ItemProgress, now_seconds: float) -> None:
         """Record that an engine ended a run with a failure; too many failures end the item."""
         if progress.result is not None:
             return
@@ -116,7 +116,7 @@
         progress.phase = ItemPhase.WAITING
         progress.not_before_seconds = now_seconds + RETRY_DELAY_SECONDS
 
-    def whole(self, progress: ItemProgress) -> None:
+    def record_complete_text(self, progress: ItemProgress) -> None:
         """Record that a text is complete; its reward call, if any, comes next."""
         if progress.result is not None:
             return
@@ -125,11 +125,13 @@
         else:
             progress.phase = ItemPhase.SCORING
 
-    def scored(self, progress: ItemProgress, score: str) -> None:
+    def record_score(self, progress: ItemProgress, score: str) -> None:
         """Record the answer of the reward call."""
         self._complete_item(progress, score)
 
-    def reward_failed(self, progress: ItemProgress, failures: int, max_failures: int) -> bool:
+    def record_reward_failures(
+        self, progress: ItemProgress, failures: int, max_failures: int
+    ) -> bool:
         """Record failed answers of the reward service; return whether to try again.
 
         Parameters
@@ -152,7 +154,7 @@
         """End an item without a text."""
         if progress.result is not None:
             return
-        self.take_result(progress, JobResult(item_id=progress.item.item_id, completed=False))
+        self.record_result(progress, JobResult(item_id=progress.item.item_id, completed=False))
 
     def next_segment(self) -> tuple[int, list[JobResult]]:
         """Return the position of the next segment and the results to append in it."""
@@ -165,7 +167,7 @@
             segment.append(result)
         return len(self.listed), segment
 
-    def appended(self, position: int, segment: list[JobResult]) -> None:
+    def record_segment(self, position: int, segment: list[JobResult]) -> None:
         """Record a stored segment, which may be an earlier one than the last proposed."""
         check_invariant(position == len(self.listed), "segments are appended in order")
         listed_ids = {result.item_id for result in self.listed}
@@ -206,15 +208,15 @@
             versions=tuple(progress.versions),
             score=score,
         )
-        self.take_result(progress, result)
+        self.record_result(progress, result)
 
-    def take_result(self, progress: ItemProgress, result: JobResult) -> None:
+    def record_result(self, progress: ItemProgress, result: JobResult) -> None:
         """Record an item's result, which then waits for a position."""
         if progress.result is None:
             self._unfinished_items[progress.item.group] -= 1
         progress.result = result
         progress.phase = ItemPhase.FINISHED
-        progress.begin_anew()
+        progress.discard_text()
         self._pending_results.append(result)
 
     def _mark_listed(self, result: JobResult) -> None:
@@ -226,4 +228,4 @@
             self._unlisted_items[progress.item.group] -= 1
             progress.result = result
             progress.phase = ItemPhase.LISTED
-            progress.begin_anew()
+            progress.discard_text()
--- a/rackswitch/jobs/local_runs.py
+++ b/rackswitch/jobs/local_runs.py
@@ -5,9 +5,9 @@
 from rackswitch.jobs.ledger import JobLedger
 from rackswitch.jobs.progress import ItemProgress
 
-__all__ = ["BEGIN_PATIENCE_SECONDS", "LocalRun", "LocalRuns"]
+__all__ = ["BEGIN_TIMEOUT_SECONDS", "LocalRun", "LocalRuns"]
 
-BEGIN_PATIENCE_SECONDS = 0.1
+BEGIN_TIMEOUT_SECONDS = 0.1
 """Time in which an engine with a free slot sends the first piece. A run without a piece after
 this time is taken to be in the engine's queue."""
 
@@ -49,7 +49,7 @@
 
     def is_queued(self, now_seconds: float) -> bool:
         """Return whether the run is probably in its engine's queue: no piece arrived in time."""
-        return not self.has_begun and now_seconds >= self.sent_at_seconds + BEGIN_PATIENCE_SECONDS
+        return not self.has_begun and now_seconds >= self.sent_at_seconds + BEGIN_TIMEOUT_SECONDS
 
 
 @dataclass(slots=True)
@@ -58,11 +58,11 @@
 
     by_start: dict[str, dict[tuple[str, str], LocalRun]] = field(default_factory=dict)
 
-    def began(self, run: LocalRun) -> None:
+    def add(self, run: LocalRun) -> None:
         """Add a run."""
         self.by_start.setdefault(run.start, {})[run.key] = run
 
-    def ended(self, run: LocalRun) -> None:
+    def remove(self, run: LocalRun) -> None:
         """Remove a run; a later run of the same item is kept."""
         runs = self.by_start.get(run.start, {})
         if runs.get(run.key) is not run:
@@ -71,10 +71,10 @@
         if not runs:
             del self.by_start[run.start]
 
-    def at(self, start: str) -> list[LocalRun]:
+    def runs_at(self, start: str) -> list[LocalRun]:
         """Return the runs at one start of an engine."""
         return list(self.by_start.get(start, {}).values())
 
-    def queued(self, start: str, now_seconds: float) -> int:
+    def queued_count(self, start: str, now_seconds: float) -> int:
         """Return how many runs at one start of an engine are probably in its queue."""
         return sum(run.is_queued(now_seconds) for run in self.by_start.get(start, {}).values())
--- a/rackswitch/jobs/occupancy.py
+++ b/rackswitch/jobs/occupancy.py
@@ -37,25 +37,25 @@
 class EngineOccupancy:
     """Number of runs at each engine: this daemon's own, and those of others by load reports."""
 
-    own: dict[str, int] = field(default_factory=dict)
+    own_runs: dict[str, int] = field(default_factory=dict)
     _other_runs: dict[str, _OtherRuns] = field(default_factory=dict)
 
-    def began(self, instance: str) -> None:
+    def record_start(self, instance: str) -> None:
         """Add a run of this daemon."""
-        self.own[instance] = self.own.get(instance, 0) + 1
+        self.own_runs[instance] = self.own_runs.get(instance, 0) + 1
 
-    def ended(self, instance: str) -> None:
+    def record_end(self, instance: str) -> None:
         """Remove a run of this daemon."""
-        self.own[instance] -= 1
+        self.own_runs[instance] -= 1
 
-    def heard(self, instance: str, load: EngineLoad, now_seconds: float) -> None:
+    def record_load(self, instance: str, load: EngineLoad, now_seconds: float) -> None:
         """Record an engine's load report, which includes this daemon's runs there."""
-        other_count = load.running + load.waiting - self.own.get(instance, 0)
+        other_count = load.running + load.waiting - self.own_runs.get(instance, 0)
         self._other_runs[instance] = _OtherRuns(
             max(0, other_count), now_seconds + LOAD_REPORT_LIFETIME_SECONDS
         )
 
-    def others_last(self, instance: str) -> int | None:
+    def last_reported_other_runs(self, instance: str) -> int | None:
         """Return the number of other daemons' runs by an engine's last report, however old.
 
         None if the engine has not reported its load.
@@ -63,7 +63,7 @@
         other_runs = self._other_runs.get(instance)
         return other_runs.count if other_runs is not None else None
 
-    def others(self, instance: str, now_seconds: float) -> int:
+    def other_runs(self, instance: str, now_seconds: float) -> int:
         """Return the number of other daemons' runs at an engine; 0 without a current report."""
         other_runs = self._other_runs.get(instance)
         return (
--- a/rackswitch/jobs/orphaned_jobs.py
+++ b/rackswitch/jobs/orphaned_jobs.py
@@ -6,7 +6,7 @@
 
 __all__ = ["OrphanedJobs"]
 
-RANK_PAUSE_SECONDS = 0.4
+RANK_DELAY_SECONDS = 0.4
 """Additional delay of each further candidate, so that claims seldom race; a claim takes a few
 network round trips."""
 
@@ -30,16 +30,16 @@
     orphaned_at_seconds: dict[str, float] = field(default_factory=dict)
     next_claim_seconds: dict[str, float] = field(default_factory=dict)
 
-    def orphaned(self, name: str, now_seconds: float) -> None:
+    def record_orphaned(self, name: str, now_seconds: float) -> None:
         """Record that a job has no owner."""
         self.orphaned_at_seconds.setdefault(name, now_seconds)
 
-    def owned(self, name: str) -> None:
+    def record_owned(self, name: str) -> None:
         """Record that a job has an owner."""
         self.orphaned_at_seconds.pop(name, None)
         self.next_claim_seconds.pop(name, None)
 
-    def retry(self, name: str, at_seconds: float) -> None:
+    def schedule_claim(self, name: str, at_seconds: float) -> None:
         """Schedule the next claim of a job for a given time (monotonic)."""
         self.next_claim_seconds[name] = at_seconds
 
@@ -47,7 +47,7 @@
         """Return whether a job is known to have no owner."""
         return name in self.orphaned_at_seconds
 
-    def may_claim(
+    def try_claim(
         self,
         name: str,
         live_daemons: list[str],
@@ -77,7 +77,7 @@
         rank = ranked_daemons.index(self.daemon) if self.daemon in ranked_daemons else MAX_RANK
         # The first delay is reserved for a former owner that reclaims the job.
         delay_rank = 0 if has_state else min(rank, MAX_RANK) + (not released)
-        if now_seconds < orphaned_at_seconds + delay_rank * RANK_PAUSE_SECONDS:
+        if now_seconds < orphaned_at_seconds + delay_rank * RANK_DELAY_SECONDS:
             return False
         self.next_claim_seconds[name] = now_seconds + CLAIM_RETRY_DELAY_SECONDS
         return True
--- a/rackswitch/jobs/placement.py
+++ b/rackswitch/jobs/placement.py
@@ -38,7 +38,7 @@
         Items of the jobs that it owns and that have not ended.
     idle_seconds : float
         Time since the submission of its latest job, open or not.
-    is_renewed : bool
+    is_restarted : bool
         Whether daemons are being stopped in turn and this one was already restarted.
     """
 
@@ -46,7 +46,7 @@
     processor_share: float
     open_items: int
     idle_seconds: float = float("inf")
-    is_renewed: bool = False
+    is_restarted: bool = False
 
     @property
     def has_connections(self) -> bool:
@@ -76,7 +76,9 @@
     daemon: str
     _cooldown_until_seconds: dict[str, float] = field(default_factory=dict)
 
-    def owner(self, candidates: Iterable[OwnerCandidate], items: int, now_seconds: float) -> str:
+    def select_owner(
+        self, candidates: Iterable[OwnerCandidate], items: int, now_seconds: float
+    ) -> str:
         """Return the owner of a new job: the fullest owner with capacity for it, else the last one.
 
         While daemons are stopped in turn, restarted daemons with capacity come first: any other may
@@ -97,7 +99,7 @@
             if candidate.has_capacity(items)
             and now_seconds >= self._cooldown_until_seconds.get(candidate.daemon, float("-inf"))
         ]
-        renewed = [candidate for candidate in usable if candidate.is_renewed]
+        renewed = [candidate for candidate in usable if candidate.is_restarted]
         if renewed:
             return max(renewed, key=_owner_key).daemon
         connected = [candidate for candidate in usable if candidate.has_connections]
@@ -105,7 +107,7 @@
             return self.daemon
         return max(connected, key=_owner_key).daemon
 
-    def failed(self, daemon: str, now_seconds: float) -> None:
+    def record_refusal(self, daemon: str, now_seconds: float) -> None:
         """Record that a daemon did not accept a job."""
         self._cooldown_until_seconds[daemon] = now_seconds + REFUSAL_COOLDOWN_SECONDS
 
--- a/rackswitch/jobs/progress.py
+++ b/rackswitch/jobs/progress.py
@@ -92,7 +92,7 @@
             self.versions.append(piece.version)
         return None
 
-    def begin_anew(self) -> None:
+    def discard_text(self) -> None:
         """Discard the text generated so far."""
         self.pieces.clear()
         self.versions.clear()
--- a/rackswitch/jobs/retention.py
+++ b/rackswitch/jobs/retention.py
@@ -1,6 +1,6 @@
 """How long a batch job is stored after its submission."""
 
-__all__ = ["is_forgettable"]
+__all__ = ["is_expired"]
 
 MAX_CLOCK_SKEW_SECONDS = 10.0
 """Added to each retention time, since another VM's clock dated the submission."""
@@ -10,7 +10,7 @@
 night's outage."""
 
 
-def is_forgettable(
+def is_expired(
     submitted_at_unix_seconds: float,
     ended: bool,
     keep_results_seconds: float,
--- a/rackswitch/jobs/schedule.py
+++ b/rackswitch/jobs/schedule.py
@@ -22,7 +22,7 @@
     "spare_capacities",
 ]
 
-FIRST_PIECES_PER_TOKEN = 0.02
+INITIAL_PIECES_PER_TOKEN = 0.02
 """Initial ratio, before any text is complete: fifty tokens per piece."""
 
 RATIO_SMOOTHING = 0.05
@@ -61,7 +61,7 @@
         Smoothed interval between the events of one stream there.
     versions : dict of str to int
         Versions of its weights, by model; items that need newer ones do not start there.
-    place : TargetEstimate or None
+    estimate : TargetEstimate or None
         Estimate for one more run, based on the engine's reported load. If given, the pace is taken
         from it and not from `runs` and `seconds_per_piece`; None if the engine's service reports no
         pace.
@@ -79,7 +79,7 @@
     versions: dict[str, int]
     slots: int = 0
     runs: int = 0
-    place: TargetEstimate | None = None
+    estimate: TargetEstimate | None = None
     run_seconds: float = TYPICAL_RUN_SECONDS
     free_tokens: float = math.inf
 
@@ -91,18 +91,18 @@
         """
         return self.free_slots > 0 and (self.runs == 0 or tokens <= self.free_tokens)
 
-    def begin(self, tokens: float = 0.0) -> None:
+    def reserve(self, tokens: float = 0.0) -> None:
         """Reserve a slot and memory for one more run."""
         self.free_slots -= 1
         self.runs += 1
-        if self.place is not None:
-            self.place = self.place.with_one_more()
+        if self.estimate is not None:
+            self.estimate = self.estimate.with_added_request()
         self.free_tokens -= tokens
 
     def expected_seconds_per_piece(self) -> float:
         """Return the pace that one more run would have there."""
-        if self.place is not None:
-            return self.place.unit_seconds * self.place.pace
+        if self.estimate is not None:
+            return self.estimate.unit_seconds * self.estimate.pace
         return self.seconds_per_piece * (1 + RUN_COST_SHARE * self.runs)
 
     def expected_seconds(self, pieces: float) -> float:
@@ -152,14 +152,14 @@
         Logarithm of the number of pieces per expected token.
     """
 
-    log_pieces_per_token: float = math.log(FIRST_PIECES_PER_TOKEN)
+    log_pieces_per_token: float = math.log(INITIAL_PIECES_PER_TOKEN)
 
     @property
     def pieces_per_token(self) -> float:
         """Number of pieces per token of a text."""
         return math.exp(self.log_pieces_per_token)
 
-    def note(self, expected_tokens: float, pieces: int) -> None:
+    def record_length(self, expected_tokens: float, pieces: int) -> None:
         """Update the ratio with a complete text."""
         if expected_tokens <= 0 or pieces <= 0:
             return
@@ -179,7 +179,7 @@
 
     An item without an expected length counts as a typical run.
     """
-    seconds_per_token = FIRST_PIECES_PER_TOKEN * TYPICAL_SECONDS_PER_PIECE
+    seconds_per_token = INITIAL_PIECES_PER_TOKEN * TYPICAL_SECONDS_PER_PIECE
     return sum(
         item.expected_tokens * seconds_per_token if item.expected_tokens else TYPICAL_RUN_SECONDS
         for item in job.items
@@ -247,7 +247,7 @@
         )
         for ledger in ledgers
         if service_of.get(ledger.job.job_id) in available_services
-        for progress in ledger.waiting(now_seconds)
+        for progress in ledger.startable_items(now_seconds)
     ]
     waiting.sort(key=lambda entry: entry[0])
     starts: list[ItemStart] = []
@@ -268,7 +268,7 @@
             random_source,
         )
         if engine is not None:
-            engine.begin(tokens)
+            engine.reserve(tokens)
             starts.append(ItemStart(ledger, progress, engine.instance))
         elif not candidates:
             unavailable.add(requirement)
@@ -305,7 +305,7 @@
 ) -> EngineCapacity | None:
     if not engines:
         return None
-    if all(engine.place is not None for engine in engines):
+    if all(engine.estimate is not None for engine in engines):
         return _sample_engine(engines, progress.avoided_instance, pieces, rng)
     return min(
         engines,
@@ -325,7 +325,7 @@
         engine.instance: engine for engine in engines if engine.instance != avoided_instance
     }
     by_instance = preferred or {engine.instance: engine for engine in engines}
-    estimates = [engine.place for engine in by_instance.values() if engine.place is not None]
+    estimates = [engine.estimate for engine in by_instance.values() if engine.estimate is not None]
     run_seconds = max(engine.run_seconds for engine in by_instance.values())
     return by_instance[choose_target(estimates, pieces, run_seconds, rng).instance]
 
@@ -344,9 +344,9 @@
     spare: dict[str, SpareCapacity] = {}
     for engine in engines:
         free_slots = engine.free_slots
-        if engine.place is not None:
+        if engine.estimate is not None:
             # A moved run must not wait for a slot.
-            free_slots = min(free_slots, int(engine.place.free_slots))
+            free_slots = min(free_slots, int(engine.estimate.free_slots))
         if free_slots <= 0:
             continue
         fastest = spare.get(engine.service)
--- a/rackswitch/jobs/step_order.py
+++ b/rackswitch/jobs/step_order.py
@@ -75,7 +75,7 @@
     ----------
     service_of, due_seconds : dict
         By job, the service that runs its items and when it is due (monotonic).
-    class_of : dict of str to int
+    rank_of : dict of str to int
         By job, its rank, 0 first.
     paces_seconds : dict of str to float
         By service, the available pace, in seconds per piece.
@@ -87,7 +87,7 @@
 
     service_of: dict[str, str]
     due_seconds: dict[str, float]
-    class_of: dict[str, int]
+    rank_of: dict[str, int]
     paces_seconds: dict[str, float]
     forecast: LengthForecast
     surplus: dict[str, set[str]] = field(default_factory=dict)
@@ -119,6 +119,6 @@
             self.is_surplus(ledger, progress),
             progress.run_number == 0,
             int(start_by_seconds // SLACK_RESOLUTION_SECONDS),
-            self.class_of.get(ledger.job.job_id, 0),
+            self.rank_of.get(ledger.job.job_id, 0),
             start_by_seconds,
         )
--- a/rackswitch/jobs/stragglers.py
+++ b/rackswitch/jobs/stragglers.py
@@ -39,7 +39,7 @@
     first_at_seconds: float | None = None
     last_at_seconds: float | None = None
 
-    def piece_came(self, now_seconds: float) -> float | None:
+    def record_piece(self, now_seconds: float) -> float | None:
         """Record a piece; return the interval before it, None for the first."""
         previous_at_seconds = self.last_at_seconds
         self.last_at_seconds = now_seconds
@@ -50,7 +50,7 @@
         self.intervals_seconds.append(interval_seconds)
         return interval_seconds
 
-    def brought_seconds(self) -> float:
+    def streaming_seconds(self) -> float:
         """Return the time between the run's first and latest piece."""
         if self.first_at_seconds is None or self.last_at_seconds is None:
             return 0.0
--- a/rackswitch/jobs/tests/support.py
+++ b/rackswitch/jobs/tests/support.py
@@ -33,6 +33,6 @@
 def finish(ledger: JobLedger, item_id: str, text: str = "a") -> None:
     """Run an item to its end."""
     progress = ledger.items[item_id]
-    ledger.started(progress)
+    ledger.record_start(progress)
     assert progress.accept(TextPiece(progress.last_number + 1, text, 1), 0) is None
-    ledger.whole(progress)
+    ledger.record_complete_text(progress)
--- a/rackswitch/jobs/tests/test_checkpoints.py
+++ b/rackswitch/jobs/tests/test_checkpoints.py
@@ -18,7 +18,7 @@
     """Let an item's run produce this many pieces and continue."""
     progress = ledger.items[item_id]
     if progress.phase is ItemPhase.WAITING:
-        ledger.started(progress)
+        ledger.record_start(progress)
     for _ in range(count):
         assert progress.accept(TextPiece(progress.last_number + 1, text, 1), 0) is None
 
@@ -43,10 +43,10 @@
 def test_complete_text_without_a_score_is_not_generated_again():
     ledger = JobLedger(make_job(reward=True))
     produce_pieces(ledger, "i1", 3)
-    ledger.whole(ledger.items["i1"])
+    ledger.record_complete_text(ledger.items["i1"])
     successor = successor_of(ledger)
     assert successor.items["i1"].phase is ItemPhase.SCORING
-    successor.scored(successor.items["i1"], "s")
+    successor.record_score(successor.items["i1"], "s")
     assert successor.next_segment()[1][0].text == "a\na\na"
 
 
@@ -73,9 +73,9 @@
 def test_failure_counts_are_restored_without_a_text():
     ledger = JobLedger(make_job())
     progress = ledger.items["i2"]
-    ledger.started(progress)
-    ledger.failed(progress, 0.0)
-    ledger.reward_failed(progress, 2, 4)
+    ledger.record_start(progress)
+    ledger.record_failure(progress, 0.0)
+    ledger.record_reward_failures(progress, 2, 4)
     restored = successor_of(ledger, 24).items["i2"]
     assert restored.failures == 1
     assert restored.reward_failures == 2
--- a/rackswitch/jobs/tests/test_engine_memory.py
+++ b/rackswitch/jobs/tests/test_engine_memory.py
@@ -7,7 +7,7 @@
 import pytest
 
 from rackswitch.jobs import (
-    BEGIN_PATIENCE_SECONDS,
+    BEGIN_TIMEOUT_SECONDS,
     EngineCapacity,
     EngineLoad,
     EngineMemory,
@@ -25,7 +25,7 @@
     tokens_at_end,
     tokens_held,
 )
-from rackswitch.jobs.schedule import FIRST_PIECES_PER_TOKEN
+from rackswitch.jobs.schedule import INITIAL_PIECES_PER_TOKEN
 from rackswitch.jobs.tests.support import make_job
 
 
@@ -58,7 +58,7 @@
     assert item_tokens(progress, forecast) == pytest.approx(1500.0)
     progress.pieces = ["x"] * 40
     # A text longer than expected is forecast to grow by half its present length.
-    assert item_tokens(progress, forecast) == pytest.approx(1000 + 60 / FIRST_PIECES_PER_TOKEN)
+    assert item_tokens(progress, forecast) == pytest.approx(1000 + 60 / INITIAL_PIECES_PER_TOKEN)
 
 
 def test_text_length_is_limited_and_equals_the_limit_without_an_estimate():
@@ -82,18 +82,18 @@
     assert tokens_held(runs, forecast) == 1260
     assert tokens_at_end(runs, forecast) == pytest.approx(1260 + 1100)
     ledger.items["a"].pieces = ["x"] * 5
-    assert tokens_held(runs, forecast) == pytest.approx(1260 + 5 / FIRST_PIECES_PER_TOKEN)
+    assert tokens_held(runs, forecast) == pytest.approx(1260 + 5 / INITIAL_PIECES_PER_TOKEN)
 
 
 def test_memory_of_others_counts_until_the_report_expires():
     memory = EngineMemory()
     assert memory.free_tokens("e@1", 5000.0, 0.0) == math.inf
-    memory.heard("e@1", 9000, 20_000, 4000.0, now_seconds=0.0)
+    memory.record_usage("e@1", 9000, 20_000, 4000.0, now_seconds=0.0)
     assert memory.free_tokens("e@1", 6000.0, 0.5) == 20_000 - 6000 - 5000
     assert memory.free_tokens("e@1", 6000.0, 5.0) == 20_000 - 6000
     # The report does not count for another start; a report without a total is ignored.
     assert memory.free_tokens("e@2", 0.0, 0.5) == math.inf
-    memory.heard("e@2", 9000, 0, 0.0, 0.0)
+    memory.record_usage("e@2", 9000, 0, 0.0, 0.0)
     assert memory.free_tokens("e@2", 0.0, 0.5) == math.inf
     memory.keep_only(["e@2"])
     assert memory.free_tokens("e@1", 6000.0, 0.5) == math.inf
@@ -183,14 +183,14 @@
     )
     runs = LocalRuns()
     for run in runs_of(ledger):
-        runs.began(run)
-    assert runs.queued("e@1", BEGIN_PATIENCE_SECONDS / 2) == 0
-    assert runs.queued("e@1", BEGIN_PATIENCE_SECONDS) == 2
+        runs.add(run)
+    assert runs.queued_count("e@1", BEGIN_TIMEOUT_SECONDS / 2) == 0
+    assert runs.queued_count("e@1", BEGIN_TIMEOUT_SECONDS) == 2
     ledger.items["a"].accept(TextPiece(1, "x", 1), 0)
-    assert runs.queued("e@1", BEGIN_PATIENCE_SECONDS) == 1
-    for run in runs.at("e@1"):
-        runs.ended(run)
-        runs.ended(run)
+    assert runs.queued_count("e@1", BEGIN_TIMEOUT_SECONDS) == 1
+    for run in runs.runs_at("e@1"):
+        runs.remove(run)
+        runs.remove(run)
     assert runs.by_start == {}
 
 
@@ -217,8 +217,8 @@
             for number, occupancy in enumerate(occupancies):
                 own = sum(owner == number for owner, _ in engine.running + engine.queue)
                 queued = sum(owner == number for owner, _ in engine.queue)
-                occupancy.own["e"] = own
-                others = occupancy.others_last("e") or 0
+                occupancy.own_runs["e"] = own
+                others = occupancy.last_reported_other_runs("e") or 0
                 capacity = free_capacity(slots, own, queued, others, math.inf)
                 for _ in range(max(0, capacity.slots)):
                     run_number += 1
@@ -227,10 +227,10 @@
                     started_run = engine.queue.pop(0)
                     engine.running.append(started_run)
                     owner_occupancy = occupancies[started_run[0]]
-                    owner_occupancy.own["e"] = sum(
+                    owner_occupancy.own_runs["e"] = sum(
                         owner == started_run[0] for owner, _ in engine.running + engine.queue
                     )
-                    owner_occupancy.heard(
+                    owner_occupancy.record_load(
                         "e", EngineLoad(len(engine.running), len(engine.queue)), now_seconds
                     )
             # Each has at most one run queued, besides those sent before its first report.
--- a/rackswitch/jobs/tests/test_hand_over.py
+++ b/rackswitch/jobs/tests/test_hand_over.py
@@ -7,7 +7,7 @@
     OwnerCandidate,
     SuccessorCandidate,
     checkpoint_items,
-    is_renewed,
+    is_restarted,
     merge_checkpoints,
     order_jobs,
     order_successors,
@@ -46,12 +46,12 @@
 
 
 def test_process_is_renewed_if_started_after_the_fleet_and_not_just_now():
-    assert not is_renewed(None, 100.0, 200.0)
+    assert not is_restarted(None, 100.0, 200.0)
     # Processes of a fleet that is started at once start within a second.
-    assert not is_renewed(100.4, 100.0, 200.0)
-    assert is_renewed(150.0, 100.0, 200.0)
+    assert not is_restarted(100.4, 100.0, 200.0)
+    assert is_restarted(150.0, 100.0, 200.0)
     # A process that has just started knows no engines.
-    assert not is_renewed(199.5, 100.0, 200.0)
+    assert not is_restarted(199.5, 100.0, 200.0)
 
 
 def test_jobs_that_complete_a_step_come_first_then_those_with_fewest_missing_items():
@@ -74,7 +74,7 @@
         runs_ended=False,
         items=checkpoint_items(ledger, 1),
     )
-    ledger.appended(*ledger.next_segment())
+    ledger.record_segment(*ledger.next_segment())
     ledger.items["i1"].pieces.append("y")
     later = JobCheckpoint(
         daemon="a",
--- a/rackswitch/jobs/tests/test_leaving.py
+++ b/rackswitch/jobs/tests/test_leaving.py
@@ -67,7 +67,7 @@
 
 def test_without_a_known_end_all_runs_but_the_nearly_complete_move():
     engines = LeavingEngines()
-    assert engines.noticed("e@1", 10.0, None, min_seconds=0.0)
+    assert engines.record_notice("e@1", 10.0, None, min_seconds=0.0)
     assert engines.until_seconds == {"e@1": 10.0}
     runs = [leaving_run("nearly whole", 2), leaving_run("half", 10)]
     assert moved(runs, [free_engine()], engines.until_seconds["e@1"], 10.0) == ["half"]
@@ -75,13 +75,13 @@
 
 def test_time_left_counts_from_the_first_notice():
     engines = LeavingEngines()
-    assert engines.noticed("e@1", 10.0, None, min_seconds=3.0)
-    assert not engines.noticed("e@1", 11.0, None, min_seconds=3.0)
+    assert engines.record_notice("e@1", 10.0, None, min_seconds=3.0)
+    assert not engines.record_notice("e@1", 11.0, None, min_seconds=3.0)
     assert engines.until_seconds["e@1"] == 13.0
     # The engine's own notice replaces the minimum, and may only shorten the time.
-    assert not engines.noticed("e@1", 11.0, 1.5, min_seconds=3.0)
+    assert not engines.record_notice("e@1", 11.0, 1.5, min_seconds=3.0)
     assert engines.until_seconds["e@1"] == 12.5
-    assert not engines.noticed("e@1", 12.0, 1.5, min_seconds=3.0)
+    assert not engines.record_notice("e@1", 12.0, 1.5, min_seconds=3.0)
     assert engines.until_seconds["e@1"] == 12.5
     engines.keep_only([])
     assert engines.until_seconds == {}
--- a/rackswitch/jobs/tests/test_ledger.py
+++ b/rackswitch/jobs/tests/test_ledger.py
@@ -13,7 +13,7 @@
     assert ledger.listed == []
     position, segment = ledger.next_segment()
     assert (position, [result.item_id for result in segment]) == (0, ["i2"])
-    ledger.appended(position, segment)
+    ledger.record_segment(position, segment)
     assert [result.item_id for result in ledger.listed] == ["i2"]
     assert not ledger.has_pending
 
@@ -24,7 +24,7 @@
     _, first = ledger.next_segment()
     finish(ledger, "i1")
     # The first append took effect without an answer, so the second one found it stored.
-    ledger.appended(0, first)
+    ledger.record_segment(0, first)
     assert [result.item_id for result in ledger.listed] == ["i0"]
     assert ledger.next_segment()[0] == 1
     assert [result.item_id for result in ledger.next_segment()[1]] == ["i1"]
@@ -34,16 +34,16 @@
     ledger = JobLedger(make_job())
     finish(ledger, "i0")
     _, segment = ledger.next_segment()
-    ledger.appended(0, segment)
+    ledger.record_segment(0, segment)
     with pytest.raises(BrokenInvariant):
-        ledger.appended(1, segment)
+        ledger.record_segment(1, segment)
 
 
 def test_new_owner_continues_after_the_listed_results():
     listed = [JobResult(item_id="i1", completed=True, text="x")]
     ledger = JobLedger(make_job(), listed)
     assert ledger.items["i1"].phase is ItemPhase.LISTED
-    assert {progress.item.item_id for progress in ledger.waiting(0.0)} == {"i0", "i2", "i3"}
+    assert {progress.item.item_id for progress in ledger.startable_items(0.0)} == {"i0", "i2", "i3"}
     finish(ledger, "i0")
     assert ledger.next_segment()[0] == 1
 
@@ -52,11 +52,11 @@
     ledger = JobLedger(make_job(), max_failures=3)
     progress = ledger.items["i0"]
     for _ in range(2):
-        ledger.started(progress)
-        ledger.failed(progress, 0.0)
+        ledger.record_start(progress)
+        ledger.record_failure(progress, 0.0)
         assert progress.result is None
-    ledger.started(progress)
-    ledger.failed(progress, 0.0)
+    ledger.record_start(progress)
+    ledger.record_failure(progress, 0.0)
     assert progress.result == JobResult(item_id="i0", completed=False)
 
 
@@ -66,9 +66,9 @@
     finish(ledger, "i0")
     progress = ledger.items["i0"]
     assert progress.phase is ItemPhase.SCORING
-    assert ledger.reward_failed(progress, 3, max_failures=4)
+    assert ledger.record_reward_failures(progress, 3, max_failures=4)
     assert progress.result is None
-    assert not ledger.reward_failed(progress, 1, max_failures=4)
+    assert not ledger.record_reward_failures(progress, 1, max_failures=4)
     assert progress.result == JobResult(item_id="i0", completed=False)
 
 
@@ -76,8 +76,8 @@
     ledger = JobLedger(make_job(), max_failures=1)
     progress = ledger.items["i0"]
     for _ in range(10):
-        ledger.started(progress)
-        ledger.broke(progress, "t", 0.0)
+        ledger.record_start(progress)
+        ledger.record_interruption(progress, "t", 0.0)
     assert progress.result is None
     assert progress.avoided_instance == "t"
 
@@ -85,30 +85,30 @@
 def test_no_item_starts_after_the_job_is_ended():
     ledger = JobLedger(make_job())
     ledger.end()
-    assert ledger.waiting(100.0) == []
+    assert ledger.startable_items(100.0) == []
 
 
 def test_listed_item_drops_its_text_and_does_not_run_again():
     ledger = JobLedger(make_job())
     finish(ledger, "i0")
-    ledger.appended(*ledger.next_segment())
+    ledger.record_segment(*ledger.next_segment())
     progress = ledger.items["i0"]
     assert progress.phase is ItemPhase.LISTED
     assert progress.pieces == []
-    assert "i0" not in [item.item.item_id for item in ledger.waiting(100.0)]
+    assert "i0" not in [item.item.item_id for item in ledger.startable_items(100.0)]
 
 
 def test_interrupted_or_failed_run_is_retried_after_a_delay():
     for end in ("broke", "failed"):
         ledger = JobLedger(make_job(1))
         progress = ledger.items["i0"]
-        ledger.started(progress)
+        ledger.record_start(progress)
         if end == "broke":
-            ledger.broke(progress, "e", 10.0)
+            ledger.record_interruption(progress, "e", 10.0)
         else:
-            ledger.failed(progress, 10.0)
-        assert ledger.waiting(10.0) == []
-        assert ledger.waiting(10.0 + RETRY_DELAY_SECONDS) == [progress]
+            ledger.record_failure(progress, 10.0)
+        assert ledger.startable_items(10.0) == []
+        assert ledger.startable_items(10.0 + RETRY_DELAY_SECONDS) == [progress]
 
 
 def test_completed_item_is_not_given_up():
@@ -160,16 +160,16 @@
 def test_end_of_a_run_is_ignored_after_another_owner_listed_its_item(end):
     ledger = JobLedger(make_job(items=1, reward=True))
     (progress,) = ledger.items.values()
-    ledger.started(progress)
+    ledger.record_start(progress)
     listed = JobResult(item_id=progress.item.item_id, completed=True, text="a", versions=(1,))
-    ledger.appended(0, [listed])
+    ledger.record_segment(0, [listed])
     ends = {
-        "broke": lambda: ledger.broke(progress, "e0", 0.0),
-        "failed": lambda: ledger.failed(progress, 0.0),
-        "postponed": lambda: ledger.postponed(progress, 0.0),
-        "whole": lambda: ledger.whole(progress),
+        "broke": lambda: ledger.record_interruption(progress, "e0", 0.0),
+        "failed": lambda: ledger.record_failure(progress, 0.0),
+        "postponed": lambda: ledger.postpone(progress, 0.0),
+        "whole": lambda: ledger.record_complete_text(progress),
     }
     ends[end]()
     assert progress.phase is ItemPhase.LISTED
-    assert ledger.waiting(1.0) == []
+    assert ledger.startable_items(1.0) == []
     assert not ledger.has_pending
