--- a/rackswitch/jobs/tests/test_listing.py
+++ b/rackswitch/jobs/tests/test_listing.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from rackswitch.jobs import JobLedger, listing_pause_seconds
+from rackswitch.jobs import JobLedger, listing_interval_seconds
 from rackswitch.jobs.tests.support import finish, make_job
 
 FIXED_INTERVAL_SECONDS = 0.2
@@ -19,28 +19,28 @@
 
 def list_all(ledger: JobLedger) -> None:
     position, segment = ledger.next_segment()
-    ledger.appended(position, segment)
+    ledger.record_segment(position, segment)
 
 
 def test_only_results_that_complete_the_wanted_groups_are_listed_at_once():
     ledger = JobLedger(job(6, wanted_groups=2))
     for item in ("i0", "i2", "i4", "i1"):
         finish(ledger, item)
-        assert listing_pause_seconds(ledger) > 0
+        assert listing_interval_seconds(ledger) > 0
     finish(ledger, "i3")
-    assert listing_pause_seconds(ledger) == 0
+    assert listing_interval_seconds(ledger) == 0
     list_all(ledger)
     finish(ledger, "i5")
-    assert listing_pause_seconds(ledger) > 0
+    assert listing_interval_seconds(ledger) > 0
 
 
 def test_without_wanted_groups_only_the_last_item_is_listed_at_once():
     ledger = JobLedger(job(4))
     for item in ("i0", "i1", "i2"):
         finish(ledger, item)
-    assert listing_pause_seconds(ledger) > 0
+    assert listing_interval_seconds(ledger) > 0
     finish(ledger, "i3")
-    assert listing_pause_seconds(ledger) == 0
+    assert listing_interval_seconds(ledger) == 0
 
 
 def test_new_owner_knows_which_groups_are_listed():
@@ -50,9 +50,9 @@
     list_all(first)
     second = JobLedger(job(6, wanted_groups=2), list(first.listed))
     finish(second, "i4")
-    assert listing_pause_seconds(second) > 0
+    assert listing_interval_seconds(second) > 0
     finish(second, "i5")
-    assert listing_pause_seconds(second) == 0
+    assert listing_interval_seconds(second) == 0
 
 
 def simulate_step(seed: int, interval_of) -> tuple[float, int]:
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_step_completes_sooner_and_with_fewer_segments_than_at_a_fixed_interval(seed):
-    delay_seconds, segments = simulate_step(seed, listing_pause_seconds)
+    delay_seconds, segments = simulate_step(seed, listing_interval_seconds)
     fixed_delay_seconds, fixed_segments = simulate_step(seed, lambda ledger: FIXED_INTERVAL_SECONDS)
     assert delay_seconds <= min(0.02, fixed_delay_seconds + 0.01)
     assert segments <= fixed_segments
--- a/rackswitch/jobs/tests/test_placement.py
+++ b/rackswitch/jobs/tests/test_placement.py
@@ -17,27 +17,27 @@
 
 def test_job_goes_to_the_daemon_with_most_open_items_or_stays():
     selector = OwnerSelector("a")
-    assert selector.owner(candidates(a=0, b=0, c=0), 100, 0.0) == "a"
-    assert selector.owner(candidates(a=0, b=100, c=300), 100, 0.0) == "c"
+    assert selector.select_owner(candidates(a=0, b=0, c=0), 100, 0.0) == "a"
+    assert selector.select_owner(candidates(a=0, b=100, c=300), 100, 0.0) == "c"
     # Every daemon resolves a tie in the same way.
-    assert OwnerSelector("b").owner(candidates(b=100, c=100), 100, 0.0) == "c"
-    assert OwnerSelector("c").owner(candidates(b=100, c=100), 100, 0.0) == "c"
+    assert OwnerSelector("b").select_owner(candidates(b=100, c=100), 100, 0.0) == "c"
+    assert OwnerSelector("c").select_owner(candidates(b=100, c=100), 100, 0.0) == "c"
 
 
 def test_no_daemon_gets_more_items_than_its_capacity():
     selector = OwnerSelector("a")
     max_items = int(0.5 * ITEMS_PER_PROCESSOR)
-    assert selector.owner(candidates(a=0, b=max_items - 100), 100, 0.0) == "b"
-    assert selector.owner(candidates(a=0, b=max_items - 99), 100, 0.0) == "a"
+    assert selector.select_owner(candidates(a=0, b=max_items - 100), 100, 0.0) == "b"
+    assert selector.select_owner(candidates(a=0, b=max_items - 99), 100, 0.0) == "a"
     unknown = OwnerCandidate("b", 0.0, int(DEFAULT_MAX_ITEMS))
-    assert selector.owner([unknown], 1, 0.0) == "a"
+    assert selector.select_owner([unknown], 1, 0.0) == "a"
 
 
 def test_daemon_that_did_not_accept_a_job_is_skipped_during_the_cooldown():
     selector = OwnerSelector("a")
-    selector.failed("b", 10.0)
-    assert selector.owner(candidates(a=0, b=100), 10, 10.0) == "a"
-    assert selector.owner(candidates(a=0, b=100), 10, 10.0 + REFUSAL_COOLDOWN_SECONDS) == "b"
+    selector.record_refusal("b", 10.0)
+    assert selector.select_owner(candidates(a=0, b=100), 10, 10.0) == "a"
+    assert selector.select_owner(candidates(a=0, b=100), 10, 10.0 + REFUSAL_COOLDOWN_SECONDS) == "b"
 
 
 @pytest.mark.parametrize(("daemons", "trainers"), [(3, 2), (30, 2), (165, 12), (330, 60)])
@@ -55,7 +55,7 @@
             accepting = rng.choice(names)
             owner_names = list(owners.values())
             known = [OwnerCandidate(name, 0.5, 130 * owner_names.count(name)) for name in names]
-            owners[trainer, step] = selectors[accepting].owner(known, 130, float(step))
+            owners[trainer, step] = selectors[accepting].select_owner(known, 130, float(step))
             accepting_owners[trainer, step] = accepting
     owner_names = list(owners.values())
     assert (
@@ -73,11 +73,11 @@
         OwnerCandidate("b", 0.5, 0, idle_seconds=8.0),
         OwnerCandidate("c", 0.5, 0, idle_seconds=4.0),
     ]
-    assert OwnerSelector("a").owner(known, 100, 0.0) == "c"
+    assert OwnerSelector("a").select_owner(known, 100, 0.0) == "c"
     busy = OwnerCandidate("d", 0.5, 10, idle_seconds=8.0)
-    assert OwnerSelector("a").owner([*known, busy], 100, 0.0) == "d"
+    assert OwnerSelector("a").select_owner([*known, busy], 100, 0.0) == "d"
     assert (
-        OwnerSelector("a").owner(
+        OwnerSelector("a").select_owner(
             [OwnerCandidate("b", 0.5, 0, CONNECTION_KEEP_ALIVE_SECONDS)], 1, 0.0
         )
         == "a"
@@ -103,7 +103,7 @@
             )
             for name in names
         ]
-        owner = selectors[rng.choice(names)].owner(known, 80, now_seconds)
+        owner = selectors[rng.choice(names)].select_owner(known, 80, now_seconds)
         owned_at_seconds[owner] = now_seconds
         owners.append(owner)
     assert (len(set(owners)) == 1) is connected
@@ -112,13 +112,13 @@
 def test_job_goes_to_a_restarted_daemon_while_daemons_are_stopped_in_turn():
     selector = OwnerSelector("a")
     others = candidates(a=0, b=300)
-    renewed = OwnerCandidate("c", 0.5, 0, is_renewed=True)
-    assert selector.owner([*others, renewed], 100, 0.0) == "c"
-    fuller = OwnerCandidate("d", 0.5, 100, is_renewed=True)
-    assert selector.owner([*others, renewed, fuller], 100, 0.0) == "d"
+    renewed = OwnerCandidate("c", 0.5, 0, is_restarted=True)
+    assert selector.select_owner([*others, renewed], 100, 0.0) == "c"
+    fuller = OwnerCandidate("d", 0.5, 100, is_restarted=True)
+    assert selector.select_owner([*others, renewed, fuller], 100, 0.0) == "d"
     # Restarted daemons without capacity are ignored.
-    full = OwnerCandidate("c", 0.5, int(DEFAULT_MAX_ITEMS), is_renewed=True)
-    assert selector.owner([*others, full], 100, 0.0) == "b"
+    full = OwnerCandidate("c", 0.5, int(DEFAULT_MAX_ITEMS), is_restarted=True)
+    assert selector.select_owner([*others, full], 100, 0.0) == "b"
     # A restarted daemon that has just not accepted a job is skipped.
-    selector.failed("c", 0.0)
-    assert selector.owner([*others, renewed], 100, 0.0) == "b"
+    selector.record_refusal("c", 0.0)
+    assert selector.select_owner([*others, renewed], 100, 0.0) == "b"
--- a/rackswitch/jobs/tests/test_schedule.py
+++ b/rackswitch/jobs/tests/test_schedule.py
@@ -10,7 +10,7 @@
     plan_starts,
     spare_capacities,
 )
-from rackswitch.jobs.schedule import FIRST_PIECES_PER_TOKEN
+from rackswitch.jobs.schedule import INITIAL_PIECES_PER_TOKEN
 from rackswitch.jobs.tests.support import make_item, make_job
 from rackswitch.leases import rank_candidates
 
@@ -64,7 +64,7 @@
 def test_full_engine_gets_a_text_only_if_waiting_there_is_faster():
     full = EngineCapacity("full", "s", 12, 0.04, {"m": 1}, slots=12, runs=18)
     slower = EngineCapacity("slower", "s", 12, 0.05, {"m": 1}, slots=12)
-    lengths = [20 / FIRST_PIECES_PER_TOKEN, 200 / FIRST_PIECES_PER_TOKEN]
+    lengths = [20 / INITIAL_PIECES_PER_TOKEN, 200 / INITIAL_PIECES_PER_TOKEN]
     assert plan([ledger_of(lengths)], [full, slower]) == [("i1", "full"), ("i0", "slower")]
 
 
@@ -84,15 +84,15 @@
     ledgers = [ledger_of([1], "late"), ledger_of([1], "early")]
     starts = plan(ledgers, [make_engine("a", 1)], {"late": 9.0, "early": 5.0})
     assert len(starts) == 1
-    ledgers[1].started(ledgers[1].items["i0"])
+    ledgers[1].record_start(ledgers[1].items["i0"])
     assert len(plan(ledgers, [make_engine("a", 1)], {"late": 9.0, "early": 5.0})) == 1
 
 
 def test_interrupted_item_starts_first_and_at_another_engine():
     ledger = ledger_of([10, 900])
     interrupted = ledger.items["i0"]
-    ledger.started(interrupted)
-    ledger.broke(interrupted, "a", -1.0)
+    ledger.record_start(interrupted)
+    ledger.record_interruption(interrupted, "a", -1.0)
     assert plan([ledger], [make_engine("a", 1, 0.01), make_engine("b", 1)]) == [
         ("i0", "b"),
         ("i1", "a"),
@@ -105,8 +105,8 @@
 
     def claims(daemon: str, held: bool, at_seconds: float, released: bool = False) -> bool:
         orphaned_jobs = OrphanedJobs(daemon)
-        orphaned_jobs.orphaned("j", 0.0)
-        return orphaned_jobs.may_claim("j", live_daemons, held, released, at_seconds)
+        orphaned_jobs.record_orphaned("j", 0.0)
+        return orphaned_jobs.try_claim("j", live_daemons, held, released, at_seconds)
 
     assert claims(second, True, 0.0)
     assert not claims(first, False, 0.3)
@@ -121,10 +121,10 @@
 
 def test_job_with_an_owner_is_not_claimed():
     orphaned_jobs = OrphanedJobs("a")
-    assert not orphaned_jobs.may_claim("j", ["a"], False, False, 100.0)
-    orphaned_jobs.orphaned("j", 0.0)
-    orphaned_jobs.owned("j")
-    assert not orphaned_jobs.may_claim("j", ["a"], False, False, 100.0)
+    assert not orphaned_jobs.try_claim("j", ["a"], False, False, 100.0)
+    orphaned_jobs.record_orphaned("j", 0.0)
+    orphaned_jobs.record_owned("j")
+    assert not orphaned_jobs.try_claim("j", ["a"], False, False, 100.0)
 
 
 def test_long_text_of_a_later_job_starts_before_a_short_one_of_an_earlier_job():
@@ -154,10 +154,10 @@
     item = ledger_of([100]).items["i0"]
     assert forecast.remaining_pieces(item) == pytest.approx(2.0)
     for _ in range(200):
-        forecast.note(100.0, 50)
+        forecast.record_length(100.0, 50)
     assert forecast.remaining_pieces(item) == pytest.approx(50.0, rel=0.05)
-    forecast.note(0.0, 50)
-    forecast.note(100.0, 0)
+    forecast.record_length(0.0, 50)
+    forecast.record_length(100.0, 0)
     assert forecast.remaining_pieces(item) == pytest.approx(50.0, rel=0.05)
 
 
@@ -170,12 +170,12 @@
 
 def test_next_claim_is_delayed_until_the_job_has_had_an_owner():
     orphaned_jobs = OrphanedJobs("a")
-    orphaned_jobs.orphaned("j", 0.0)
-    assert orphaned_jobs.may_claim("j", ["a"], True, False, 1.0)
-    assert not orphaned_jobs.may_claim("j", ["a"], True, False, 1.1)
-    orphaned_jobs.owned("j")
-    orphaned_jobs.orphaned("j", 1.2)
-    assert orphaned_jobs.may_claim("j", ["a"], True, False, 1.2)
+    orphaned_jobs.record_orphaned("j", 0.0)
+    assert orphaned_jobs.try_claim("j", ["a"], True, False, 1.0)
+    assert not orphaned_jobs.try_claim("j", ["a"], True, False, 1.1)
+    orphaned_jobs.record_owned("j")
+    orphaned_jobs.record_orphaned("j", 1.2)
+    assert orphaned_jobs.try_claim("j", ["a"], True, False, 1.2)
 
 
 def test_spare_capacity_of_a_service_is_its_fastest_engine_with_a_free_slot():
--- a/rackswitch/jobs/tests/test_step_order.py
+++ b/rackswitch/jobs/tests/test_step_order.py
@@ -16,7 +16,7 @@
     plan_starts,
     surplus_groups,
 )
-from rackswitch.jobs.schedule import FIRST_PIECES_PER_TOKEN
+from rackswitch.jobs.schedule import INITIAL_PIECES_PER_TOKEN
 from rackswitch.jobs.tests.support import finish, make_job
 
 
@@ -29,7 +29,7 @@
             headers=(),
             body=b"",
             tokens=1_000_000,
-            expected_tokens=pieces / FIRST_PIECES_PER_TOKEN,
+            expected_tokens=pieces / INITIAL_PIECES_PER_TOKEN,
             group=f"g{number}",
         )
         for number, group in enumerate(groups)
@@ -51,7 +51,7 @@
 
 
 def ordered(order: SlackOrder, ledgers: list[JobLedger]) -> list[str]:
-    waiting = [(ledger, item) for ledger in ledgers for item in ledger.waiting(0.0)]
+    waiting = [(ledger, item) for ledger in ledgers for item in ledger.startable_items(0.0)]
     waiting.sort(key=lambda entry: order.key(*entry))
     return [progress.item.item_id for _, progress in waiting]
 
@@ -176,10 +176,10 @@
         order = order_of(ledgers, due)
         services = dict.fromkeys(due, "s")
         for start in plan_starts(ledgers, [engine], services, due, 0.0, order=order):
-            start.ledger.started(start.progress)
+            start.ledger.record_start(start.progress)
             if start.progress is not first.items["first-2-0"]:
                 start.progress.accept(TextPiece(1, "a", 1), 0)
-                start.ledger.whole(start.progress)
+                start.ledger.record_complete_text(start.progress)
 
 
 def test_default_order_ignores_surplus_groups():
--- a/rackswitch/jobs/tests/test_stragglers.py
+++ b/rackswitch/jobs/tests/test_stragglers.py
@@ -29,11 +29,11 @@
 def intervals_of(*intervals_seconds: float) -> PieceIntervals:
     """Return the intervals of a run whose pieces arrived at these intervals."""
     intervals = PieceIntervals()
-    intervals.piece_came(0.0)
+    intervals.record_piece(0.0)
     now_seconds = 0.0
     for interval_seconds in intervals_seconds:
         now_seconds += interval_seconds
-        intervals.piece_came(now_seconds)
+        intervals.record_piece(now_seconds)
     return intervals
 
 
@@ -53,6 +53,6 @@
 
 def test_first_piece_has_no_interval():
     intervals = PieceIntervals()
-    assert intervals.piece_came(3.0) is None
-    assert intervals.piece_came(3.5) == 0.5
+    assert intervals.record_piece(3.0) is None
+    assert intervals.record_piece(3.5) == 0.5
     assert intervals.first_at_seconds == 3.0
--- a/rackswitch/jobs/tests/test_urgency.py
+++ b/rackswitch/jobs/tests/test_urgency.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-from rackswitch.jobs import MIDDLE_URGENCY, urgency_levels, urgency_of
+from rackswitch.jobs import DEFAULT_URGENCY, urgency_levels, urgency_of
 
 SLACK_SAMPLES_SECONDS = (-1.0, 0.5, 5.0)
 
@@ -12,11 +12,11 @@
 
 
 def test_levels_of_items_do_not_cross_the_level_of_calls():
-    assert urgency_levels(1, (2, 3)) == (0, MIDDLE_URGENCY - 1)
-    assert urgency_levels(4, (2, 3)) == (MIDDLE_URGENCY + 1, 9)
-    assert urgency_levels(2, (2,)) == (MIDDLE_URGENCY, MIDDLE_URGENCY)
+    assert urgency_levels(1, (2, 3)) == (0, DEFAULT_URGENCY - 1)
+    assert urgency_levels(4, (2, 3)) == (DEFAULT_URGENCY + 1, 9)
+    assert urgency_levels(2, (2,)) == (DEFAULT_URGENCY, DEFAULT_URGENCY)
     # All calls have one level, so no other level lies between two ranks of calls.
-    assert urgency_levels(2, (1, 3)) == (MIDDLE_URGENCY, MIDDLE_URGENCY)
+    assert urgency_levels(2, (1, 3)) == (DEFAULT_URGENCY, DEFAULT_URGENCY)
 
 
 def test_less_slack_gives_a_more_urgent_level():
@@ -42,8 +42,8 @@
         ):
             level = urgency_of(slack, surplus, is_first, levels)
             if rank < call_rank:
-                assert level < MIDDLE_URGENCY
+                assert level < DEFAULT_URGENCY
             elif rank > call_rank:
-                assert level > MIDDLE_URGENCY
+                assert level > DEFAULT_URGENCY
             else:
-                assert level == MIDDLE_URGENCY
+                assert level == DEFAULT_URGENCY
--- a/rackswitch/jobs/urgency.py
+++ b/rackswitch/jobs/urgency.py
@@ -6,9 +6,9 @@
 
 from collections.abc import Collection
 
-__all__ = ["MIDDLE_URGENCY", "urgency_levels", "urgency_of"]
+__all__ = ["DEFAULT_URGENCY", "urgency_levels", "urgency_of"]
 
-MIDDLE_URGENCY = 5
+DEFAULT_URGENCY = 5
 """Level that engines assume for a request without one."""
 
 MOST_URGENT, LEAST_URGENT = 0, 9
@@ -41,11 +41,11 @@
     """
     most_urgent, least_urgent = MOST_URGENT, LEAST_URGENT
     if any(call_rank < rank for call_rank in call_ranks):
-        most_urgent = MIDDLE_URGENCY + 1
+        most_urgent = DEFAULT_URGENCY + 1
     if any(call_rank > rank for call_rank in call_ranks):
-        least_urgent = MIDDLE_URGENCY - 1
+        least_urgent = DEFAULT_URGENCY - 1
     if rank in call_ranks or most_urgent > least_urgent:
-        return MIDDLE_URGENCY, MIDDLE_URGENCY
+        return DEFAULT_URGENCY, DEFAULT_URGENCY
     return most_urgent, least_urgent
 
 
--- a/rackswitch/leases/core.py
+++ b/rackswitch/leases/core.py
@@ -81,7 +81,7 @@
         The role's name.
     daemon : str
         This daemon.
-    life_seconds : float
+    ttl_seconds : float
         The lease's time to live in the service.
     candidate_count : int
         Number of the highest ranked daemons that try to acquire the role.
@@ -89,7 +89,7 @@
 
     role: str
     daemon: str
-    life_seconds: float
+    ttl_seconds: float
     candidate_count: int = 2
     held: HeldLease | None = None
     next_try_seconds: float = 0.0
@@ -137,7 +137,7 @@
         chosen = rank_candidates(self.role, live)[:candidate_count]
         return LeaseAction.ACQUIRE if self.daemon in chosen else LeaseAction.NOTHING
 
-    def may_take(self, now_seconds: float, preferred: str | None) -> bool:
+    def may_acquire(self, now_seconds: float, preferred: str | None) -> bool:
         """Return whether a role that was found vacant may be acquired now.
 
         Parameters
@@ -156,23 +156,23 @@
         self.next_try_seconds = now_seconds + VACANT_ROLE_POLL_SECONDS
         return False
 
-    def acquired(self, requested_at_seconds: float, lease_id: int, fencing: int) -> None:
+    def record_acquired(self, requested_at_seconds: float, lease_id: int, fencing: int) -> None:
         """Record that the service granted the role, requested at `requested_at_seconds`."""
         check_invariant(fencing > self.highest_fencing, f"fencing number of {self.role} grows")
         self.highest_fencing = fencing
         self.held = HeldLease(lease_id, fencing, self._deadline(requested_at_seconds))
         self.vacant_since_seconds = None
-        self.next_try_seconds = requested_at_seconds + self.life_seconds / RENEWALS_PER_TTL
+        self.next_try_seconds = requested_at_seconds + self.ttl_seconds / RENEWALS_PER_TTL
 
-    def renewed(self, requested_at_seconds: float) -> None:
+    def record_renewal(self, requested_at_seconds: float) -> None:
         """Record that the service renewed the lease, requested at `requested_at_seconds`."""
         if self.held is None:
             return
         deadline_seconds = max(self.held.deadline_seconds, self._deadline(requested_at_seconds))
         self.held = HeldLease(self.held.lease_id, self.held.fencing, deadline_seconds)
-        self.next_try_seconds = requested_at_seconds + self.life_seconds / RENEWALS_PER_TTL
+        self.next_try_seconds = requested_at_seconds + self.ttl_seconds / RENEWALS_PER_TTL
 
-    def lost(self, now_seconds: float, jitter: float) -> None:
+    def record_loss(self, now_seconds: float, jitter: float) -> None:
         """Record that the role was lost or not granted.
 
         Parameters
@@ -184,13 +184,13 @@
         """
         self.held = None
         self.vacant_since_seconds = None
-        self.next_try_seconds = now_seconds + self.life_seconds * (0.2 + 0.3 * jitter)
+        self.next_try_seconds = now_seconds + self.ttl_seconds * (0.2 + 0.3 * jitter)
 
-    def unanswered(self, now_seconds: float, jitter: float) -> None:
+    def record_no_answer(self, now_seconds: float, jitter: float) -> None:
         """Record that the service did not answer; a held role stays valid until its deadline."""
         if self.held is not None and not self.may_act(now_seconds):
             self.held = None
-        self.next_try_seconds = now_seconds + self.life_seconds * (0.1 + 0.2 * jitter)
+        self.next_try_seconds = now_seconds + self.ttl_seconds * (0.1 + 0.2 * jitter)
 
     def _deadline(self, requested_at_seconds: float) -> float:
-        return requested_at_seconds + self.life_seconds * (1 - DEADLINE_MARGIN_SHARE)
+        return requested_at_seconds + self.ttl_seconds * (1 - DEADLINE_MARGIN_SHARE)
--- a/rackswitch/leases/session.py
+++ b/rackswitch/leases/session.py
@@ -20,41 +20,41 @@
 
     Parameters
     ----------
-    life_seconds : float
+    ttl_seconds : float
         The lease's time to live in the service.
     """
 
-    life_seconds: float
+    ttl_seconds: float
     lease_id: int | None = None
-    sure_until_seconds: float = float("-inf")
+    valid_until_seconds: float = float("-inf")
     next_try_seconds: float = float("-inf")
 
-    def is_sure(self, now_seconds: float) -> bool:
+    def is_valid(self, now_seconds: float) -> bool:
         """Return whether the lease is known to be valid at `now_seconds`."""
-        return self.lease_id is not None and now_seconds < self.sure_until_seconds
+        return self.lease_id is not None and now_seconds < self.valid_until_seconds
 
     def is_due(self, now_seconds: float) -> bool:
         """Return whether to request or renew the lease now."""
         return now_seconds >= self.next_try_seconds
 
-    def taken(self, requested_at_seconds: float, lease_id: int, life_seconds: float) -> None:
+    def record_grant(self, requested_at_seconds: float, lease_id: int, life_seconds: float) -> None:
         """Record that the service granted a lease, requested at `requested_at_seconds`."""
-        self.life_seconds = life_seconds
+        self.ttl_seconds = life_seconds
         self.lease_id = lease_id
-        self.renewed(requested_at_seconds)
+        self.record_renewal(requested_at_seconds)
 
-    def renewed(self, requested_at_seconds: float) -> None:
+    def record_renewal(self, requested_at_seconds: float) -> None:
         """Record that the service renewed the lease, requested at `requested_at_seconds`."""
-        margin_seconds = self.life_seconds * DEADLINE_MARGIN_SHARE
-        self.sure_until_seconds = requested_at_seconds + self.life_seconds - margin_seconds
-        self.next_try_seconds = requested_at_seconds + self.life_seconds / RENEWALS_PER_TTL
+        margin_seconds = self.ttl_seconds * DEADLINE_MARGIN_SHARE
+        self.valid_until_seconds = requested_at_seconds + self.ttl_seconds - margin_seconds
+        self.next_try_seconds = requested_at_seconds + self.ttl_seconds / RENEWALS_PER_TTL
 
-    def lost(self) -> None:
+    def record_loss(self) -> None:
         """Record that the service no longer has the lease; a new one is due at once."""
         self.lease_id = None
-        self.sure_until_seconds = float("-inf")
+        self.valid_until_seconds = float("-inf")
         self.next_try_seconds = float("-inf")
 
-    def unanswered(self, now_seconds: float, jitter: float) -> None:
+    def record_no_answer(self, now_seconds: float, jitter: float) -> None:
         """Record that the service did not answer; `jitter` is in [0, 1)."""
-        self.next_try_seconds = now_seconds + self.life_seconds * MIN_RETRY_SHARE * (1 + jitter)
+        self.next_try_seconds = now_seconds + self.ttl_seconds * MIN_RETRY_SHARE * (1 + jitter)
--- a/rackswitch/leases/turns.py
+++ b/rackswitch/leases/turns.py
@@ -36,7 +36,7 @@
     daemon: str
     entries: dict[str, _Entry] = field(default_factory=dict)
 
-    def entered(self, group: str, holder: str, revision: int, seen_seconds: float) -> None:
+    def record_entry(self, group: str, holder: str, revision: int, seen_seconds: float) -> None:
         """Record an entry for a group of engines, seen at `seen_seconds` (monotonic).
 
         An entry whose revision is not newer than the known one is ignored.
--- a/rackswitch/limits/buckets.py
+++ b/rackswitch/limits/buckets.py
@@ -16,11 +16,11 @@
 
     Attributes
     ----------
-    book : ShareLedger
+    ledger : ShareLedger
         Shares in requests per second.
     """
 
-    book: ShareLedger
+    ledger: ShareLedger
     tokens: float = 0.0
     refilled_at_seconds: float | None = None
     demand_per_second: float = 0.0
@@ -36,7 +36,7 @@
             a token will be available.
         """
         self._record_demand(now_seconds)
-        rate = self.book.available_units(now_seconds)
+        rate = self.ledger.available_units(now_seconds)
         capacity = max(1.0, rate * BURST_SECONDS)
         if self.refilled_at_seconds is None:
             # A new bucket is full, so a starting daemon may exceed its share by one burst.
@@ -52,7 +52,7 @@
 
     def missing_units(self, now_seconds: float) -> float:
         """Return the rate that this daemon's demand needs beyond its share."""
-        return max(0.0, self.demand(now_seconds) * 1.1 - self.book.available_units(now_seconds))
+        return max(0.0, self.demand(now_seconds) * 1.1 - self.ledger.available_units(now_seconds))
 
     def demand(self, now_seconds: float) -> float:
         """Return the smoothed demand in requests per second."""
@@ -71,14 +71,14 @@
 class ConcurrencyLimit:
     """A limit on requests in progress: this daemon's share of a global limit."""
 
-    book: ShareLedger
+    ledger: ShareLedger
     in_progress: int = 0
     refused_count: int = 0
 
-    def try_enter(self, now_seconds: float) -> bool:
+    def try_acquire(self, now_seconds: float) -> bool:
         """Add a request in progress, if the limit allows it."""
         has_capacity = (
-            self.in_progress + 1 <= self.book.available_units(now_seconds) + UNITS_TOLERANCE
+            self.in_progress + 1 <= self.ledger.available_units(now_seconds) + UNITS_TOLERANCE
         )
         if not has_capacity:
             self.refused_count += 1
@@ -86,7 +86,7 @@
         self.in_progress += 1
         return True
 
-    def leave(self) -> None:
+    def release(self) -> None:
         """Remove a request in progress."""
         self.in_progress -= 1
 
--- a/rackswitch/limits/shares.py
+++ b/rackswitch/limits/shares.py
@@ -14,9 +14,9 @@
 
 from rackswitch.outcomes import check_invariant
 
-__all__ = ["LOAN_LIFE_SECONDS", "LentShare", "ShareLedger"]
+__all__ = ["LOAN_LIFETIME_SECONDS", "LentShare", "ShareLedger"]
 
-LOAN_LIFE_SECONDS = 6.0
+LOAN_LIFETIME_SECONDS = 6.0
 LOAN_MARGIN_SECONDS = 0.5
 RESERVED_SHARE = 0.05
 """Part of its base share that a daemon never lends, for its own next requests."""
@@ -56,12 +56,14 @@
         borrowed_units = sum(loan.units for loan in self.borrowed.values())
         return max(0.0, self.base_units - lent_units) + borrowed_units
 
-    def lend(self, wanted_units: float, used_units: float, now_seconds: float) -> LentShare | None:
+    def lend(
+        self, requested_units: float, used_units: float, now_seconds: float
+    ) -> LentShare | None:
         """Lend unused base units for the lifetime of one loan.
 
         Parameters
         ----------
-        wanted_units : float
+        requested_units : float
             Units that the borrower needs.
         used_units : float
             Units that this daemon's own demand needs.
@@ -77,10 +79,10 @@
         self._remove_expired(now_seconds)
         lent_units = sum(loan.units for loan in self.lent)
         reserved_units = max(self.base_units * RESERVED_SHARE, used_units)
-        units = min(wanted_units, self.base_units - lent_units - reserved_units)
+        units = min(requested_units, self.base_units - lent_units - reserved_units)
         if units <= UNITS_TOLERANCE:
             return None
-        deadline_seconds = now_seconds + LOAN_LIFE_SECONDS + LOAN_MARGIN_SECONDS
+        deadline_seconds = now_seconds + LOAN_LIFETIME_SECONDS + LOAN_MARGIN_SECONDS
         loan = LentShare(self._next_loan_id, units, deadline_seconds)
         self._next_loan_id += 1
         self.lent.append(loan)
@@ -109,7 +111,7 @@
         announced_at_seconds = self.announced_at_seconds.get(sequence)
         if announced_at_seconds is None:
             return False
-        deadline_seconds = announced_at_seconds + LOAN_LIFE_SECONDS
+        deadline_seconds = announced_at_seconds + LOAN_LIFETIME_SECONDS
         if now_seconds >= deadline_seconds:
             return False
         loan = LentShare(loan_id, units, deadline_seconds)
@@ -126,5 +128,5 @@
             if now_seconds >= loan.deadline_seconds:
                 del self.borrowed[key]
         for sequence, announced_at_seconds in list(self.announced_at_seconds.items()):
-            if now_seconds >= announced_at_seconds + LOAN_LIFE_SECONDS:
+            if now_seconds >= announced_at_seconds + LOAN_LIFETIME_SECONDS:
                 del self.announced_at_seconds[sequence]
--- a/rackswitch/limits/tests/test_shares.py
+++ b/rackswitch/limits/tests/test_shares.py
@@ -11,7 +11,7 @@
     run_state_machine_as_test,
 )
 
-from rackswitch.limits import LOAN_LIFE_SECONDS, RateLimit, ShareLedger
+from rackswitch.limits import LOAN_LIFETIME_SECONDS, RateLimit, ShareLedger
 
 LIMIT = 90.0
 DAEMONS = 4
@@ -88,8 +88,8 @@
     assert busy.borrow("idle", loan.loan_id, loan.units, 1, 1.1)
     assert busy.available_units(1.2) == pytest.approx(19.5)
     assert idle.available_units(1.2) == pytest.approx(0.5)
-    assert busy.available_units(LOAN_LIFE_SECONDS + 0.1) == pytest.approx(10.0)
-    assert idle.available_units(LOAN_LIFE_SECONDS + 2.0) == pytest.approx(10.0)
+    assert busy.available_units(LOAN_LIFETIME_SECONDS + 0.1) == pytest.approx(10.0)
+    assert idle.available_units(LOAN_LIFETIME_SECONDS + 2.0) == pytest.approx(10.0)
 
 
 def test_a_rate_limit_admits_its_rate():
--- a/rackswitch/membership/core.py
+++ b/rackswitch/membership/core.py
@@ -101,7 +101,7 @@
             names.append(self.own.daemon)
         return sorted(names)
 
-    def others_reachable(self) -> list[str]:
+    def reachable_peers(self) -> list[str]:
         """Return the other daemons whose process is estimated to run, including leaving ones."""
         states = {name: member.update.state for name, member in self.members.items()}
         return sorted(name for name, state in states.items() if state != MemberState.DEAD)
@@ -127,7 +127,7 @@
             return True
         return member.update.incarnation > peer.incarnation
 
-    def learn_vms(self, entries: list[VmEntry], now_seconds: float) -> None:
+    def update_from_vm_list(self, entries: list[VmEntry], now_seconds: float) -> None:
         """Update the members from the platform's list: new daemons and those that are leaving.
 
         The list lags, so it does not revive a daemon that failed to answer heartbeats.
@@ -149,7 +149,7 @@
             elif entry.leaving and known.update.state != MemberState.LEAVING:
                 self._set_state(known, MemberState.LEAVING, now_seconds)
 
-    def learn_listed(self, entries: list[VmEntry], now_seconds: float) -> None:
+    def update_from_complete_list(self, entries: list[VmEntry], now_seconds: float) -> None:
         """Update the members from a complete list; daemons that are not on it are removed.
 
         For platforms that remove the entry of a daemon that died, so that no heartbeats
@@ -162,14 +162,14 @@
             restarted = member.update.state == MemberState.LEAVING and name in staying
             if name not in listed or restarted:
                 del self.members[name]
-        self.learn_vms(entries, now_seconds)
+        self.update_from_vm_list(entries, now_seconds)
 
     def is_leaving(self, daemon: str) -> bool:
         """Return whether a daemon is known to be stopping as planned."""
         member = self.members.get(daemon)
         return member is not None and member.update.state == MemberState.LEAVING
 
-    def next_target(self) -> str | None:
+    def next_heartbeat_peer(self) -> str | None:
         """Return the member to send the next heartbeat to."""
         while True:
             if not self._heartbeat_round:
@@ -186,18 +186,18 @@
             if member is not None and member.update.state != MemberState.DEAD:
                 return name
 
-    def helpers(self, peer: str, count: int) -> list[str]:
+    def choose_probe_helpers(self, peer: str, count: int) -> list[str]:
         """Return random members that this daemon may ask to probe `peer`."""
         others = [name for name in self.live() if name not in (peer, self.own.daemon)]
         return self.rng.sample(others, min(count, len(others)))
 
-    def answered(self, daemon: str, now_seconds: float) -> None:
+    def record_answer(self, daemon: str, now_seconds: float) -> None:
         """Record that a member answered, directly or through a helper."""
         member = self.members.get(daemon)
         if member is not None and member.update.state == MemberState.SUSPECT:
             self._set_state(member, MemberState.ALIVE, now_seconds)
 
-    def unanswered(self, daemon: str, now_seconds: float) -> None:
+    def record_no_answer(self, daemon: str, now_seconds: float) -> None:
         """Record that neither the member nor a helper's probe was answered."""
         member = self.members.get(daemon)
         if member is not None and member.update.state == MemberState.ALIVE:
--- a/rackswitch/membership/tests/test_core.py
+++ b/rackswitch/membership/tests/test_core.py
@@ -21,7 +21,7 @@
         for name in names:
             own = MemberUpdate(name, "h", 1, "z", 1, MemberState.ALIVE)
             view = Membership(own, PERIOD_SECONDS, random.Random(f"{seed}{name}"))
-            view.learn_vms(entries, 0.0)
+            view.update_from_vm_list(entries, 0.0)
             self.views[name] = view
 
     def reaches(self, source, target):
@@ -46,17 +46,17 @@
             if name in self.dead:
                 continue
             view.tick(self.now_seconds)
-            target = view.next_target()
+            target = view.next_heartbeat_peer()
             if target is None:
                 continue
             helper_answered = any(
                 self.exchange(name, helper) and self.exchange(helper, target)
-                for helper in view.helpers(target, 3)
+                for helper in view.choose_probe_helpers(target, 3)
             )
             if self.exchange(name, target) or helper_answered:
-                view.answered(target, self.now_seconds)
+                view.record_answer(target, self.now_seconds)
             else:
-                view.unanswered(target, self.now_seconds)
+                view.record_no_answer(target, self.now_seconds)
 
     def living(self):
         return {name for name in self.views if name not in self.dead}
@@ -92,7 +92,7 @@
     for _ in range(90):
         network.period()
         for view in network.views.values():
-            view.learn_vms(entries, network.now_seconds)
+            view.update_from_vm_list(entries, network.now_seconds)
     assert all(len(view.live()) == 9 for view in network.views.values())
 
 
@@ -109,7 +109,7 @@
     for count in (9, 100, 330):
         view = Network(count, 4).views["d0"]
         for name in list(view.members)[: count // 2]:
-            view.unanswered(name, 1.0)
+            view.record_no_answer(name, 1.0)
         sizes.append(len(view.updates_to_send()))
     assert max(sizes) <= 6
 
@@ -120,7 +120,7 @@
     outdated_entries = [VmEntry(f"d{n}", "h", 1, "z", n == 1) for n in range(5)]
     view.listed_live = False
     for other in network.views.values():
-        other.learn_vms(outdated_entries, 0.0)
+        other.update_from_vm_list(outdated_entries, 0.0)
     assert view.own.state == MemberState.ALIVE
     for _ in range(20):
         network.period()
@@ -129,7 +129,7 @@
 
 def test_a_daemon_is_leaving_once_its_vm_is_listed_as_leaving():
     view = Network(3, 6).views["d0"]
-    view.learn_vms([VmEntry("d0", "h", 1, "z", True)], 1.0)
+    view.update_from_vm_list([VmEntry("d0", "h", 1, "z", True)], 1.0)
     assert view.own.state == MemberState.LEAVING
     assert "d0" not in view.live()
 
@@ -138,12 +138,12 @@
     own = MemberUpdate("a", "h", 1, "z", 0, MemberState.ALIVE)
     members = Membership(own, 1.0, random.Random(1))
     live_entry = VmEntry("b", "h", 2, "z", leaving=False)
-    members.learn_listed([live_entry], 0.0)
+    members.update_from_complete_list([live_entry], 0.0)
     assert members.live() == ["a", "b"]
-    members.learn_listed([VmEntry("b", "h", 2, "z", leaving=True)], 1.0)
+    members.update_from_complete_list([VmEntry("b", "h", 2, "z", leaving=True)], 1.0)
     assert members.live() == ["a"]
     assert members.is_leaving("b")
     # The list may show the entry of the next process without a gap.
-    members.learn_listed([live_entry], 2.0)
+    members.update_from_complete_list([live_entry], 2.0)
     assert members.live() == ["a", "b"]
     assert not members.is_leaving("b")
--- a/rackswitch/platform/answers.py
+++ b/rackswitch/platform/answers.py
@@ -37,7 +37,7 @@
 def check_answer_head(answer: aiohttp.ClientResponse, request_id: str) -> TargetFailed | None:
     """Return the failure that an answer's status and headers show, or None."""
     if answer.status == MISDIRECTED_STATUS:
-        return TargetFailed(False, "another target has the address", not_there=True)
+        return TargetFailed(False, "another target has the address", is_other_target=True)
     if NOT_RUN_HEADER in answer.headers:
         return TargetFailed(False, f"the target did not begin: status {answer.status}")
     if answer.headers.get(REQUEST_ID_HEADER) != request_id:
--- a/rackswitch/platform/caller_headers.py
+++ b/rackswitch/platform/caller_headers.py
@@ -24,7 +24,7 @@
     """
     sent = CIMultiDict(end_to_end_headers(headers))
     sent.popall(TENANT_HEADER, None)
-    if caller.keys_in_force:
+    if caller.keys_required:
         sent.popall(AUTHORIZATION_HEADER, None)
     if caller.tenant:
         sent[TENANT_HEADER] = caller.tenant
--- a/rackswitch/platform/connections.py
+++ b/rackswitch/platform/connections.py
@@ -60,7 +60,7 @@
 
     Attributes
     ----------
-    kept_seconds : float
+    keep_alive_seconds : float
         Keep-alive timeout of unused connections.
     """
 
@@ -69,15 +69,17 @@
         "_keep_alive_seconds_by_service",
         "_on_load_report",
         "pooled",
-        "kept_seconds",
+        "keep_alive_seconds",
         "single_use",
     )
 
     def __init__(self, on_load_report: LoadReportCallback | None = None) -> None:
         self._on_load_report = on_load_report
-        self.kept_seconds = DEFAULT_KEEP_ALIVE_SECONDS
+        self.keep_alive_seconds = DEFAULT_KEEP_ALIVE_SECONDS
         self._keep_alive_seconds_by_service: dict[str, float] = {}
-        self._pooled_connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=self.kept_seconds)
+        self._pooled_connector = aiohttp.TCPConnector(
+            limit=0, keepalive_timeout=self.keep_alive_seconds
+        )
         self.pooled = _session(self._pooled_connector)
         self.single_use = _session(aiohttp.TCPConnector(limit=0, force_close=True))
 
@@ -109,11 +111,11 @@
         if self._keep_alive_seconds_by_service.get(service) == seconds:
             return
         self._keep_alive_seconds_by_service[service] = seconds
-        self.kept_seconds = min(self._keep_alive_seconds_by_service.values())
+        self.keep_alive_seconds = min(self._keep_alive_seconds_by_service.values())
         # The library has no public way to change the timeout later, but reads it at each use.
-        self._pooled_connector._keepalive_timeout = self.kept_seconds
+        self._pooled_connector._keepalive_timeout = self.keep_alive_seconds
 
-    def drop_unused(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the unused connections.
 
         The library measures idle time by the monotonic clock, which stops while the VM is
--- a/rackswitch/platform/duty_calls.py
+++ b/rackswitch/platform/duty_calls.py
@@ -20,8 +20,8 @@
 class DutyOutcome(Enum):
     """Outcome of a call."""
 
-    TAKEN = "taken"
-    NONE_TO_BE_HAD = "none to be had"
+    ACCEPTED = "taken"
+    NONE_AVAILABLE = "none to be had"
     """The platform has no more engines of this kind in the zone at present."""
 
     BUSY = "busy"
@@ -105,9 +105,9 @@
 def _answer_for_status(status: int) -> DutyAnswer:
     detail = f"status {status}"
     if 200 <= status < 300:
-        return DutyAnswer(DutyOutcome.TAKEN, detail)
+        return DutyAnswer(DutyOutcome.ACCEPTED, detail)
     if status == 409:
-        return DutyAnswer(DutyOutcome.NONE_TO_BE_HAD, detail)
+        return DutyAnswer(DutyOutcome.NONE_AVAILABLE, detail)
     if status in (429, 503):
         return DutyAnswer(DutyOutcome.BUSY, detail)
     if status >= 500:
--- a/rackswitch/platform/events.py
+++ b/rackswitch/platform/events.py
@@ -99,22 +99,22 @@
 
     Attributes
     ----------
-    last_number : str
+    last_event_id : str
         Number of the last complete event; empty before the first.
     """
 
-    __slots__ = ("_buffer", "last_number")
+    __slots__ = ("_buffer", "last_event_id")
 
     def __init__(self) -> None:
         self._buffer = b""
-        self.last_number = ""
+        self.last_event_id = ""
 
     @property
     def is_between_events(self) -> bool:
         """Whether the stream is not inside an event."""
         return not self._buffer
 
-    def drop_part(self) -> None:
+    def discard_partial_event(self) -> None:
         """Discard the event of which only a part has arrived."""
         self._buffer = b""
 
@@ -125,7 +125,7 @@
             event, self._buffer = self._buffer[:end], self._buffer[end:]
             for line in event.splitlines():
                 if line.startswith(b"id:"):
-                    self.last_number = line[3:].strip().decode("latin-1")
+                    self.last_event_id = line[3:].strip().decode("latin-1")
             yield event
 
 
--- a/rackswitch/platform/ingress.py
+++ b/rackswitch/platform/ingress.py
@@ -14,9 +14,9 @@
 __all__ = [
     "MalformedRequest",
     "request_deadline_seconds",
-    "request_identity",
-    "resumed_after",
-    "stamp_of",
+    "caller_request_id",
+    "with_last_event_id",
+    "server_stamp",
 ]
 
 
@@ -27,7 +27,7 @@
     detail: str
 
 
-def request_identity(exchange: Exchange) -> str:
+def caller_request_id(exchange: Exchange) -> str:
     """Return the request ID that the caller sent; empty if there is none."""
     return exchange.header(REQUEST_ID_HEADER) or ""
 
@@ -46,7 +46,7 @@
     return arrived_seconds + max(0.0, remaining_ms) / 1000
 
 
-def resumed_after(call: Call, last_number: str) -> Call:
+def with_last_event_id(call: Call, last_number: str) -> Call:
     """Return the call that resumes a stream after an event."""
     other_headers = tuple(
         pair for pair in call.headers if pair[0].lower() != LAST_EVENT_HEADER.lower()
@@ -55,7 +55,7 @@
     return replace(call, headers=headers)
 
 
-def stamp_of(answer: TargetAnswer) -> str:
+def server_stamp(answer: TargetAnswer) -> str:
     """Return the signature in a target's answer; empty if there is none."""
     for name, value in answer.headers:
         if name.lower() == STAMP_HEADER.lower():
--- a/rackswitch/platform/item_runs.py
+++ b/rackswitch/platform/item_runs.py
@@ -36,8 +36,8 @@
 class ItemRunEnd(Enum):
     """How a run of an item ended."""
 
-    WHOLE = "whole"
-    BROKEN = "broken"
+    COMPLETE = "whole"
+    INTERRUPTED = "broken"
     """The stream stopped before its end; another engine can continue it."""
 
     SILENT = "silent"
@@ -46,7 +46,7 @@
     NOT_RUN = "not run"
     """The engine reported that it did not begin, as it is full or is loading weights."""
 
-    NOT_THERE = "not there"
+    MISDIRECTED = "not there"
     """Another engine now has the address."""
 
     FAILED = "failed"
@@ -155,7 +155,7 @@
                         yield piece
                     if parser.fault:
                         close_connection(answer)
-                        yield ItemRunEnded(ItemRunEnd.BROKEN, parser.fault)
+                        yield ItemRunEnded(ItemRunEnd.INTERRUPTED, parser.fault)
                         return
             yield _end_of_stream(answer, parser, request)
         except NOT_SENT_ERRORS as error:
@@ -164,7 +164,7 @@
         except TimeoutError:
             yield ItemRunEnded(ItemRunEnd.SILENT, "nothing came in time")
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            yield ItemRunEnded(ItemRunEnd.BROKEN, f"{type(error).__name__}: {error}")
+            yield ItemRunEnded(ItemRunEnd.INTERRUPTED, f"{type(error).__name__}: {error}")
 
 
 def _run_headers(target: ListedTarget, request: ItemRequest) -> CIMultiDict[str]:
@@ -187,7 +187,7 @@
     if version is None:
         return EventParser(None)
     if not version.isdigit():
-        return ItemRunEnded(ItemRunEnd.BROKEN, f"version {version!r} is no number")
+        return ItemRunEnded(ItemRunEnd.INTERRUPTED, f"version {version!r} is no number")
     return EventParser(int(version))
 
 
@@ -202,27 +202,27 @@
     """
     if not parser.is_between_events:
         # An engine that shuts down may end its answer correctly, but inside an event.
-        return ItemRunEnded(ItemRunEnd.BROKEN, "the stream ended inside an event")
+        return ItemRunEnded(ItemRunEnd.INTERRUPTED, "the stream ended inside an event")
     if parser.events:
-        return ItemRunEnded(ItemRunEnd.WHOLE)
+        return ItemRunEnded(ItemRunEnd.COMPLETE)
     names_version = VERSIONS_HEADER in answer.headers
     has_declared_end = "Transfer-Encoding" in answer.headers or "Content-Length" in answer.headers
     if request.after_piece and has_declared_end and not names_version:
-        return ItemRunEnded(ItemRunEnd.WHOLE, "nothing was left of it")
-    return ItemRunEnded(ItemRunEnd.BROKEN, "the stream brought no event")
+        return ItemRunEnded(ItemRunEnd.COMPLETE, "nothing was left of it")
+    return ItemRunEnded(ItemRunEnd.INTERRUPTED, "the stream brought no event")
 
 
 def _item_refusal(answer: aiohttp.ClientResponse, item_id: str) -> ItemRunEnded | None:
     fault = check_answer_head(answer, item_id)
     if fault is not None:
-        if fault.not_there:
-            return ItemRunEnded(ItemRunEnd.NOT_THERE, fault.detail)
-        end = ItemRunEnd.BROKEN if fault.may_have_run else ItemRunEnd.NOT_RUN
+        if fault.is_other_target:
+            return ItemRunEnded(ItemRunEnd.MISDIRECTED, fault.detail)
+        end = ItemRunEnd.INTERRUPTED if fault.may_have_run else ItemRunEnd.NOT_RUN
         return ItemRunEnded(end, fault.detail)
     if answer.status == 422:
         return ItemRunEnded(ItemRunEnd.IMPOSSIBLE, "status 422")
     if answer.status == 500:
         return ItemRunEnded(ItemRunEnd.FAILED, "status 500")
     if answer.status != 200:
-        return ItemRunEnded(ItemRunEnd.BROKEN, f"status {answer.status}")
+        return ItemRunEnded(ItemRunEnd.INTERRUPTED, f"status {answer.status}")
     return None
--- a/rackswitch/platform/orders.py
+++ b/rackswitch/platform/orders.py
@@ -74,8 +74,8 @@
 class OrderAnswer(Enum):
     """An engine's answer to an order."""
 
-    TAKEN = "taken"
-    HOLDS_ALREADY = "holds already"
+    ACCEPTED = "taken"
+    ALREADY_LOADED = "holds already"
     REFUSED = "refused"
     UNKNOWN = "unknown"
 
@@ -178,5 +178,5 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             return OrderAnswer.UNKNOWN
         if answer.status == 202:
-            return OrderAnswer.TAKEN
-        return OrderAnswer.HOLDS_ALREADY if answer.status == 200 else OrderAnswer.REFUSED
+            return OrderAnswer.ACCEPTED
+        return OrderAnswer.ALREADY_LOADED if answer.status == 200 else OrderAnswer.REFUSED
--- a/rackswitch/platform/store.py
+++ b/rackswitch/platform/store.py
@@ -20,8 +20,8 @@
     LeaseGranted,
     TxnPart,
     TxnPartDone,
-    WatchNews,
-    latest_news,
+    WatchUpdate,
+    latest_update,
 )
 from rackswitch.platform.store_calls import StoreCall, StoreTransport
 from rackswitch.platform.store_messages import (
@@ -198,7 +198,9 @@
         answer = await self._call("DELETE", f"/rackswitch/kv-lease-end/{lease_id}")
         return answer if isinstance(answer, KvUnavailable) else None
 
-    async def watch(self, key: str, from_revision: int) -> AsyncIterator[WatchNews | KvUnavailable]:
+    async def watch(
+        self, key: str, from_revision: int
+    ) -> AsyncIterator[WatchUpdate | KvUnavailable]:
         """Yield changes under a prefix after a revision until a call fails.
 
         The first call is answered at once, so that the caller has the current state; the later
@@ -228,7 +230,7 @@
                 yield mark_without_effect(news)
                 return
             revision = max(revision, news.store_revision)
-            yield latest_news(
+            yield latest_update(
                 [event.entry() for event in news.events if not event.tombstone],
                 [(event.key, event.revision) for event in news.events if event.tombstone],
                 revision,
@@ -247,7 +249,7 @@
         )
 
     def _record_duration(self, call: StoreCall, elapsed_seconds: float) -> None:
-        if not call.held:
+        if not call.is_long_poll:
             decayed_seconds = self._slowest_answer_seconds * SLOWEST_ANSWER_DECAY
             self._slowest_answer_seconds = max(elapsed_seconds, decayed_seconds)
 
@@ -267,9 +269,9 @@
             method=method,
             target=path + ("?" + urlencode(query, safe="/") if query else ""),
             content=msgspec.json.encode(body) if body is not None else b"",
-            limit_seconds=limit_seconds,
+            timeout_seconds=limit_seconds,
             repeatable=repeatable or method == "GET",
-            held=held,
+            is_long_poll=held,
         )
         started_seconds = asyncio.get_running_loop().time()
         answer = await self._transport.send(call)
--- a/rackswitch/platform/store_calls.py
+++ b/rackswitch/platform/store_calls.py
@@ -48,20 +48,20 @@
         Path and query.
     content : bytes
         The body; empty if there is none.
-    limit_seconds : float
+    timeout_seconds : float
         Timeout of the call.
     repeatable : bool
         Whether the call may be sent again.
-    held : bool
+    is_long_poll : bool
         Whether the call is a long poll, which the service answers on a change.
     """
 
     method: str
     target: str
     content: bytes
-    limit_seconds: float
+    timeout_seconds: float
     repeatable: bool
-    held: bool = False
+    is_long_poll: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
         return MalformedCall(f"`target` must have at most {MAX_TARGET_CHARACTERS} characters")
     if len(call.content) > MAX_CONTENT_BYTES:
         return MalformedCall(f"`content` must have at most {MAX_CONTENT_BYTES} bytes")
-    if not 0 < call.limit_seconds <= MAX_TIMEOUT_SECONDS:
+    if not 0 < call.timeout_seconds <= MAX_TIMEOUT_SECONDS:
         return MalformedCall(f"`limit_seconds` must be in (0, {MAX_TIMEOUT_SECONDS}]")
     return call
 
@@ -127,7 +127,7 @@
             call.method, self.url + call.target, data=call.content or None, headers=headers
         )
         try:
-            async with asyncio.timeout(call.limit_seconds), request as answer:
+            async with asyncio.timeout(call.timeout_seconds), request as answer:
                 content = await answer.read()
         except NOT_SENT_ERRORS as error:
             return KvUnavailable(type(error).__name__, effect_unknown=False)
--- a/rackswitch/platform/store_messages.py
+++ b/rackswitch/platform/store_messages.py
@@ -93,7 +93,7 @@
         self.content = content
 
     @property
-    def turned_away(self) -> bool:
+    def is_rejected(self) -> bool:
         """Whether the service rejected the call unprocessed, so that another path may succeed."""
         return self.status in REJECTED_STATUSES
 
@@ -112,7 +112,7 @@
     if answer.status == 410:
         return KvUnavailable("the history is gone", effect_unknown=False, history_lost=True)
     # The platform specifies that these statuses mean that the call had no effect.
-    refused = answer.turned_away or answer.status in (400, 403, 413)
+    refused = answer.is_rejected or answer.status in (400, 403, 413)
     return KvUnavailable(f"status {answer.status}", effect_unknown=not refused)
 
 
--- a/rackswitch/platform/target_calls.py
+++ b/rackswitch/platform/target_calls.py
@@ -41,9 +41,9 @@
         self._sessions = sessions
 
     @property
-    def kept_seconds(self) -> float:
+    def keep_alive_seconds(self) -> float:
         """Keep-alive timeout of unused connections to targets."""
-        return self._sessions.kept_seconds
+        return self._sessions.keep_alive_seconds
 
     async def forward(
         self, target: ListedTarget, call: Call, deadline_seconds: float, fresh_connection: bool
@@ -112,9 +112,9 @@
 
 def _failure(error: Exception) -> TargetFailed:
     if isinstance(error, NOT_SENT_ERRORS):
-        return TargetFailed(False, f"cannot connect: {type(error).__name__}", silent=True)
+        return TargetFailed(False, f"cannot connect: {type(error).__name__}", is_unresponsive=True)
     silent = isinstance(error, TimeoutError)
-    return TargetFailed(True, f"no whole answer: {type(error).__name__}", silent=silent)
+    return TargetFailed(True, f"no whole answer: {type(error).__name__}", is_unresponsive=silent)
 
 
 async def _body_chunks(answer: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
--- a/rackswitch/platform/tests/test_caller_headers.py
+++ b/rackswitch/platform/tests/test_caller_headers.py
@@ -17,7 +17,7 @@
 
 @given(headers, st.sampled_from(["", "a"]))
 def test_replaces_the_tenant_header_and_removes_the_key_if_keys_are_in_force(sent, tenant):
-    passed = headers_for_target(tuple(sent), Caller(tenant, keys_in_force=True))
+    passed = headers_for_target(tuple(sent), Caller(tenant, keys_required=True))
     assert "authorization" not in passed
     assert passed.getall("X-Rackswitch-Tenant", []) == ([tenant] if tenant else [])
     sent_values = [value for name, value in sent if name.lower() == "x-own"]
--- a/rackswitch/platform/tests/test_events.py
+++ b/rackswitch/platform/tests/test_events.py
@@ -57,7 +57,7 @@
     events = [event for data in split_at(STREAM, offsets) for event in splitter.feed(data)]
     assert b"".join(events) == STREAM
     assert len(events) == 3
-    assert splitter.last_number == "3"
+    assert splitter.last_event_id == "3"
     assert splitter.is_between_events
 
 
@@ -65,4 +65,4 @@
     splitter = EventSplitter()
     assert list(splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")) == [b"id: 1\ndata: a\n\n"]
     assert not splitter.is_between_events
-    assert splitter.last_number == "1"
+    assert splitter.last_event_id == "1"
--- a/rackswitch/platform/tests/test_item_runs.py
+++ b/rackswitch/platform/tests/test_item_runs.py
@@ -47,17 +47,17 @@
 @pytest.mark.parametrize(
     ("answer", "reset", "end", "count"),
     [
-        (chunked(EVENT) + b"0\r\n\r\n", False, ItemRunEnd.WHOLE, 1),
-        (HEAD + b"\r\n" + EVENT, False, ItemRunEnd.WHOLE, 1),
+        (chunked(EVENT) + b"0\r\n\r\n", False, ItemRunEnd.COMPLETE, 1),
+        (HEAD + b"\r\n" + EVENT, False, ItemRunEnd.COMPLETE, 1),
         # The answer ends correctly, but inside an event.
-        (chunked(EVENT, b"id: 2\nda") + b"0\r\n\r\n", False, ItemRunEnd.BROKEN, 1),
-        (chunked(EVENT, b"id: 2\n") + b"0\r\n\r\n", False, ItemRunEnd.BROKEN, 1),
-        (HEAD + b"\r\n" + EVENT + b"id: 2\ndata: b\n", False, ItemRunEnd.BROKEN, 1),
-        (chunked(EVENT), False, ItemRunEnd.BROKEN, 1),
-        (HEAD + b"\r\n" + EVENT, True, ItemRunEnd.BROKEN, 1),
-        (chunked(b"data: no number\n\n") + b"0\r\n\r\n", False, ItemRunEnd.BROKEN, 0),
-        (HEAD.replace(b"i1", b"i2") + b"\r\n" + EVENT, False, ItemRunEnd.BROKEN, 0),
-        (b"HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n", False, ItemRunEnd.NOT_THERE, 0),
+        (chunked(EVENT, b"id: 2\nda") + b"0\r\n\r\n", False, ItemRunEnd.INTERRUPTED, 1),
+        (chunked(EVENT, b"id: 2\n") + b"0\r\n\r\n", False, ItemRunEnd.INTERRUPTED, 1),
+        (HEAD + b"\r\n" + EVENT + b"id: 2\ndata: b\n", False, ItemRunEnd.INTERRUPTED, 1),
+        (chunked(EVENT), False, ItemRunEnd.INTERRUPTED, 1),
+        (HEAD + b"\r\n" + EVENT, True, ItemRunEnd.INTERRUPTED, 1),
+        (chunked(b"data: no number\n\n") + b"0\r\n\r\n", False, ItemRunEnd.INTERRUPTED, 0),
+        (HEAD.replace(b"i1", b"i2") + b"\r\n" + EVENT, False, ItemRunEnd.INTERRUPTED, 0),
+        (b"HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n", False, ItemRunEnd.MISDIRECTED, 0),
         (
             b"HTTP/1.1 503 X\r\nX-Rackswitch-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
             False,
@@ -66,7 +66,7 @@
         ),
         (HEAD.replace(b"200 OK", b"422 X") + b"\r\n", False, ItemRunEnd.IMPOSSIBLE, 0),
         (HEAD.replace(b"200 OK", b"500 X") + b"\r\n", False, ItemRunEnd.FAILED, 0),
-        (b"", False, ItemRunEnd.BROKEN, 0),
+        (b"", False, ItemRunEnd.INTERRUPTED, 0),
     ],
 )
 def test_a_stream_is_complete_only_if_it_ends_between_events(answer, reset, end, count):
@@ -82,18 +82,18 @@
         (
             HEAD_WITHOUT_VERSION + b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
             7,
-            ItemRunEnd.WHOLE,
+            ItemRunEnd.COMPLETE,
         ),
-        (HEAD_WITHOUT_VERSION + b"Content-Length: 0\r\n\r\n", 7, ItemRunEnd.WHOLE),
+        (HEAD_WITHOUT_VERSION + b"Content-Length: 0\r\n\r\n", 7, ItemRunEnd.COMPLETE),
         # A run from the beginning always yields events.
-        (HEAD_WITHOUT_VERSION + b"Content-Length: 0\r\n\r\n", 0, ItemRunEnd.BROKEN),
-        (HEAD_WITHOUT_VERSION + b"Transfer-Encoding: chunked\r\n\r\n", 7, ItemRunEnd.BROKEN),
+        (HEAD_WITHOUT_VERSION + b"Content-Length: 0\r\n\r\n", 0, ItemRunEnd.INTERRUPTED),
+        (HEAD_WITHOUT_VERSION + b"Transfer-Encoding: chunked\r\n\r\n", 7, ItemRunEnd.INTERRUPTED),
         # An event without a version is invalid.
-        (HEAD_WITHOUT_VERSION + b"\r\n" + EVENT, 0, ItemRunEnd.BROKEN),
+        (HEAD_WITHOUT_VERSION + b"\r\n" + EVENT, 0, ItemRunEnd.INTERRUPTED),
         # The version announces events; without any, the engine stopped early.
-        (HEAD + b"Content-Length: 0\r\n\r\n", 7, ItemRunEnd.BROKEN),
+        (HEAD + b"Content-Length: 0\r\n\r\n", 7, ItemRunEnd.INTERRUPTED),
         # Without a declared length, a closed connection does not show that the text is complete.
-        (HEAD_WITHOUT_VERSION + b"\r\n", 7, ItemRunEnd.BROKEN),
+        (HEAD_WITHOUT_VERSION + b"\r\n", 7, ItemRunEnd.INTERRUPTED),
     ],
 )
 def test_resuming_after_the_last_event_completes_the_text(answer, after_piece, end):
--- a/rackswitch/platform/tests/test_target_calls.py
+++ b/rackswitch/platform/tests/test_target_calls.py
@@ -92,7 +92,7 @@
             deadline_seconds = asyncio.get_running_loop().time() + 2.0
             await client.forward(target, CALL, deadline_seconds, False)
         await sessions.close()
-    return fake_target.connections, sessions.kept_seconds
+    return fake_target.connections, sessions.keep_alive_seconds
 
 
 @pytest.mark.parametrize(
@@ -138,7 +138,7 @@
                 deadline_seconds = asyncio.get_running_loop().time() + 2.0
                 await client.forward(service_target, CALL, deadline_seconds, False)
         await sessions.close()
-        return sessions.kept_seconds
+        return sessions.keep_alive_seconds
 
     assert asyncio.run(scenario()) == 2.0
 
--- a/rackswitch/platform/tests/test_watch_limits.py
+++ b/rackswitch/platform/tests/test_watch_limits.py
@@ -22,7 +22,7 @@
         query = parse_qs(urlsplit(call.target).query)
         wait_seconds = int(query.get("wait_ms", ["0"])[0]) / 1000
         try:
-            async with asyncio.timeout(call.limit_seconds):
+            async with asyncio.timeout(call.timeout_seconds):
                 await asyncio.sleep(wait_seconds + self.delay_seconds)
         except TimeoutError:
             return KvUnavailable("TimeoutError", effect_unknown=True)
--- a/rackswitch/quarantine/end_investigations.py
+++ b/rackswitch/quarantine/end_investigations.py
@@ -9,14 +9,14 @@
 from enum import Enum
 
 __all__ = [
-    "LOOK_PAUSE_SECONDS",
+    "PROBE_INTERVAL_SECONDS",
     "EndEvidence",
     "EndInvestigations",
     "ProbeOutcome",
     "TargetEnd",
 ]
 
-LOOK_PAUSE_SECONDS = 0.2
+PROBE_INTERVAL_SECONDS = 0.2
 """Interval between two probes of a target that refused a connection or did not answer."""
 
 REFUSALS_TO_CONFIRM = 3
@@ -77,7 +77,7 @@
 
     _open: dict[str, _Investigation] = field(default_factory=dict)
 
-    def broke(self, target: str, fingerprint: str, now_seconds: float) -> bool:
+    def record_interruption(self, target: str, fingerprint: str, now_seconds: float) -> bool:
         """Record an interrupted run; return whether it opens an investigation."""
         investigation = self._open.get(target)
         is_new = investigation is None
@@ -88,7 +88,7 @@
             investigation.fingerprints.setdefault(fingerprint, now_seconds)
         return is_new
 
-    def looked(
+    def record_probe(
         self, target: str, outcome: ProbeOutcome, probed_at_seconds: float, now_seconds: float
     ) -> TargetEnd | None:
         """Record a probe; return the target's end if the probe proves one.
@@ -117,14 +117,14 @@
         elif outcome is ProbeOutcome.REFUSED:
             investigation.refusals += 1
             if investigation.refusals >= REFUSALS_TO_CONFIRM:
-                return self.ended(target, EndEvidence.REFUSED)
+                return self.close(target, EndEvidence.REFUSED)
         else:
             investigation.refusals = 0
         if not investigation.fingerprints or now_seconds >= investigation.until_seconds:
             del self._open[target]
         return None
 
-    def ended(self, target: str, evidence: EndEvidence) -> TargetEnd | None:
+    def close(self, target: str, evidence: EndEvidence) -> TargetEnd | None:
         """Close the investigation of a target that has ended.
 
         Returns
@@ -142,7 +142,7 @@
         """Whether any target is under investigation."""
         return bool(self._open)
 
-    def acquit(self, fingerprint: str) -> None:
+    def clear(self, fingerprint: str) -> None:
         """Clear a request of suspicion, since a target has answered it."""
         for investigation in self._open.values():
             investigation.fingerprints.pop(fingerprint, None)
--- a/rackswitch/quarantine/evidence.py
+++ b/rackswitch/quarantine/evidence.py
@@ -20,18 +20,18 @@
     """The ends that this daemon has seen, bounded in number and age."""
 
     ends: list[EndedTarget] = field(default_factory=list)
-    acquittals: list[ClearedRequest] = field(default_factory=list)
+    cleared_requests: list[ClearedRequest] = field(default_factory=list)
 
     def adopt(self, record: EndRecord) -> None:
         """Add the record of an earlier process of this daemon."""
         self.ends = list(record.ends) + self.ends
-        self.acquittals = list(record.acquittals) + self.acquittals
+        self.cleared_requests = list(record.acquittals) + self.cleared_requests
 
-    def ended(self, target: str, runs: tuple[str, ...], now_unix_seconds: float) -> None:
+    def record_end(self, target: str, runs: tuple[str, ...], now_unix_seconds: float) -> None:
         """Record the end of a target."""
         self.ends.append(EndedTarget(target, runs, now_unix_seconds))
 
-    def acquit(self, fingerprint: str, targets: set[str], now_unix_seconds: float) -> None:
+    def clear(self, fingerprint: str, targets: set[str], now_unix_seconds: float) -> None:
         """Clear a request of suspicion, also for the ends of `targets` that others reported."""
         remaining = []
         for end in self.ends:
@@ -41,22 +41,24 @@
         self.ends = remaining
         if targets:
             cleared = ClearedRequest(fingerprint, tuple(sorted(targets)), now_unix_seconds)
-            self.acquittals = [
-                other for other in self.acquittals if other.fingerprint != fingerprint
+            self.cleared_requests = [
+                other for other in self.cleared_requests if other.fingerprint != fingerprint
             ]
-            self.acquittals.append(cleared)
+            self.cleared_requests.append(cleared)
 
     def expire(self, now_unix_seconds: float) -> None:
         """Drop entries that are too old, and the oldest ones beyond the maximum number."""
         oldest_seconds = now_unix_seconds - EVIDENCE_LIFETIME_SECONDS
         ends = [end for end in self.ends if end.at_unix_seconds >= oldest_seconds]
-        cleared = [entry for entry in self.acquittals if entry.at_unix_seconds >= oldest_seconds]
+        cleared = [
+            entry for entry in self.cleared_requests if entry.at_unix_seconds >= oldest_seconds
+        ]
         self.ends = ends[-MAX_ENDS:]
-        self.acquittals = cleared[-MAX_CLEARED_REQUESTS:]
+        self.cleared_requests = cleared[-MAX_CLEARED_REQUESTS:]
 
-    def record(self, number: int, lease_id: int) -> EndRecord:
+    def to_record(self, number: int, lease_id: int) -> EndRecord:
         """Return the record to publish."""
-        return EndRecord(number, lease_id, tuple(self.ends), tuple(self.acquittals))
+        return EndRecord(number, lease_id, tuple(self.ends), tuple(self.cleared_requests))
 
 
 @dataclass(slots=True)
@@ -68,14 +70,14 @@
     _end_times: dict[str, dict[str, float]] = field(default_factory=dict)
     _suspects: dict[str, set[str]] = field(default_factory=dict)
 
-    def take(self, daemon: str, record: EndRecord) -> None:
+    def put_record(self, daemon: str, record: EndRecord) -> None:
         """Store a daemon's record, unless a newer one of it is known."""
         known = self._records.get(daemon)
         if known is None or record.number >= known.number:
             self._records[daemon] = record
             self._is_stale = True
 
-    def drop(self, daemon: str) -> None:
+    def remove_record(self, daemon: str) -> None:
         """Remove a daemon's record."""
         if self._records.pop(daemon, None) is not None:
             self._is_stale = True
@@ -86,7 +88,7 @@
         self._refresh()
         return not self._end_times
 
-    def targets_told_by_others(self, fingerprint: str, daemon: str) -> set[str]:
+    def targets_reported_by_others(self, fingerprint: str, daemon: str) -> set[str]:
         """Return the targets that ended under a request, as reported by all daemons but one."""
         return {
             end.target
@@ -105,13 +107,13 @@
         self._refresh()
         return max(self._end_times.get(fingerprint, {"": 0.0}).values())
 
-    def is_alone(self, fingerprint: str) -> bool:
+    def is_sole_suspect(self, fingerprint: str) -> bool:
         """Return whether a request is the only suspect at one of the ends."""
         self._refresh()
         targets = self._end_times.get(fingerprint, ())
         return any(self._suspects[target] == {fingerprint} for target in targets)
 
-    def max_suspected_beside(self, fingerprint: str) -> int:
+    def max_ends_of_co_suspects(self, fingerprint: str) -> int:
         """Return the maximum number of ends of any request that shares an end with this one."""
         self._refresh()
         others = {
--- a/rackswitch/quarantine/verdicts.py
+++ b/rackswitch/quarantine/verdicts.py
@@ -13,7 +13,7 @@
 __all__ = [
     "HeldBack",
     "NotSuspected",
-    "Paced",
+    "AwaitingInvestigations",
     "Suspicion",
     "TrialDue",
     "Verdict",
@@ -49,9 +49,9 @@
     ----------
     ends : int
         Targets that ended while it ran there.
-    unknown : int
+    unresolved : int
         Targets under investigation where it was interrupted.
-    is_alone : bool
+    is_sole_suspect : bool
         Whether it is the only suspect of one of the ends.
     newest_end_unix_seconds : float
         When the last end was detected.
@@ -60,8 +60,8 @@
     """
 
     ends: int
-    unknown: int = 0
-    is_alone: bool = False
+    unresolved: int = 0
+    is_sole_suspect: bool = False
     newest_end_unix_seconds: float = 0.0
     trial: TrialRecord | None = None
 
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Paced:
+class AwaitingInvestigations:
     """The request has to wait until the open investigations are closed."""
 
 
@@ -90,7 +90,7 @@
     until_unix_seconds: float
 
 
-Verdict = NotSuspected | Paced | TrialDue | HeldBack
+Verdict = NotSuspected | AwaitingInvestigations | TrialDue | HeldBack
 
 
 def judge(suspicion: Suspicion, now_unix_seconds: float) -> Verdict:
@@ -104,10 +104,10 @@
         The current time.
     """
     if suspicion.ends < ENDS_TO_HOLD and suspicion.trial is None:
-        must_wait = suspicion.unknown and suspicion.ends + suspicion.unknown >= ENDS_TO_WAIT
-        return Paced() if must_wait else NotSuspected()
-    if suspicion.unknown:
-        return Paced()
+        must_wait = suspicion.unresolved and suspicion.ends + suspicion.unresolved >= ENDS_TO_WAIT
+        return AwaitingInvestigations() if must_wait else NotSuspected()
+    if suspicion.unresolved:
+        return AwaitingInvestigations()
     due_seconds = _due_unix_seconds(suspicion, now_unix_seconds)
     if now_unix_seconds < due_seconds:
         return HeldBack(due_seconds)
@@ -124,13 +124,15 @@
         # The record of its trials is deleted with those of its ends.
         return now_unix_seconds + SOLE_SUSPECT_TRIAL_INTERVAL_SECONDS
     due_seconds = suspicion.trial.next_at_unix_seconds
-    return max(due_seconds, sole_suspect_due_seconds) if suspicion.is_alone else due_seconds
+    return max(due_seconds, sole_suspect_due_seconds) if suspicion.is_sole_suspect else due_seconds
 
 
 def next_trial(suspicion: Suspicion, now_unix_seconds: float) -> TrialRecord:
     """Return the record that claims a request's next trial."""
     trials = suspicion.trial.trials if suspicion.trial is not None else 0
     interval_seconds = (
-        SOLE_SUSPECT_TRIAL_INTERVAL_SECONDS if suspicion.is_alone else SHARED_TRIAL_INTERVAL_SECONDS
+        SOLE_SUSPECT_TRIAL_INTERVAL_SECONDS
+        if suspicion.is_sole_suspect
+        else SHARED_TRIAL_INTERVAL_SECONDS
     )
     return TrialRecord(trials + 1, now_unix_seconds + interval_seconds)
--- a/rackswitch/relay/paths.py
+++ b/rackswitch/relay/paths.py
@@ -58,7 +58,7 @@
     _cooldown_until_seconds: dict[str, float] = field(default_factory=dict)
 
     @property
-    def own_is_good(self) -> bool:
+    def is_own_path_up(self) -> bool:
         """Whether the own path works; only then are calls of peers forwarded."""
         return self.failed_since_seconds is None
 
@@ -77,7 +77,7 @@
             Monotonic clock.
         """
         peers = self._usable_peers(live_zones, now_seconds)
-        if self.own_is_good:
+        if self.is_own_path_up:
             return [OWN_PATH, *peers]
         if not peers:
             return [OWN_PATH]
@@ -86,13 +86,13 @@
             return [OWN_PATH, *peers]
         return peers
 
-    def patience_seconds(self, limit_seconds: float) -> float:
+    def call_timeout_seconds(self, limit_seconds: float) -> float:
         """Return the timeout of a repeatable call on the own path, after which a peer is tried."""
         return min(
             limit_seconds, max(MIN_TIMEOUT_SECONDS, self.slowest_answer_seconds * TIMEOUT_FACTOR)
         )
 
-    def answered(self, path: str, duration_seconds: float) -> bool:
+    def record_answer(self, path: str, duration_seconds: float) -> bool:
         """Record an answer; return whether the own path works again since this answer."""
         if path != OWN_PATH:
             self._cooldown_until_seconds.pop(path, None)
@@ -100,17 +100,17 @@
         self.slowest_answer_seconds = max(
             duration_seconds, self.slowest_answer_seconds * SLOWEST_ANSWER_DECAY
         )
-        recovered = not self.own_is_good
+        recovered = not self.is_own_path_up
         self.failed_since_seconds = None
         return recovered
 
-    def failed(self, path: str, now_seconds: float) -> bool:
+    def record_failure(self, path: str, now_seconds: float) -> bool:
         """Record an unanswered call; return whether the own path has failed since this call."""
         if path != OWN_PATH:
             self._cooldown_until_seconds[path] = now_seconds + PEER_COOLDOWN_SECONDS
             return False
         self._next_probe_seconds = now_seconds + PROBE_INTERVAL_SECONDS
-        if not self.own_is_good:
+        if not self.is_own_path_up:
             return False
         self.failed_since_seconds = now_seconds
         return True
--- a/rackswitch/relay/tests/test_paths.py
+++ b/rackswitch/relay/tests/test_paths.py
@@ -14,7 +14,7 @@
 
 def failed_selector(at_seconds: float = 10.0) -> PathSelector:
     selector = PathSelector("x")
-    assert selector.failed(OWN_PATH, at_seconds)
+    assert selector.record_failure(OWN_PATH, at_seconds)
     return selector
 
 
@@ -38,28 +38,28 @@
 
 def test_an_answer_restores_the_own_path():
     selector = failed_selector()
-    assert selector.answered(OWN_PATH, 0.004)
-    assert selector.own_is_good
-    assert not selector.answered(OWN_PATH, 0.004)
+    assert selector.record_answer(OWN_PATH, 0.004)
+    assert selector.is_own_path_up
+    assert not selector.record_answer(OWN_PATH, 0.004)
 
 
 def test_a_failed_peer_is_not_used_during_its_cooldown():
     selector = failed_selector()
-    selector.failed("c", 10.0)
+    selector.record_failure("c", 10.0)
     assert selector.paths(PEERS, True, 10.1) == ["e", "b"]
     assert selector.paths(PEERS, False, 10.0 + PEER_COOLDOWN_SECONDS) == ["c", "e"]
 
 
 def test_the_timeout_follows_the_slowest_recent_answer():
     selector = PathSelector("x")
-    selector.answered(OWN_PATH, 0.004)
-    assert selector.patience_seconds(1.5) == MIN_TIMEOUT_SECONDS
-    selector.answered(OWN_PATH, 0.25)
-    assert selector.patience_seconds(1.5) == 1.0
-    assert selector.patience_seconds(0.85) == 0.85
+    selector.record_answer(OWN_PATH, 0.004)
+    assert selector.call_timeout_seconds(1.5) == MIN_TIMEOUT_SECONDS
+    selector.record_answer(OWN_PATH, 0.25)
+    assert selector.call_timeout_seconds(1.5) == 1.0
+    assert selector.call_timeout_seconds(0.85) == 0.85
     for _ in range(40):
-        selector.answered(OWN_PATH, 0.004)
-    assert selector.patience_seconds(1.5) == MIN_TIMEOUT_SECONDS
+        selector.record_answer(OWN_PATH, 0.004)
+    assert selector.call_timeout_seconds(1.5) == MIN_TIMEOUT_SECONDS
 
 
 class PathMachine(RuleBasedStateMachine):
@@ -76,11 +76,11 @@
 
     @rule(path=st.sampled_from([OWN_PATH, *(name for name, _ in PEERS)]))
     def record_failure(self, path):
-        self.selector.failed(path, self.now_seconds)
+        self.selector.record_failure(path, self.now_seconds)
 
     @rule(path=st.sampled_from([OWN_PATH, *(name for name, _ in PEERS)]))
     def record_answer(self, path):
-        self.selector.answered(path, 0.01)
+        self.selector.record_answer(path, 0.01)
 
     @invariant()
     def each_call_has_distinct_paths(self):
@@ -104,5 +104,5 @@
 def test_the_timeout_never_exceeds_the_limit_of_the_call(durations_seconds):
     selector = PathSelector("x")
     for duration_seconds in durations_seconds:
-        selector.answered(OWN_PATH, duration_seconds)
-    assert MIN_TIMEOUT_SECONDS <= selector.patience_seconds(1.5) <= 1.5
+        selector.record_answer(OWN_PATH, duration_seconds)
+    assert MIN_TIMEOUT_SECONDS <= selector.call_timeout_seconds(1.5) <= 1.5
--- a/rackswitch/requests/attempts.py
+++ b/rackswitch/requests/attempts.py
@@ -55,7 +55,7 @@
     balance: float = RETRY_RESERVE
     refilled_at_seconds: float | None = None
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Add a part of a retry for a first attempt."""
         self.balance = min(RETRY_RESERVE, self.balance + RETRY_SHARE)
 
@@ -80,7 +80,7 @@
 
     Attributes
     ----------
-    most_attempts : int
+    max_attempts : int
         Maximum number of targets that may run the request.
     max_refusals : int
         Maximum number of further attempts that targets report as not begun.
@@ -90,7 +90,7 @@
 
     repeatable: bool
     ends: list[AttemptEnd] = field(default_factory=list)
-    most_attempts: int = MAX_ATTEMPTS
+    max_attempts: int = MAX_ATTEMPTS
     max_refusals: int = 0
     began_at_unix_seconds: float | None = None
 
@@ -101,10 +101,10 @@
 
     def may_begin(self) -> bool:
         """Return whether one more attempt is allowed."""
-        if len(self.ends) >= self.most_attempts + self.max_refusals:
+        if len(self.ends) >= self.max_attempts + self.max_refusals:
             return False
         run_count = sum(end.may_have_run for end in self.ends)
-        if run_count >= self.most_attempts:
+        if run_count >= self.max_attempts:
             return False
         return self.repeatable or not self.may_have_run
 
@@ -112,11 +112,11 @@
         """Return the targets of the attempts so far."""
         return {end.target for end in self.ends}
 
-    def begin(self) -> None:
+    def check_may_begin(self) -> None:
         """Check, as an attempt starts, that it is allowed."""
         check_invariant(self.may_begin(), "a request that may have run must not be repeated")
 
-    def note(self, end: AttemptEnd) -> None:
+    def record_end(self, end: AttemptEnd) -> None:
         """Record an attempt's end."""
         self.ends.append(end)
 
@@ -150,6 +150,6 @@
         repeated, since ending that attempt early would only lose its answer.
     """
     run_count = sum(end.may_have_run for end in log.ends)
-    if not log.repeatable or run_count + 1 >= log.most_attempts:
+    if not log.repeatable or run_count + 1 >= log.max_attempts:
         return deadline_seconds
     return min(deadline_seconds, now_seconds + latency_target_seconds * LATENCY_TARGET_FACTOR)
--- a/rackswitch/requests/calls.py
+++ b/rackswitch/requests/calls.py
@@ -75,13 +75,13 @@
     may_have_run : bool
         False only if no byte of the call can have reached the target, or the target itself
         reported that it did not begin.
-    silent : bool
+    is_unresponsive : bool
         Whether the target accepted no connection or did not answer in time.
-    not_there : bool
+    is_other_target : bool
         Whether another target answered at the address.
     """
 
     may_have_run: bool
     detail: str
-    silent: bool = False
-    not_there: bool = False
+    is_unresponsive: bool = False
+    is_other_target: bool = False
--- a/rackswitch/requests/outages.py
+++ b/rackswitch/requests/outages.py
@@ -39,12 +39,12 @@
     since_seconds: float | None = None
     typical_seconds: float | None = None
 
-    def missing(self, now_seconds: float) -> None:
+    def record_unavailable(self, now_seconds: float) -> None:
         """Record that the service is unavailable."""
         if self.since_seconds is None:
             self.since_seconds = now_seconds
 
-    def there(self, now_seconds: float) -> None:
+    def record_available(self, now_seconds: float) -> None:
         """Record that the service is available."""
         if self.since_seconds is None:
             return
--- a/rackswitch/requests/tests/test_outages.py
+++ b/rackswitch/requests/tests/test_outages.py
@@ -12,18 +12,18 @@
 
 def test_a_first_outage_is_expected_to_last_for_a_share_of_its_duration():
     tracker = OutageTracker()
-    tracker.missing(10.0)
-    tracker.missing(12.0)
+    tracker.record_unavailable(10.0)
+    tracker.record_unavailable(12.0)
     assert tracker.remaining_seconds(10.0) == MIN_RETRY_AFTER_SECONDS
     assert tracker.remaining_seconds(14.0) == pytest.approx(4.0 * OVERDUE_OUTAGE_SHARE)
 
 
 def test_a_later_outage_is_expected_to_last_as_long_as_earlier_ones():
     tracker = OutageTracker()
-    tracker.missing(0.0)
-    tracker.there(1.5)
-    tracker.there(2.0)
-    tracker.missing(10.0)
+    tracker.record_unavailable(0.0)
+    tracker.record_available(1.5)
+    tracker.record_available(2.0)
+    tracker.record_unavailable(10.0)
     assert tracker.remaining_seconds(10.5) == pytest.approx(1.0)
     assert tracker.remaining_seconds(12.0) == pytest.approx(2.0 * OVERDUE_OUTAGE_SHARE)
 
@@ -33,10 +33,10 @@
     tracker = OutageTracker()
     now_seconds = 0.0
     for duration_seconds in durations:
-        tracker.missing(now_seconds)
+        tracker.record_unavailable(now_seconds)
         now_seconds += duration_seconds
-        tracker.there(now_seconds)
-    tracker.missing(now_seconds)
+        tracker.record_available(now_seconds)
+    tracker.record_unavailable(now_seconds)
     expected_seconds = tracker.remaining_seconds(now_seconds + elapsed_seconds)
     assert MIN_RETRY_AFTER_SECONDS <= expected_seconds <= MAX_RETRY_AFTER_SECONDS
 
--- a/rackswitch/routing/directory.py
+++ b/rackswitch/routing/directory.py
@@ -105,7 +105,7 @@
             target for target in self.entries.values() if (target.host, target.port) == (host, port)
         ]
 
-    def disown(self, instance: str) -> None:
+    def remove_replaced(self, instance: str) -> None:
         """Remove a target at whose address another target answered."""
         self._discard(instance)
 
--- a/rackswitch/routing/load_estimator.py
+++ b/rackswitch/routing/load_estimator.py
@@ -87,7 +87,7 @@
         Where it was sent.
     kind : WorkKind
         What its work is counted in.
-    place : TargetEstimate
+    estimate : TargetEstimate
         The target's estimate without this request.
     log_correction : float
         Logarithm of the part of the estimated pace that came from observations, not from reports.
@@ -100,7 +100,7 @@
     start: str
     service: str
     kind: WorkKind
-    place: TargetEstimate
+    estimate: TargetEstimate
     log_correction: float
     expected_seconds: float
     sent_at_seconds: float
@@ -224,17 +224,17 @@
     _loads: dict[str, _LoadEstimate] = field(default_factory=dict)
     _services: dict[str, _ServiceEstimate] = field(default_factory=dict)
 
-    def tells_pace(self, service: str) -> bool:
+    def reports_pace(self, service: str) -> bool:
         """Return whether a target of a service has reported its pace."""
         shared = self._services.get(service)
         return shared is not None and shared.reports_pace
 
-    def usual_run_seconds(self, service: str, kind: WorkKind) -> float:
+    def typical_run_seconds(self, service: str, kind: WorkKind) -> float:
         """Return the typical time of a complete request of a service at pace 1."""
         shared = self._services.get(service)
         return shared.run_seconds[kind] if shared is not None else INITIAL_RUN_SECONDS[kind]
 
-    def heard(self, start: str, service: str, reported: ReportedLoad) -> None:
+    def record_report(self, start: str, service: str, reported: ReportedLoad) -> None:
         """Record a target's load report, which includes this daemon's requests there."""
         load = self._load(start)
         if (
@@ -250,22 +250,22 @@
         load.reported = reported
         load.own_at_report = load.own_requests
 
-    def refused(self, start: str, now_seconds: float) -> None:
+    def record_refusal(self, start: str, now_seconds: float) -> None:
         """Record that a target refused a request, which overrides its last report."""
         self._load(start).refused_at_seconds = now_seconds
 
-    def sent(
+    def record_send(
         self, target: ListedTarget, kind: WorkKind, estimate: TargetEstimate, now_seconds: float
     ) -> SentRequest:
         """Record the send of a request of this daemon."""
         load = self._load(target.start)
         load.own_requests += 1
-        run_seconds = self.usual_run_seconds(target.service, kind)
+        run_seconds = self.typical_run_seconds(target.service, kind)
         sent = SentRequest(
             start=target.start,
             service=target.service,
             kind=kind,
-            place=estimate,
+            estimate=estimate,
             log_correction=load.log_correction_at(now_seconds),
             expected_seconds=estimate.finish_seconds(1.0, run_seconds),
             sent_at_seconds=now_seconds,
@@ -274,14 +274,14 @@
             load.pending.append(sent)
         return sent
 
-    def done(self, sent: SentRequest, goes_on: bool = False) -> None:
+    def record_end(self, sent: SentRequest, continues_unobserved: bool = False) -> None:
         """Record the end of a request of this daemon, whatever its result.
 
         Parameters
         ----------
         sent : SentRequest
             The request.
-        goes_on : bool, optional
+        continues_unobserved : bool, optional
             Whether the target still works on it, unobserved by this daemon. It then counts as a
             request of another daemon until the report that includes it has decayed.
         """
@@ -290,10 +290,10 @@
             return
         load.own_requests = max(0, load.own_requests - 1)
         load.pending = [other for other in load.pending if other is not sent]
-        if goes_on:
+        if continues_unobserved:
             load.own_at_report = max(0, load.own_at_report - 1)
 
-    def worked(self, sent: SentRequest, units: float, now_seconds: float) -> None:
+    def record_completion(self, sent: SentRequest, units: float, now_seconds: float) -> None:
         """Update the estimates with the duration of a served request.
 
         Parameters
@@ -309,21 +309,23 @@
         load = self._load(sent.start)
         shared = self._service(sent.service)
         run_seconds = shared.run_seconds[sent.kind]
-        if sent.place.wait_seconds(run_seconds) == 0.0:
+        if sent.estimate.wait_seconds(run_seconds) == 0.0:
             self._update_typical_times(sent, took_seconds)
         if sent.kind is WorkKind.CALL:
-            expected_seconds = sent.place.finish_seconds(units, run_seconds)
+            expected_seconds = sent.estimate.finish_seconds(units, run_seconds)
             log_ratio = math.log(took_seconds / expected_seconds)
             load.record_residual(log_ratio + sent.log_correction, now_seconds)
 
-    def given_up(self, sent: SentRequest, now_seconds: float) -> None:
+    def record_abandoned(self, sent: SentRequest, now_seconds: float) -> None:
         """Record an abandoned call; its elapsed time is a lower bound of its duration."""
         load = self._load(sent.start)
         log_ratio = sent.log_ratio_so_far(now_seconds)
         if log_ratio > max(0.0, load.log_residual_at(now_seconds)):
             load.record_residual(log_ratio, now_seconds)
 
-    def piece(self, start: str, service: str, interval_seconds: float, now_seconds: float) -> None:
+    def record_piece_interval(
+        self, start: str, service: str, interval_seconds: float, now_seconds: float
+    ) -> None:
         """Update the estimates with the interval between two pieces of a text."""
         load = self._load(start)
         unit_seconds = self._service(service).unit_seconds
@@ -335,7 +337,7 @@
         bounded = max(-1.0, min(1.0, log_ratio))
         unit_seconds[WorkKind.TEXT] = typical_seconds * math.exp(PIECE_TIME_SMOOTHING * bounded)
 
-    def failed(self, start: str, now_seconds: float) -> None:
+    def record_failure(self, start: str, now_seconds: float) -> None:
         """Record a failed request as a slow one: a target that fails fast must not look fast."""
         self._load(start).record_residual(FAILURE_LOG_RESIDUAL, now_seconds)
 
@@ -355,7 +357,7 @@
         for start in self.starts() - starts:
             self.forget(start)
 
-    def place(
+    def estimate(
         self,
         target: ListedTarget,
         kind: WorkKind,
@@ -396,12 +398,12 @@
             waiting=max(0.0, requests - slots),
             pace=pace,
             unit_seconds=unit_seconds,
-            word_age_seconds=load.report_age_seconds(now_seconds),
-            arrival_seconds=arrival_seconds,
-            is_at_hand=is_at_hand,
+            report_age_seconds=load.report_age_seconds(now_seconds),
+            round_trip_seconds=arrival_seconds,
+            has_idle_connection=is_at_hand,
         )
 
-    def usual_units(self, service: str, kind: WorkKind) -> float:
+    def typical_units(self, service: str, kind: WorkKind) -> float:
         """Return the work of a typical request of a service."""
         shared = self._services.get(service) or _ServiceEstimate()
         return shared.run_seconds[kind] / shared.unit_seconds[kind]
@@ -465,7 +467,7 @@
         """Move a service's typical times towards those of a request that did not wait."""
         shared = self._service(sent.service)
         typical_seconds = shared.run_seconds[sent.kind]
-        log_ratio = math.log(took_seconds / sent.place.pace / typical_seconds)
+        log_ratio = math.log(took_seconds / sent.estimate.pace / typical_seconds)
         bounded = max(-1.0, min(1.0, log_ratio))
         shared.run_seconds[sent.kind] = typical_seconds * math.exp(RUN_TIME_SMOOTHING * bounded)
         if sent.kind is WorkKind.CALL:
--- a/rackswitch/routing/placing.py
+++ b/rackswitch/routing/placing.py
@@ -66,7 +66,7 @@
     connected = [
         estimate
         for estimate, finish_seconds in zip(sample, finishes, strict=True)
-        if estimate.is_at_hand
+        if estimate.has_idle_connection
         and finish_seconds <= best_seconds * (1 + CONNECTED_TOLERANCE) + CONNECTED_TOLERANCE_SECONDS
     ]
     if connected:
@@ -89,7 +89,7 @@
 
 def _stale_spread_seconds(estimates: Sequence[TargetEstimate], run_seconds: float) -> float:
     """Return by how long waits may differ from the reports; it grows with the reports' age."""
-    age_seconds = min(estimate.word_age_seconds for estimate in estimates)
+    age_seconds = min(estimate.report_age_seconds for estimate in estimates)
     if math.isinf(age_seconds) or run_seconds <= 0.0:
         return MAX_STALE_SPREAD_RUNS * run_seconds
     changed_share = age_seconds / (age_seconds + run_seconds)
--- a/rackswitch/routing/policies.py
+++ b/rackswitch/routing/policies.py
@@ -159,7 +159,9 @@
 
     def choose(self, request: RoutedRequest, targets: list[Target]) -> Target:
         """Return one of `targets`, which is not empty."""
-        connected = [target for target in targets if target.is_at_hand(request.now_seconds)]
+        connected = [
+            target for target in targets if target.has_idle_connection(request.now_seconds)
+        ]
         return self._two_choices.choose(request, connected or targets)
 
 
@@ -179,7 +181,7 @@
     def choose(self, request: RoutedRequest, targets: list[Target]) -> Target:
         """Return one of `targets`, which is not empty."""
         by_name = {target.name: target for target in targets}
-        estimates = [target.place for target in targets if target.place is not None]
+        estimates = [target.estimate for target in targets if target.estimate is not None]
         if not estimates:
             return self._two_choices.choose(request, targets)
         return by_name[choose_target(estimates, 1.0, request.run_seconds, self._rng).instance]
--- a/rackswitch/routing/target_estimates.py
+++ b/rackswitch/routing/target_estimates.py
@@ -22,11 +22,11 @@
         How many times longer than typical work is estimated to take there.
     unit_seconds : float
         Typical time of one request, or of one piece of a text, at pace 1.
-    word_age_seconds : float
+    report_age_seconds : float
         Age of the target's last load report; infinite if there is none.
-    arrival_seconds : float
+    round_trip_seconds : float
         Network round trip, including a new connection if none is open.
-    is_at_hand : bool
+    has_idle_connection : bool
         Whether an idle open connection to it exists.
     """
 
@@ -36,16 +36,16 @@
     waiting: float
     pace: float
     unit_seconds: float
-    word_age_seconds: float
-    arrival_seconds: float
-    is_at_hand: bool = False
+    report_age_seconds: float
+    round_trip_seconds: float
+    has_idle_connection: bool = False
 
     @property
     def free_slots(self) -> float:
         """Number of requests that could begin there at once."""
         return max(0.0, self.slots - self.running - self.waiting)
 
-    def with_one_more(self) -> "TargetEstimate":
+    def with_added_request(self) -> "TargetEstimate":
         """Return the estimate after one more request has been sent there."""
         if self.free_slots >= 1:
             return replace(self, running=self.running + 1)
@@ -73,4 +73,4 @@
             Typical time of the requests ahead of it at pace 1.
         """
         work_seconds = units * self.unit_seconds * self.pace
-        return self.arrival_seconds + self.wait_seconds(run_seconds) + work_seconds
+        return self.round_trip_seconds + self.wait_seconds(run_seconds) + work_seconds
--- a/rackswitch/routing/targets.py
+++ b/rackswitch/routing/targets.py
@@ -39,11 +39,11 @@
         Moving average of the rate at which one request's tokens arrive.
     open_until_seconds : float
         Until when the circuit breaker is open.
-    at_hand_until_seconds : float
+    idle_connection_until_seconds : float
         Until when a connection that served a call in its typical time stays open.
     start : str
         The start of the target that this state belongs to.
-    place : TargetEstimate or None
+    estimate : TargetEstimate or None
         Its estimate at the last choice; None if its service reports no pace.
     """
 
@@ -60,17 +60,17 @@
     open_until_seconds: float = 0.0
     open_count: int = 0
     warming_up_until_seconds: float = 0.0
-    at_hand_until_seconds: float = 0.0
+    idle_connection_until_seconds: float = 0.0
     prefixes: OrderedDict[int, None] = field(default_factory=OrderedDict)
     start: str = ""
-    place: TargetEstimate | None = None
+    estimate: TargetEstimate | None = None
 
     @property
     def version(self) -> int | None:
         """The version that the engine last reported, or None if it is unknown."""
         return self.report.version if self.report is not None else None
 
-    def take_report(self, report: LoadReport) -> None:
+    def record_report(self, report: LoadReport) -> None:
         """Record a load report; a new version starts a warm-up."""
         if self.version is not None and report.version != self.version:
             self.warming_up_until_seconds = report.received_at_seconds + WARM_UP_SECONDS
@@ -78,14 +78,14 @@
         self.report = report
         self.own_tokens_at_report = self.own_tokens
 
-    def saw_chunk(self, chunk: StreamChunk, now_seconds: float) -> None:
+    def record_chunk(self, chunk: StreamChunk, now_seconds: float) -> None:
         """Record the version, and the load if reported, that a chunk of an answer carries."""
         queued_tokens = chunk.queued_tokens
         if queued_tokens is None:
             if self.report is not None and self.report.version == chunk.version:
                 return
             queued_tokens = self.outstanding_tokens()
-        self.take_report(LoadReport(queued_tokens, chunk.version, False, now_seconds))
+        self.record_report(LoadReport(queued_tokens, chunk.version, False, now_seconds))
 
     def outstanding_tokens(self) -> float:
         """Return the estimated work that is queued or running, in tokens.
@@ -96,7 +96,7 @@
         reported = self.report.queued_tokens if self.report is not None else 0.0
         return max(self.own_tokens, reported + self.own_tokens - self.own_tokens_at_report)
 
-    def begin(self, cost_tokens: float, prefixes: tuple[int, ...]) -> None:
+    def record_start(self, cost_tokens: float, prefixes: tuple[int, ...]) -> None:
         """Record the start of a request."""
         self.own_requests += 1
         self.own_tokens += cost_tokens
@@ -106,12 +106,12 @@
         while len(self.prefixes) > MAX_PREFIXES:
             self.prefixes.popitem(last=False)
 
-    def end(self, cost_tokens: float) -> None:
+    def record_end(self, cost_tokens: float) -> None:
         """Record the end of a request."""
         self.own_requests -= 1
         self.own_tokens = max(0.0, self.own_tokens - cost_tokens)
 
-    def succeeded(self, tokens: int, elapsed_seconds: float) -> None:
+    def record_success(self, tokens: int, elapsed_seconds: float) -> None:
         """Record a complete answer and the time from its first token to its last.
 
         The token rate updates the speed estimate, which reveals an engine that answers but is slow.
@@ -123,7 +123,7 @@
             rate = tokens / elapsed_seconds
             self.speed_tokens_per_second += SPEED_SMOOTHING * (rate - self.speed_tokens_per_second)
 
-    def failed(self, now_seconds: float) -> None:
+    def record_failure(self, now_seconds: float) -> None:
         """Record a failed attempt; several in a row open the circuit breaker."""
         self.failures += 1
         if self.failures >= FAILURES_TO_OPEN:
@@ -133,18 +133,18 @@
             # One more failure, of the probe that follows, opens it again.
             self.failures = FAILURES_TO_OPEN - 1
 
-    def went_silent(self, now_seconds: float) -> None:
+    def record_no_response(self, now_seconds: float) -> None:
         """Record that the target accepted no connection or stopped answering.
 
         A failed answer may concern one request only. Silence most likely affects the next request
         too, so it opens the circuit breaker at once.
         """
         self.failures = FAILURES_TO_OPEN
-        self.failed(now_seconds)
+        self.record_failure(now_seconds)
 
-    def is_at_hand(self, now_seconds: float) -> bool:
+    def has_idle_connection(self, now_seconds: float) -> bool:
         """Return whether an idle open connection exists that a call can use."""
-        return self.own_requests == 0 and now_seconds < self.at_hand_until_seconds
+        return self.own_requests == 0 and now_seconds < self.idle_connection_until_seconds
 
     def cached_share(self, prefixes: tuple[int, ...]) -> float:
         """Return the share of the prompt's prefix chunks that this daemon sent here recently."""
--- a/rackswitch/routing/tests/test_directory.py
+++ b/rackswitch/routing/tests/test_directory.py
@@ -40,5 +40,5 @@
 def test_disowned_target_is_removed():
     directory = TargetDirectory()
     directory.put(target("a"))
-    directory.disown("a")
+    directory.remove_replaced("a")
     assert names(directory, 0.0) == []
--- a/rackswitch/routing/tests/test_placing.py
+++ b/rackswitch/routing/tests/test_placing.py
@@ -63,12 +63,12 @@
     """A target that reports little load but never answers must get no more work."""
     policy = POLICIES.get("nearly_best")(random.Random(1))
     misreporting, accurate = (
-        Target(name, "u", "z", place=estimate(name)) for name in ("misreporting", "accurate")
+        Target(name, "u", "z", estimate=estimate(name)) for name in ("misreporting", "accurate")
     )
-    misreporting.place = estimate("misreporting", pace=0.3)
+    misreporting.estimate = estimate("misreporting", pace=0.3)
     request = RoutedRequest(0.0, 1.0, (), 0.0, RUN_SECONDS)
     assert policy.choose(request, usable_targets([misreporting, accurate], 0.0)) is misreporting
-    misreporting.went_silent(0.0)
+    misreporting.record_no_response(0.0)
     assert policy.choose(request, usable_targets([misreporting, accurate], 0.0)) is accurate
 
 
@@ -133,9 +133,9 @@
                 self.paces[number],
                 max(0.0, now_seconds - age_seconds),
             )
-            estimator.heard(target.start, "s", report)
+            estimator.record_report(target.start, "s", report)
         estimates = [
-            estimator.place(target, WorkKind.CALL, 1.0, now_seconds) for target in self.targets
+            estimator.estimate(target, WorkKind.CALL, 1.0, now_seconds) for target in self.targets
         ]
         chosen = self.choose(estimates, self.rng)
         self.remaining_work[estimates.index(chosen)].append(RUN_SECONDS)
--- a/rackswitch/routing/tests/test_routing.py
+++ b/rackswitch/routing/tests/test_routing.py
@@ -23,7 +23,7 @@
 def make_targets(queued_tokens):
     targets = [Target(f"t{n}", "", "z") for n in range(len(queued_tokens))]
     for target, tokens in zip(targets, queued_tokens, strict=True):
-        target.take_report(LoadReport(tokens, 1, False, 0.0))
+        target.record_report(LoadReport(tokens, 1, False, 0.0))
     return targets
 
 
@@ -59,15 +59,15 @@
     policy = POLICIES.get("prefix_home")(random.Random(1))
     targets = make_targets([0.0] * 6)
     home = policy.choose(make_request((7,)), targets)
-    home.take_report(LoadReport(1e5, 1, False, 0.0))
+    home.record_report(LoadReport(1e5, 1, False, 0.0))
     assert policy.choose(make_request((7,)), targets) is not home
 
 
 def test_a_slow_target_that_answers_is_not_chosen():
     targets = make_targets([100.0] * 4)
     for _ in range(30):
-        targets[0].succeeded(20, 2.0)
-        targets[1].succeeded(20, 0.1)
+        targets[0].record_success(20, 2.0)
+        targets[1].record_success(20, 0.1)
     policy = POLICIES.get("prefix_home")(random.Random(1))
     chosen = [policy.choose(make_request(), targets) for _ in range(200)]
     assert chosen.count(targets[0]) == 0
@@ -78,7 +78,7 @@
     targets = make_targets([0.0] * len(failing))
     for target, is_failing in zip(targets, failing, strict=True):
         for _ in range(5 if is_failing else 0):
-            target.failed(0.0)
+            target.record_failure(0.0)
     usable = usable_targets(targets, 0.5)
     assert len(usable) >= len(targets) / 2
     if sum(failing) <= len(failing) / 2:
@@ -91,12 +91,12 @@
 def test_one_failure_of_a_probe_reopens_the_breaker():
     target = make_targets([0.0, 0.0])[0]
     for _ in range(3):
-        target.failed(0.0)
+        target.record_failure(0.0)
     assert target.open_until_seconds > 1.0
     reopened_at = target.open_until_seconds + 0.1
-    target.failed(reopened_at)
+    target.record_failure(reopened_at)
     assert target.open_until_seconds > reopened_at + 2.0
-    target.succeeded(5, 0.1)
+    target.record_success(5, 0.1)
     assert target.open_until_seconds == 0.0
 
 
@@ -122,7 +122,7 @@
     for number in range(10):
         now_seconds = number * interval_seconds
         target = policy.choose(RoutedRequest(0.0, 20.0, (), now_seconds), targets)
-        target.at_hand_until_seconds = now_seconds + 9.0
+        target.idle_connection_until_seconds = now_seconds + 9.0
         chosen.append(target.name)
     return chosen
 
@@ -145,9 +145,9 @@
     policy = POLICIES.get("at_hand")(random.Random(1))
     targets = make_targets([0.0] * 6)
     for target in targets:
-        target.at_hand_until_seconds = 9.0
+        target.idle_connection_until_seconds = 9.0
     for _ in range(6):
-        policy.choose(RoutedRequest(0.0, 20.0, (), 1.0), targets).begin(20.0, ())
+        policy.choose(RoutedRequest(0.0, 20.0, (), 1.0), targets).record_start(20.0, ())
     assert [target.own_requests for target in targets] == [1] * 6
 
 
@@ -155,5 +155,5 @@
     """The exponential backoff must not overflow a float while a target stays down."""
     target = Target("t", "http://t", "z")
     for number in range(3000):
-        target.went_silent(float(number))
+        target.record_no_response(float(number))
     assert target.open_until_seconds == 2999.0 + MAX_OPEN_SECONDS
--- a/rackswitch/spread/choice.py
+++ b/rackswitch/spread/choice.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-__all__ = ["SourceSelector", "fresh_seconds"]
+__all__ = ["SourceSelector", "max_age_seconds"]
 
 FAILED_SOURCE_COOLDOWN_SECONDS = 3.0
 """Cooldown after a source did not answer; longer than a restart."""
@@ -14,7 +14,7 @@
 NOT_READY_RETRY_SECONDS = 0.1
 """Delay before a source without usable replicas is asked again, such as one that is starting."""
 
-FRESH_SECONDS = 1.4
+ROOT_MAX_AGE_SECONDS = 1.4
 """Maximum age of the data that the root passes on: one watch, its slack, and one retry through
 another daemon."""
 
@@ -26,9 +26,9 @@
 """How long a daemon waits for sources that are starting before it watches the service itself."""
 
 
-def fresh_seconds(level: int) -> float:
+def max_age_seconds(level: int) -> float:
     """Return the maximum age of the data that a daemon at a level of the tree accepts."""
-    return FRESH_SECONDS + EXTRA_SECONDS_PER_LEVEL * max(0, level - 1)
+    return ROOT_MAX_AGE_SECONDS + EXTRA_SECONDS_PER_LEVEL * max(0, level - 1)
 
 
 @dataclass(slots=True)
@@ -37,24 +37,24 @@
 
     Parameters
     ----------
-    lost_since_seconds : float
+    without_source_since_seconds : float
         Since when the daemon has had no source (monotonic); initially its start.
 
     Attributes
     ----------
-    followed : str
+    source : str
         The daemon whose replicas are followed; empty if there is none.
     """
 
-    lost_since_seconds: float
-    followed: str = ""
+    without_source_since_seconds: float
+    source: str = ""
     _cooldown_until_seconds: dict[str, float] = field(default_factory=dict)
     _failed: set[str] = field(default_factory=set)
 
     @property
     def is_following(self) -> bool:
         """Whether the daemon follows another one."""
-        return bool(self.followed)
+        return bool(self.source)
 
     def next_source(self, sources: Sequence[str], now_seconds: float) -> str | None:
         """Return the first source that is not in its cooldown, if any."""
@@ -82,41 +82,41 @@
         max_wait_seconds = EXTRA_SECONDS_PER_LEVEL * max(0, level - 1)
         if not self._failed.issuperset(sources):
             max_wait_seconds += STARTUP_WAIT_SECONDS
-        return now_seconds >= self.lost_since_seconds + max_wait_seconds
+        return now_seconds >= self.without_source_since_seconds + max_wait_seconds
 
-    def succeeded(self, name: str) -> bool:
+    def record_success(self, name: str) -> bool:
         """Record that a source was followed; return whether it is a new one."""
-        is_new = self.followed != name
-        self.followed = name
+        is_new = self.source != name
+        self.source = name
         self._cooldown_until_seconds.pop(name, None)
         self._failed.clear()
         return is_new
 
-    def failed(self, name: str, now_seconds: float) -> None:
+    def record_failure(self, name: str, now_seconds: float) -> None:
         """Record that a source did not answer."""
         self._failed.add(name)
         self._start_cooldown(name, now_seconds, FAILED_SOURCE_COOLDOWN_SECONDS)
 
-    def stale(self, name: str, now_seconds: float) -> None:
+    def record_stale(self, name: str, now_seconds: float) -> None:
         """Record that a source answered with data that is too old."""
         self._failed.add(name)
         self._start_cooldown(name, now_seconds, STALE_SOURCE_COOLDOWN_SECONDS)
 
-    def not_ready(self, name: str, now_seconds: float) -> None:
+    def record_not_ready(self, name: str, now_seconds: float) -> None:
         """Record that a source has no usable replicas yet."""
         self._start_cooldown(name, now_seconds, NOT_READY_RETRY_SECONDS)
 
-    def ask_all_again(self) -> None:
+    def clear_cooldowns(self) -> None:
         """End all cooldowns, so that every source may be asked again."""
         self._cooldown_until_seconds.clear()
 
     def stop_following(self, now_seconds: float) -> None:
         """Stop following the current source, if there is one."""
-        if self.followed:
-            self.followed = ""
-            self.lost_since_seconds = now_seconds
+        if self.source:
+            self.source = ""
+            self.without_source_since_seconds = now_seconds
 
     def _start_cooldown(self, name: str, now_seconds: float, cooldown_seconds: float) -> None:
         self._cooldown_until_seconds[name] = now_seconds + cooldown_seconds
-        if self.followed == name:
+        if self.source == name:
             self.stop_following(now_seconds)
--- a/rackswitch/standins/faulty_kv.py
+++ b/rackswitch/standins/faulty_kv.py
@@ -15,7 +15,7 @@
     LeaseGranted,
     TxnPart,
     TxnPartDone,
-    WatchNews,
+    WatchUpdate,
 )
 from rackswitch.standins.kv_store import KvStore
 
@@ -135,7 +135,9 @@
         self._store.end_lease(lease_id)
         return None
 
-    async def watch(self, key: str, from_revision: int) -> AsyncIterator[WatchNews | KvUnavailable]:
+    async def watch(
+        self, key: str, from_revision: int
+    ) -> AsyncIterator[WatchUpdate | KvUnavailable]:
         """Report the watch as unavailable; tests use reads instead."""
         self.calls += 1
         yield KvUnavailable("watches are not supported by this stand-in", False)
--- a/rackswitch/standins/platform_fleet.py
+++ b/rackswitch/standins/platform_fleet.py
@@ -208,8 +208,8 @@
 
     def _is_ready(self, gateway: Gateway) -> bool:
         members = gateway.context.daemon.membership.live()
-        lease_is_held = gateway.presence.is_sure()
-        return gateway.copies.is_complete and lease_is_held and len(members) == len(self._names)
+        lease_is_held = gateway.presence.is_valid()
+        return gateway.replicas.is_complete and lease_is_held and len(members) == len(self._names)
 
     async def start_gateway(self, name: str, log_descriptor: int | None = None) -> Gateway:
         """Start a gateway, replacing any earlier one of the same name."""
--- a/rackswitch/telemetry/core.py
+++ b/rackswitch/telemetry/core.py
@@ -102,9 +102,9 @@
         self._tokens = meter.create_counter(
             "rackswitch_tokens", description="Tokens passed on to callers or put into samples."
         )
-        self.events = EventMeters(meter, daemon, self.request_ended)
+        self.events = EventMeters(meter, daemon, self.record_request)
 
-    def request_ended(
+    def record_request(
         self, tenant: str, caller_class: int, outcome: str, elapsed_seconds: float
     ) -> None:
         """Record the latency and outcome of a request."""
@@ -112,7 +112,7 @@
         self._latency.record(elapsed_seconds, labels)
         self._requests.add(1, {**labels, "outcome": outcome})
 
-    def tokens_passed(self, tenant: str, tokens: int) -> None:
+    def count_tokens(self, tenant: str, tokens: int) -> None:
         """Count tokens sent to a tenant's callers or put into its samples."""
         self._tokens.add(tokens, {"tenant": tenant, "daemon": self._daemon})
 
--- a/rackswitch/telemetry/events/admission.py
+++ b/rackswitch/telemetry/events/admission.py
@@ -2,7 +2,7 @@
 
 from rackswitch.telemetry.events.base import Event, register_event
 
-__all__ = ["CallDecided", "RoomSeen"]
+__all__ = ["CallDecided", "AdmissionState"]
 
 
 @register_event
@@ -57,7 +57,7 @@
 
 
 @register_event
-class RoomSeen(Event, tag="room seen", frozen=True):
+class AdmissionState(Event, tag="room seen", frozen=True):
     """Load of one service by this daemon's calls, logged repeatedly while it is in demand.
 
     Attributes
--- a/rackswitch/telemetry/events/dependencies.py
+++ b/rackswitch/telemetry/events/dependencies.py
@@ -3,21 +3,21 @@
 from rackswitch.telemetry.events.base import Event, register_event
 
 __all__ = [
-    "CallNotPassedOn",
-    "CannotFollow",
+    "RelayRefused",
+    "ReplicationRefused",
     "DependencyLost",
     "DependencyRegained",
     "EntryContinued",
     "EntryUnreadable",
-    "Follows",
-    "LeavingTold",
-    "PredecessorEnded",
+    "ReplicationStarted",
+    "LeavingNotified",
+    "PredecessorLeaseRevoked",
     "SessionBegun",
     "SessionEnded",
     "SessionLost",
     "StoreCalls",
     "StorePathChanged",
-    "WatchesService",
+    "ServiceWatchChanged",
 ]
 
 
@@ -60,21 +60,21 @@
 
 
 @register_event
-class PredecessorEnded(Event, tag="predecessor's lease ended", frozen=True):
+class PredecessorLeaseRevoked(Event, tag="predecessor's lease ended", frozen=True):
     """The lease of this daemon's previous process was revoked."""
 
     lease: int
 
 
 @register_event
-class Follows(Event, tag="follows", frozen=True):
+class ReplicationStarted(Event, tag="follows", frozen=True):
     """The daemon replicates the key-value service's entries from another daemon."""
 
     daemon_followed: str
 
 
 @register_event
-class CannotFollow(Event, tag="cannot follow", frozen=True):
+class ReplicationRefused(Event, tag="cannot follow", frozen=True):
     """The daemon cannot replicate entries from another daemon."""
 
     daemon_asked: str
@@ -117,7 +117,7 @@
 
 
 @register_event
-class CallNotPassedOn(Event, tag="call not passed on", frozen=True):
+class RelayRefused(Event, tag="call not passed on", frozen=True):
     """This daemon refused to relay a call to the key-value service for another daemon."""
 
     daemon_asking: str
@@ -125,7 +125,7 @@
 
 
 @register_event
-class WatchesService(Event, tag="watches the service", frozen=True):
+class ServiceWatchChanged(Event, tag="watches the service", frozen=True):
     """The daemon started or stopped its own watch of the key-value service."""
 
     watches: bool
@@ -139,7 +139,7 @@
 
 
 @register_event
-class LeavingTold(Event, tag="leaving told", frozen=True):
+class LeavingNotified(Event, tag="leaving told", frozen=True):
     """A stopping daemon notified the other daemons, or failed to."""
 
     outcome: str
--- a/rackswitch/telemetry/events/estimates.py
+++ b/rackswitch/telemetry/events/estimates.py
@@ -2,10 +2,10 @@
 
 import msgspec
 
-__all__ = ["PlaceSeen"]
+__all__ = ["EstimateLogged"]
 
 
-class PlaceSeen(msgspec.Struct, frozen=True, kw_only=True):
+class EstimateLogged(msgspec.Struct, frozen=True, kw_only=True):
     """The estimated load of a chosen target whose service reports a pace.
 
     Attributes
--- a/rackswitch/telemetry/events/jobs.py
+++ b/rackswitch/telemetry/events/jobs.py
@@ -1,7 +1,7 @@
 """Events of batch jobs: their owners, items and results."""
 
 from rackswitch.telemetry.events.base import Event, register_event
-from rackswitch.telemetry.events.estimates import PlaceSeen
+from rackswitch.telemetry.events.estimates import EstimateLogged
 
 __all__ = [
     "EngineLeaves",
@@ -10,7 +10,7 @@
     "JobCallRefused",
     "JobDropped",
     "JobEnded",
-    "JobForgotten",
+    "JobExpired",
     "JobHandedOver",
     "JobNotOwned",
     "JobOwned",
@@ -130,7 +130,7 @@
 
 
 @register_event
-class JobForgotten(Event, tag="job forgotten", frozen=True):
+class JobExpired(Event, tag="job forgotten", frozen=True):
     """An expired job was deleted, or the deletion failed."""
 
     job: str
@@ -169,7 +169,7 @@
     fingerprint: str = ""
     """Identifies repeated sends of the same request, if the run was interrupted."""
 
-    place: PlaceSeen | None = None
+    place: EstimateLogged | None = None
     """Estimate of the engine's load when the run began, if its service reports a pace."""
 
     @property
@@ -217,7 +217,7 @@
     attempts: int
     failures: int
     outcome: str
-    place: PlaceSeen | None = None
+    place: EstimateLogged | None = None
 
     @property
     def is_routine(self) -> bool:
--- a/rackswitch/telemetry/events/operators.py
+++ b/rackswitch/telemetry/events/operators.py
@@ -2,11 +2,11 @@
 
 from rackswitch.telemetry.events.base import Event, register_event
 
-__all__ = ["EnginesOrdered", "UsageFixed", "UsageHandedOver", "UsageSent"]
+__all__ = ["EnginesOrdered", "UsageFinalized", "UsageHandedOver", "UsageSent"]
 
 
 @register_event
-class UsageFixed(Event, tag="usage fixed", frozen=True):
+class UsageFinalized(Event, tag="usage fixed", frozen=True):
     """The usage of a window was gathered and is final.
 
     Attributes
--- a/rackswitch/telemetry/events/process.py
+++ b/rackswitch/telemetry/events/process.py
@@ -3,9 +3,9 @@
 from rackswitch.telemetry.events.base import Event, register_event
 
 __all__ = [
-    "HandOverGivenUp",
+    "HandOverTimedOut",
     "LinesFolded",
-    "MachineSuspended",
+    "VmSuspended",
     "Reloaded",
     "ReloadRefused",
     "Started",
@@ -23,7 +23,7 @@
 
 
 @register_event
-class MachineSuspended(Event, tag="machine suspended", frozen=True):
+class VmSuspended(Event, tag="machine suspended", frozen=True):
     """The VM was suspended; deadlines that passed meanwhile have expired."""
 
     for_seconds: float
@@ -37,7 +37,7 @@
 
 
 @register_event
-class HandOverGivenUp(Event, tag="hand-over given up", frozen=True):
+class HandOverTimedOut(Event, tag="hand-over given up", frozen=True):
     """A planned stop could not hand these jobs over in time; other daemons take them over later."""
 
     jobs: list[str]
--- a/rackswitch/telemetry/events/quarantine.py
+++ b/rackswitch/telemetry/events/quarantine.py
@@ -2,7 +2,7 @@
 
 from rackswitch.telemetry.events.base import Event, register_event
 
-__all__ = ["EndsTold", "RequestAcquitted", "RequestHeldBack", "TargetEnded", "TrialClaimed"]
+__all__ = ["EndsReported", "RequestCleared", "RequestHeldBack", "TargetEnded", "TrialClaimed"]
 
 
 @register_event
@@ -26,7 +26,7 @@
 
 
 @register_event
-class EndsTold(Event, tag="ends told", frozen=True):
+class EndsReported(Event, tag="ends told", frozen=True):
     """This daemon sent its record of ended targets to the others.
 
     Attributes
@@ -78,7 +78,7 @@
 
 
 @register_event
-class RequestAcquitted(Event, tag="request acquitted", frozen=True):
+class RequestCleared(Event, tag="request acquitted", frozen=True):
     """A request was cleared of suspicion: a target answered it after others had ended during it."""
 
     fingerprint: str
--- a/rackswitch/telemetry/events/requests.py
+++ b/rackswitch/telemetry/events/requests.py
@@ -1,7 +1,7 @@
 """Events of callers' requests and their attempts."""
 
 from rackswitch.telemetry.events.base import Event, register_event
-from rackswitch.telemetry.events.estimates import PlaceSeen
+from rackswitch.telemetry.events.estimates import EstimateLogged
 
 __all__ = [
     "AttemptFailed",
@@ -56,7 +56,7 @@
         The target whose answer was forwarded to the caller; empty if there is none.
     targets_known : int
         Usable targets of the service when the request ended.
-    place : PlaceSeen or None
+    place : EstimateLogged or None
         Estimate of the target's load when it was chosen, if its service reports a pace.
     """
 
@@ -71,7 +71,7 @@
     elapsed_seconds: float
     outcome: str
     tenant: str = ""
-    place: PlaceSeen | None = None
+    place: EstimateLogged | None = None
 
     @property
     def is_routine(self) -> bool:
--- a/rackswitch/telemetry/journal.py
+++ b/rackswitch/telemetry/journal.py
@@ -52,7 +52,7 @@
 class DecisionLog:
     """Writes one line for each decision.
 
-    Lines are put into a bounded queue and written without blocking by `pump`, which has to be
+    Lines are put into a bounded queue and written without blocking by `flush`, which has to be
     called regularly. Lines are dropped while the queue is full, and the next line says how many
     were. Routine lines beyond a rate are folded into counts; failures and state changes are not.
 
@@ -123,7 +123,7 @@
             return
         self._enqueue(event)
 
-    def pump(self) -> bool:
+    def flush(self) -> bool:
         """Write lines until the descriptor would block; return whether any are left."""
         if self._descriptor is None:
             return False
@@ -148,7 +148,7 @@
     async def run(self) -> None:
         """Write queued lines periodically until cancelled."""
         while True:
-            self.pump()
+            self.flush()
             await asyncio.sleep(FLUSH_INTERVAL_SECONDS)
 
     def _enqueue(self, event: Event) -> None:
--- a/rackswitch/telemetry/meters.py
+++ b/rackswitch/telemetry/meters.py
@@ -7,10 +7,12 @@
 
 from rackswitch.registry import Registry
 from rackswitch.telemetry.events import (
+    AdmissionState,
     AttemptFailed,
     CallDecided,
     DependencyLost,
     DependencyRegained,
+    EstimateLogged,
     Event,
     ItemGivenUp,
     ItemRunEnded,
@@ -19,13 +21,11 @@
     JobOwned,
     JobSubmitted,
     LoadOrdered,
-    PlaceSeen,
     RequestEnded,
     RequestHeldBack,
     RequestRefused,
     ResultsAppended,
     RewardCallEnded,
-    RoomSeen,
     SessionBegun,
     SessionLost,
     TableInForce,
@@ -198,7 +198,7 @@
         bounded = {name: self._bounded_value(name, str(value)) for name, value in values.items()}
         return {"daemon": self._daemon, **bounded}
 
-    def record_estimate(self, target: str, estimate: PlaceSeen | None) -> None:
+    def record_estimate(self, target: str, estimate: EstimateLogged | None) -> None:
         """Record the estimate of a target's load at the time when it was chosen."""
         if estimate is None:
             return
@@ -333,8 +333,8 @@
         meters.calls_refused.add(1, meters.labels(service=event.service, reason=reason))
 
 
-@_recorder_of(RoomSeen)
-def _room_seen(meters: EventMeters, event: RoomSeen) -> None:
+@_recorder_of(AdmissionState)
+def _room_seen(meters: EventMeters, event: AdmissionState) -> None:
     labels = meters.labels(service=event.service)
     meters.calls_waiting.set(event.waiting, labels)
     meters.oldest_wait.set(event.oldest_wait_seconds, labels)
--- a/rackswitch/telemetry/tests/test_journal.py
+++ b/rackswitch/telemetry/tests/test_journal.py
@@ -64,7 +64,7 @@
 def flush_and_read(log: DecisionLog, reader: int) -> list[dict]:
     """Flush the log until its queue is empty; return the lines."""
     content = b""
-    while log.pump():
+    while log.flush():
         content += read_bytes(reader)
     return parse_lines(content + read_bytes(reader))
 
@@ -98,7 +98,7 @@
     for number in range(3 * MAX_QUEUED_LINES):
         log.write(TargetGone(target=f"i{number}", still_used=False))
         if number % 1000 == 0:
-            log.pump()
+            log.flush()
     assert log.dropped_total > 0
     # Dropped events are passed to `on_event` too.
     assert len(counted) == 3 * MAX_QUEUED_LINES
@@ -146,9 +146,9 @@
     os.close(reader)
     log = DecisionLog("d", writer)
     log.write(DEPENDENCY_LOST)
-    assert not log.pump()
+    assert not log.flush()
     log.write(DEPENDENCY_LOST)
-    assert not log.pump()
+    assert not log.flush()
     assert log.dropped_total == 2
 
 
@@ -156,7 +156,7 @@
     counted: list[Event] = []
     log = DecisionLog("d", None, counted.append)
     log.write(Stopped(whole=True))
-    assert not log.pump()
+    assert not log.flush()
     assert counted == [Stopped(whole=True)]
 
 
--- a/rackswitch/telemetry/tests/test_meters.py
+++ b/rackswitch/telemetry/tests/test_meters.py
@@ -1,13 +1,13 @@
 from rackswitch.telemetry import Telemetry
 from rackswitch.telemetry.events import (
+    AdmissionState,
     CallDecided,
     DependencyLost,
     DependencyRegained,
-    PlaceSeen,
+    EstimateLogged,
     RequestRefused,
     ResultsAppended,
     RewardCallEnded,
-    RoomSeen,
     TableInForce,
 )
 from rackswitch.telemetry.meters import MAX_LABEL_VALUES, OTHER_LABEL_VALUE, short_outcome
@@ -57,7 +57,7 @@
 
 
 def test_estimate_of_a_chosen_target_is_exposed():
-    def make_reward_call_ended(target: str, place: PlaceSeen | None) -> RewardCallEnded:
+    def make_reward_call_ended(target: str, place: EstimateLogged | None) -> RewardCallEnded:
         return RewardCallEnded(
             job="j",
             item="i",
@@ -69,7 +69,7 @@
             place=place,
         )
 
-    place = PlaceSeen(
+    place = EstimateLogged(
         slots=6, running=6.0, waiting=2.0, pace=1.5, wait_seconds=0.25, word_age_seconds=0.5
     )
     text = metrics_after(
@@ -131,7 +131,7 @@
 
 
 def test_wait_queue_gauges_include_tenant_shares():
-    service_load = RoomSeen(
+    service_load = AdmissionState(
         service="desk",
         waiting=3,
         in_flight=2,
--- a/rackswitch/tenants/callers.py
+++ b/rackswitch/tenants/callers.py
@@ -19,14 +19,14 @@
         The tenant that held the request's key; empty if no key is required.
     caller_class : int or None
         Rank of the tenant's requests, 0 first; None to use the route's rank.
-    keys_in_force : bool
+    keys_required : bool
         Whether the table has tenants. If so, headers with a key or a tenant's name are not
         forwarded as the caller sent them.
     """
 
     tenant: str = ""
     caller_class: int | None = None
-    keys_in_force: bool = False
+    keys_required: bool = False
 
     def rank(self, route_class: int) -> int:
         """Return the rank of a request on a route: the tenant's rank, or else the route's."""
--- a/rackswitch/tenants/index.py
+++ b/rackswitch/tenants/index.py
@@ -57,15 +57,15 @@
         row = self.by_digest.get(digest)
         if row is None:
             return self._unknown_key_fault(digest)
-        return Caller(row.name, row.caller_class, keys_in_force=True)
+        return Caller(row.name, row.caller_class, keys_required=True)
 
-    def anybody(self) -> Caller:
+    def caller_without_key(self) -> Caller:
         """Return the caller of a route that requires no key."""
-        return Caller(keys_in_force=self.has_tenants)
+        return Caller(keys_required=self.has_tenants)
 
-    def of_tenant(self, tenant: str) -> Caller:
+    def caller_of_tenant(self, tenant: str) -> Caller:
         """Return the caller for work that a tenant submitted earlier, whatever its keys are now."""
-        return Caller(tenant, keys_in_force=self.has_tenants or bool(tenant))
+        return Caller(tenant, keys_required=self.has_tenants or bool(tenant))
 
     def _unknown_key_fault(self, digest: str) -> KeyFault:
         digest_prefix = digest[:LOGGED_DIGEST_CHARACTERS]
--- a/rackswitch/tenants/keys.py
+++ b/rackswitch/tenants/keys.py
@@ -31,7 +31,7 @@
     is_malformed: bool = False
 
     @property
-    def told(self) -> str:
+    def public_detail(self) -> str:
         """The reason for the caller, without details of keys and tenants."""
         return self.detail if self.is_malformed else "the key is not valid"
 
--- a/rackswitch/tenants/tests/test_tenants.py
+++ b/rackswitch/tenants/tests/test_tenants.py
@@ -59,7 +59,7 @@
 
 def test_each_key_identifies_its_tenant_also_after_it_moved_to_another():
     first = index_tenants(table(1, tenant("a", "k1", "k2"), tenant("b", "k3")), TenantIndex())
-    assert first.identify(["Bearer k2"]) == Caller("a", None, keys_in_force=True)
+    assert first.identify(["Bearer k2"]) == Caller("a", None, keys_required=True)
     second = index_tenants(table(2, tenant("a", "k1"), tenant("b", "k3", "k2")), first)
     assert second.identify(["Bearer k2"]).tenant == "b"
 
--- a/rackswitch/web/exchange.py
+++ b/rackswitch/web/exchange.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["BodyTooLarge", "BodyTooSlow", "CallerGone", "Exchange"]
+__all__ = ["BodyTooLarge", "BodyTooSlow", "CallerDisconnected", "Exchange"]
 
 Message = dict[str, Any]
 
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerDisconnected:
     """The caller disconnected before its body was complete."""
 
 
@@ -101,7 +101,7 @@
 
     async def read_body(
         self, max_bytes: int, deadline_seconds: float
-    ) -> bytes | BodyTooLarge | BodyTooSlow | CallerGone:
+    ) -> bytes | BodyTooLarge | BodyTooSlow | CallerDisconnected:
         """Read the body, up to a maximum size and until a deadline (event loop time)."""
         chunks: list[bytes] = []
         size = 0
@@ -110,7 +110,7 @@
                 while True:
                     message = await self._receive()
                     if message["type"] == "http.disconnect":
-                        return CallerGone()
+                        return CallerDisconnected()
                     chunk = message.get("body", b"")
                     size += len(chunk)
                     if size > max_bytes:
@@ -123,7 +123,7 @@
             self.close_connection = True
             return BodyTooSlow()
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnect(self) -> None:
         """Wait until the caller disconnects; the body must have been read before."""
         while True:
             message = await self._receive()
--- a/rackswitch/weights/engine_loads.py
+++ b/rackswitch/weights/engine_loads.py
@@ -38,13 +38,13 @@
     typical_load_seconds: float = INITIAL_LOAD_SECONDS
     _loads: dict[tuple[str, str], _Load] = field(default_factory=dict)
 
-    def told(self, engine: str, model: str, version: int, now_seconds: float) -> None:
+    def record_order(self, engine: str, model: str, version: int, now_seconds: float) -> None:
         """Record an order to load a version; a repeated report is ignored."""
         known = self._loads.get((engine, model))
         if known is None or known.version != version:
             self._loads[engine, model] = _Load(version, now_seconds)
 
-    def listed(self, engine: str, versions: dict[str, int], now_seconds: float) -> None:
+    def record_versions(self, engine: str, versions: dict[str, int], now_seconds: float) -> None:
         """Record the versions that an engine reports."""
         for model, version in versions.items():
             load = self._loads.get((engine, model))
@@ -52,7 +52,7 @@
                 del self._loads[engine, model]
                 self._record_duration(now_seconds - load.started_at_seconds)
 
-    def gone(self, engine: str) -> None:
+    def remove_engine(self, engine: str) -> None:
         """Remove an engine."""
         for key in [key for key in self._loads if key[0] == engine]:
             del self._loads[key]
--- a/rackswitch/weights/rollout.py
+++ b/rackswitch/weights/rollout.py
@@ -51,11 +51,11 @@
     orders: dict[str, LoadOrder] = field(default_factory=dict)
     next_try_seconds: dict[str, float] = field(default_factory=dict)
 
-    def ordered(self, order: LoadOrder) -> None:
+    def record_order(self, order: LoadOrder) -> None:
         """Record that an order is being sent."""
         self.orders[order.engine] = order
 
-    def ended(self, engine: str, loaded: bool, now_seconds: float) -> None:
+    def record_end(self, engine: str, loaded: bool, now_seconds: float) -> None:
         """Record the end of an order; a failed one delays the retry."""
         self.orders.pop(engine, None)
         if not loaded:
--- a/rackswitch/weights/service_plan.py
+++ b/rackswitch/weights/service_plan.py
@@ -11,11 +11,11 @@
 from rackswitch.weights.rollout import ORDER_TIMEOUT_SECONDS, LoadOrder, RolloutState
 
 __all__ = [
-    "CarrierView",
+    "EngineVersions",
     "ModelNeed",
     "ServiceLoad",
-    "carriers_wanted",
-    "loads_at_once",
+    "engines_per_version",
+    "max_concurrent_loads",
     "plan_service_loads",
 ]
 
@@ -43,12 +43,12 @@
 (`benchmarks/bench_service_plan.py`)."""
 
 
-def loads_at_once(engines: int) -> int:
+def max_concurrent_loads(engines: int) -> int:
     """Return how many of a service's engines may load at once."""
     return max(MIN_CONCURRENT_LOADS, int(engines * MAX_LOADING_SHARE))
 
 
-def carriers_wanted(engines: int, models: int) -> int:
+def engines_per_version(engines: int, models: int) -> int:
     """Return how many engines should have each version of each model.
 
     The models share the engines evenly: with three models on six engines two engines load
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CarrierView:
+class EngineVersions:
     """An engine and the versions it has, by model.
 
     Attributes
@@ -106,7 +106,7 @@
 class _Fleet:
     """The engines with the versions that they have after their loads have ended."""
 
-    engines: list[CarrierView]
+    engines: list[EngineVersions]
     versions: dict[str, dict[str, int]]
     busy: set[str]
     slowdown: dict[str, float]
@@ -139,7 +139,7 @@
 
 def plan_service_loads(
     needs: Iterable[ModelNeed],
-    engines: Iterable[CarrierView],
+    engines: Iterable[EngineVersions],
     state: RolloutState,
     loading: dict[str, tuple[str, int]],
     now_seconds: float,
@@ -154,7 +154,7 @@
     ----------
     needs : iterable of ModelNeed
         The models with a named version.
-    engines : iterable of CarrierView
+    engines : iterable of EngineVersions
         The service's engines that accept work.
     state : RolloutState
         Retry times of engines whose order failed.
@@ -170,10 +170,10 @@
     """
     need_list = list(needs)
     fleet = _build_fleet(engines, loading, need_list)
-    engines_per_version = carriers_wanted(len(fleet.engines), len(need_list))
-    shortages = {need.model: _find_shortage(need, fleet, engines_per_version) for need in need_list}
+    needed_engines = engines_per_version(len(fleet.engines), len(need_list))
+    shortages = {need.model: _find_shortage(need, fleet, needed_engines) for need in need_list}
     loads: list[ServiceLoad] = []
-    free_slots = loads_at_once(len(fleet.engines)) - len(fleet.busy)
+    free_slots = max_concurrent_loads(len(fleet.engines)) - len(fleet.busy)
     for _ in range(min(free_slots, MAX_LOADS_PER_PLAN)):
         load = _next_load(need_list, shortages, fleet, state, now_seconds)
         if load is None:
@@ -181,13 +181,13 @@
         fleet.add_load(load)
         # A load changes the shortage of its own model only.
         need = next(need for need in need_list if need.model == load.model)
-        shortages[need.model] = _find_shortage(need, fleet, engines_per_version)
+        shortages[need.model] = _find_shortage(need, fleet, needed_engines)
         loads.append(load)
     return loads
 
 
 def _build_fleet(
-    engines: Iterable[CarrierView],
+    engines: Iterable[EngineVersions],
     loading: dict[str, tuple[str, int]],
     needs: list[ModelNeed],
 ) -> _Fleet:
@@ -239,16 +239,16 @@
 
 
 def _find_shortage(
-    need: ModelNeed, fleet: _Fleet, engines_per_version: int
+    need: ModelNeed, fleet: _Fleet, needed_engines: int
 ) -> tuple[int, _Shortage] | None:
     """Return a model's most urgent shortage and how many engines have the needed version."""
     usable_count = len(fleet.engines_with(need.model, need.oldest_usable_version))
-    if usable_count < engines_per_version:
+    if usable_count < needed_engines:
         return usable_count, _Shortage.OPEN_JOBS
     newest_count = len(fleet.engines_with(need.model, need.newest))
-    if newest_count < engines_per_version:
+    if newest_count < needed_engines:
         return newest_count, _Shortage.NEXT_JOB
-    if usable_count < min(2 * engines_per_version, len(fleet.engines)):
+    if usable_count < min(2 * needed_engines, len(fleet.engines)):
         return usable_count, _Shortage.SPARE
     return None
 
--- a/rackswitch/weights/tests/test_engine_loads.py
+++ b/rackswitch/weights/tests/test_engine_loads.py
@@ -4,31 +4,31 @@
 
 def test_an_engine_is_loading_a_model_until_it_lists_the_version():
     loads = EngineLoads()
-    loads.told("e", "m", 2, 10.0)
+    loads.record_order("e", "m", 2, 10.0)
     assert loads.is_loading("e", "m", 10.5)
     assert not loads.is_loading("e", "n", 10.5)
     assert not loads.is_loading("f", "m", 10.5)
-    loads.listed("e", {"m": 1, "n": 2}, 10.6)
+    loads.record_versions("e", {"m": 1, "n": 2}, 10.6)
     assert loads.is_loading("e", "m", 10.6)
-    loads.listed("e", {"m": 2}, 10.8)
+    loads.record_versions("e", {"m": 2}, 10.8)
     assert not loads.is_loading("e", "m", 10.8)
 
 
 def test_a_load_that_is_not_listed_as_done_ends_after_its_typical_time():
     loads = EngineLoads()
-    loads.told("e", "m", 2, 10.0)
+    loads.record_order("e", "m", 2, 10.0)
     # A repeated report of the same order does not restart the load.
-    loads.told("e", "m", 2, 10.9)
+    loads.record_order("e", "m", 2, 10.9)
     assert not loads.is_loading("e", "m", 10.0 + INITIAL_LOAD_SECONDS)
-    loads.told("e", "m", 3, 12.0)
+    loads.record_order("e", "m", 3, 12.0)
     assert loads.is_loading("e", "m", 12.1)
 
 
 def typical_seconds_after(*durations_seconds: float) -> float:
     loads = EngineLoads()
     for number, seconds in enumerate(durations_seconds):
-        loads.told("e", "m", number, 10.0 * number)
-        loads.listed("e", {"m": number}, 10.0 * number + seconds)
+        loads.record_order("e", "m", number, 10.0 * number)
+        loads.record_versions("e", {"m": number}, 10.0 * number + seconds)
     return loads.typical_load_seconds
 
 
@@ -40,6 +40,6 @@
 
 def test_an_engine_that_is_gone_is_not_loading():
     loads = EngineLoads()
-    loads.told("e", "m", 2, 10.0)
-    loads.gone("e")
+    loads.record_order("e", "m", 2, 10.0)
+    loads.remove_engine("e")
     assert not loads.is_loading("e", "m", 10.1)
--- a/rackswitch/weights/tests/test_rollout.py
+++ b/rackswitch/weights/tests/test_rollout.py
@@ -39,7 +39,7 @@
             del self.loading[name]
             failed = self.rng.random() < 0.15
             self.version[name] = None if failed else version
-            state.ended(name, not failed, now_seconds)
+            state.record_end(name, not failed, now_seconds)
 
 
 def roll_out(seed, rules, versions, late_version=0):
@@ -54,9 +54,9 @@
             engines.advance(now_seconds, state)
             orders = plan_load_orders(desired, 0.34, engines.views(), rules, state, now_seconds)
             for order in orders:
-                state.ordered(order)
+                state.record_order(order)
                 if not engines.receive_order(order, now_seconds):
-                    state.ended(order.engine, False, now_seconds)
+                    state.record_end(order.engine, False, now_seconds)
             if late_version and rng.random() < 0.05:
                 # A former holder sends an outdated order; engines don't check fencing numbers.
                 engine_name = rng.choice(list(engines.version))
--- a/rackswitch/weights/tests/test_service_plan.py
+++ b/rackswitch/weights/tests/test_service_plan.py
@@ -5,22 +5,22 @@
 from hypothesis import given
 
 from rackswitch.weights import (
-    CarrierView,
+    EngineVersions,
     LoadOrder,
     ModelNeed,
     RolloutState,
     ServiceLoad,
-    carriers_wanted,
-    loads_at_once,
+    engines_per_version,
+    max_concurrent_loads,
     plan_service_loads,
 )
 
 
-def engines(**versions: list[int]) -> list[CarrierView]:
+def engines(**versions: list[int]) -> list[EngineVersions]:
     """Return engines with the given versions; each model lists one version per engine."""
     count = len(next(iter(versions.values())))
     return [
-        CarrierView(f"e{n}", {model: numbers[n] for model, numbers in versions.items()})
+        EngineVersions(f"e{n}", {model: numbers[n] for model, numbers in versions.items()})
         for n in range(count)
     ]
 
@@ -90,9 +90,10 @@
     assert sorted(ordered_engines) == [f"e{n}" for n in range(6)]
 
 
-def engines_with_speeds(**seconds_per_piece: float) -> list[CarrierView]:
+def engines_with_speeds(**seconds_per_piece: float) -> list[EngineVersions]:
     return [
-        CarrierView(name, {"m": 1, "n": 1}, seconds) for name, seconds in seconds_per_piece.items()
+        EngineVersions(name, {"m": 1, "n": 1}, seconds)
+        for name, seconds in seconds_per_piece.items()
     ]
 
 
@@ -115,7 +116,7 @@
 
 def test_an_engine_whose_order_failed_gets_none_until_its_retry_time():
     state = RolloutState()
-    state.ended("e0", False, 9.9)
+    state.record_end("e0", False, 9.9)
     assert plan([need("m", 2, 1)], engines(m=[1, 1]), state=state) == [("m", "e1", 2)]
 
 
@@ -127,7 +128,7 @@
 
 @pytest.mark.parametrize(("count", "loads"), [(1, 2), (5, 2), (6, 2), (8, 3), (22, 8), (600, 240)])
 def test_loads_at_once_grow_with_the_engines(count, loads):
-    assert loads_at_once(count) == loads
+    assert max_concurrent_loads(count) == loads
 
 
 @pytest.mark.parametrize(
@@ -135,7 +136,7 @@
     [(6, 1, 3), (6, 3, 2), (5, 2, 3), (22, 4, 6), (1, 3, 1)],
 )
 def test_models_share_the_engines_evenly(count, models, expected_engines):
-    assert carriers_wanted(count, models) == expected_engines
+    assert engines_per_version(count, models) == expected_engines
 
 
 LOAD_SECONDS = 1.0
@@ -151,7 +152,7 @@
             for e in engine_views
             if e.name not in busy and e.versions[model_need.model] < model_need.newest
         ]
-        free_slots = loads_at_once(len(engine_views)) - len(busy)
+        free_slots = max_concurrent_loads(len(engine_views)) - len(busy)
         missing = len(engine_views) // 2 - sum(
             e.versions[model_need.model] >= model_need.newest for e in engine_views
         )
@@ -203,7 +204,7 @@
         assert load.order.engine not in self.loading
         done_at_seconds = self.now_seconds + LOAD_SECONDS
         self.loading[load.order.engine] = (load.model, load.order.version, done_at_seconds)
-        assert len(self.loading) <= loads_at_once(self.count)
+        assert len(self.loading) <= max_concurrent_loads(self.count)
 
     def _finish_loads(self) -> None:
         for name, (model, version, done_at_seconds) in list(self.loading.items()):
@@ -243,6 +244,6 @@
         simulation.name_version("mnop"[number % models])
         simulation.advance(seconds)
     simulation.advance(LOAD_SECONDS * 1.2 * count * models + 1.0)
-    expected_engines = carriers_wanted(count, models)
+    expected_engines = engines_per_version(count, models)
     for model, (newest, _) in simulation.named_versions.items():
         assert sum(e.versions[model] >= newest for e in simulation.engine_views) >= expected_engines
