--- a/benchmarks/bench_spread.py
+++ b/benchmarks/bench_spread.py
@@ -12,7 +12,7 @@
 import time
 from pathlib import Path
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.store.tests.spread_run import WATCH_SECONDS, SpreadRun
 
 RESULTS = Path(__file__).parent / "results" / "spread.json"
@@ -53,7 +53,7 @@
     results = {}
     for daemons in SIZES:
         began_seconds = time.perf_counter()
-        results[daemons] = run_virtual(measure(daemons))
+        results[daemons] = run_on_virtual_clock(measure(daemons))
         print(daemons, results[daemons], f"{time.perf_counter() - began_seconds:.1f} s")
     RESULTS.write_text(json.dumps(results, indent=1) + "\n")
 
--- a/rackswitch/clients/engine.py
+++ b/rackswitch/clients/engine.py
@@ -28,7 +28,7 @@
     "OpenAiEngineClient",
     "OrderRefused",
     "OrderTaken",
-    "StreamBroken",
+    "StreamFailed",
     "Unreachable",
 ]
 
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StreamBroken:
+class StreamFailed:
     """The stream failed; always the last item.
 
     Attributes
@@ -113,7 +113,7 @@
 class EngineClient(Protocol):
     """Interface to a model engine."""
 
-    def stream(self, url: str, request: EngineRequest) -> AsyncIterator[StreamChunk | StreamBroken]:
+    def stream(self, url: str, request: EngineRequest) -> AsyncIterator[StreamChunk | StreamFailed]:
         """Run a completion; closing the iterator cancels the engine's work."""
         ...
 
@@ -183,7 +183,7 @@
 
     async def stream(
         self, url: str, request: EngineRequest
-    ) -> AsyncIterator[StreamChunk | StreamBroken]:
+    ) -> AsyncIterator[StreamChunk | StreamFailed]:
         """Run a completion; closing the iterator cancels the engine's work."""
         loop = asyncio.get_running_loop()
         answered = False
@@ -214,10 +214,10 @@
                     yield _decode_chunk(data, queued_tokens)
                     queued_tokens = None
         except NOT_SENT_ERRORS as error:
-            yield StreamBroken(False, f"cannot connect: {type(error).__name__}")
+            yield StreamFailed(False, f"cannot connect: {type(error).__name__}")
         except (aiohttp.ClientError, TimeoutError, msgspec.DecodeError) as error:
             stage = "stream broke" if answered else "no answer"
-            yield StreamBroken(True, f"{stage}: {type(error).__name__}")
+            yield StreamFailed(True, f"{stage}: {type(error).__name__}")
 
     async def info(self, url: str) -> EngineInfo | Unreachable:
         """Read the engine's state and load."""
@@ -272,10 +272,10 @@
     return body
 
 
-def _refused_stream(status: int, body: bytes) -> StreamBroken:
+def _refused_stream(status: int, body: bytes) -> StreamFailed:
     text = body.decode(errors="replace")[:200]
     may_have_run = status not in REFUSED_STATUSES and status != 400
-    return StreamBroken(may_have_run, f"engine status {status}: {text}")
+    return StreamFailed(may_have_run, f"engine status {status}: {text}")
 
 
 def _reported_queued_tokens(answer: aiohttp.ClientResponse) -> float | None:
--- a/rackswitch/clients/kv.py
+++ b/rackswitch/clients/kv.py
@@ -33,7 +33,7 @@
     "LeaseGranted",
     "Operation",
     "TxnPart",
-    "TxnPartDone",
+    "TxnPartResult",
     "WatchUpdate",
     "latest_update",
     "prefix_end",
@@ -111,19 +111,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TxnPartDone:
+class TxnPartResult:
     """Whether a part's conditions held and, if not, the first of its `read_keys` that exists.
 
     Attributes
     ----------
-    lease_gone : bool
+    lease_expired : bool
         True if nothing was done because a put named an expired lease.
     """
 
     succeeded: bool
     present: KvEntry | None
     revision: int
-    lease_gone: bool = False
+    lease_expired: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,7 +131,7 @@
     """A lease of the service with its TTL."""
 
     lease_id: int
-    life_seconds: float
+    ttl_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -207,15 +207,15 @@
         """Read the keys under a prefix that come after a key (empty: all of them)."""
         ...
 
-    async def txn(self, parts: list[TxnPart]) -> list[TxnPartDone] | KvUnavailable:
+    async def txn(self, parts: list[TxnPart]) -> list[TxnPartResult] | KvUnavailable:
         """Execute the parts in one call; each part has its own conditions."""
         ...
 
-    async def grant_lease(self, life_seconds: float) -> LeaseGranted | KvUnavailable:
+    async def grant_lease(self, ttl_seconds: float) -> LeaseGranted | KvUnavailable:
         """Create a lease."""
         ...
 
-    async def keep_lease(self, lease_id: int) -> bool | KvUnavailable:
+    async def renew_lease(self, lease_id: int) -> bool | KvUnavailable:
         """Renew a lease; return False if it has expired."""
         ...
 
@@ -274,13 +274,13 @@
     succeeded: bool = False
     responses: list[_WireOperationResponse] = []
 
-    def part_result(self, revision: int) -> TxnPartDone:
+    def part_result(self, revision: int) -> TxnPartResult:
         present = None
         for response in self.responses:
             found = response.response_range
             if present is None and found is not None and found.kvs:
                 present = found.kvs[0].entry()
-        return TxnPartDone(self.succeeded, present, revision)
+        return TxnPartResult(self.succeeded, present, revision)
 
 
 class _WireGrant(msgspec.Struct, frozen=True):
@@ -364,7 +364,7 @@
             return KvUnavailable(answer.detail, effect_unknown=False)
         return KvRead(tuple(wire.entry() for wire in answer.kvs), answer.header.revision)
 
-    async def txn(self, parts: list[TxnPart]) -> list[TxnPartDone] | KvUnavailable:
+    async def txn(self, parts: list[TxnPart]) -> list[TxnPartResult] | KvUnavailable:
         """Execute the parts in one call; each part has its own conditions."""
         bodies = [_txn_body(part) for part in parts]
         if len(bodies) == 1:
@@ -382,14 +382,14 @@
         ]
         return [txn.part_result(revision) for txn in nested_txns]
 
-    async def grant_lease(self, life_seconds: float) -> LeaseGranted | KvUnavailable:
+    async def grant_lease(self, ttl_seconds: float) -> LeaseGranted | KvUnavailable:
         """Create a lease."""
-        answer = await self._call("/v3/lease/grant", {"TTL": life_seconds, "ID": 0}, _WireGrant)
+        answer = await self._call("/v3/lease/grant", {"TTL": ttl_seconds, "ID": 0}, _WireGrant)
         if isinstance(answer, KvUnavailable):
             return answer
         return LeaseGranted(answer.ID, answer.TTL)
 
-    async def keep_lease(self, lease_id: int) -> bool | KvUnavailable:
+    async def renew_lease(self, lease_id: int) -> bool | KvUnavailable:
         """Renew a lease; return False if it has expired."""
         answer = await self._call("/v3/lease/keepalive", {"ID": lease_id}, _WireKeepAliveResponse)
         if isinstance(answer, KvUnavailable):
--- a/rackswitch/clocks/tests/support.py
+++ b/rackswitch/clocks/tests/support.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from unittest.mock import patch
 
-__all__ = ["SimulatedVm", "suspendable_machine"]
+__all__ = ["SimulatedVm", "suspendable_vm"]
 
 
 class SimulatedVm:
@@ -21,7 +21,7 @@
 
 
 @contextlib.contextmanager
-def suspendable_machine() -> Iterator[SimulatedVm]:
+def suspendable_vm() -> Iterator[SimulatedVm]:
     vm = SimulatedVm()
     with patch("time.clock_gettime", vm.clock_gettime):
         yield vm
--- a/rackswitch/clocks/tests/test_boot_clock.py
+++ b/rackswitch/clocks/tests/test_boot_clock.py
@@ -6,14 +6,14 @@
 import pytest
 
 from rackswitch.clocks import run_on_boot_clock
-from rackswitch.clocks.tests.support import suspendable_machine
+from rackswitch.clocks.tests.support import suspendable_vm
 
 SUSPENDED_SECONDS = 7.0
 
 
 @pytest.fixture
 def vm():
-    with suspendable_machine() as vm:
+    with suspendable_vm() as vm:
         yield vm
 
 
--- a/rackswitch/daemon/admin_handler.py
+++ b/rackswitch/daemon/admin_handler.py
@@ -12,11 +12,11 @@
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.daemon.heartbeats import Heartbeats
 from rackswitch.daemon.roles import RoleManager
-from rackswitch.daemon.table_keeper import (
+from rackswitch.daemon.table_manager import (
     EditResult,
     EditUnavailable,
     EditUnknown,
-    TableKeeper,
+    TableManager,
 )
 from rackswitch.peers.links import PeerUnreachable
 from rackswitch.table import (
@@ -67,7 +67,7 @@
     ----------
     context : DaemonContext
         State shared by the daemon's components.
-    table : TableKeeper
+    table : TableManager
         Applies edits.
     heartbeats : Heartbeats
         Builds the message that asks peers for their revision.
@@ -80,7 +80,7 @@
     def __init__(
         self,
         context: DaemonContext,
-        table: TableKeeper,
+        table: TableManager,
         heartbeats: Heartbeats,
         roles: RoleManager,
     ):
--- a/rackswitch/daemon/caller_handler.py
+++ b/rackswitch/daemon/caller_handler.py
@@ -19,7 +19,7 @@
 )
 from rackswitch.daemon.completions import CompletionCall, CompletionDispatcher
 from rackswitch.daemon.context import DaemonContext
-from rackswitch.daemon.limit_keeper import LimitKeeper
+from rackswitch.daemon.limit_manager import LimitManager
 from rackswitch.daemon.service_calls import ServiceCall, ServiceDispatcher
 from rackswitch.outcomes import (
     Completed,
@@ -74,7 +74,7 @@
         Serves completions.
     services : ServiceFront
         Serves calls to plain services.
-    limits : LimitKeeper
+    limits : LimitManager
         The tenants' limits.
     """
 
@@ -85,7 +85,7 @@
         context: DaemonContext,
         completions: CompletionDispatcher,
         services: ServiceDispatcher,
-        limits: LimitKeeper,
+        limits: LimitManager,
     ):
         self._context = context
         self._completions = completions
--- a/rackswitch/daemon/claim_keeper.py
+++ b/rackswitch/daemon/claim_store.py
@@ -15,7 +15,7 @@
     KvUnavailable,
     Operation,
     TxnPart,
-    TxnPartDone,
+    TxnPartResult,
 )
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.requests import (
@@ -28,7 +28,7 @@
     decide_claim,
 )
 
-__all__ = ["ClaimFound", "ClaimKeeper", "ClaimsUnavailable"]
+__all__ = ["ClaimFound", "ClaimStore", "ClaimsUnavailable"]
 
 MAX_BATCH_PARTS = 64
 RETRY_DELAY_SECONDS = 0.1
@@ -69,10 +69,10 @@
 class _PendingWrite:
     key: str
     part: TxnPart
-    done: asyncio.Future[TxnPartDone | KvUnavailable]
+    done: asyncio.Future[TxnPartResult | KvUnavailable]
 
 
-class ClaimKeeper:
+class ClaimStore:
     """Makes and releases claims, and stores answers in them.
 
     Claims that arrive while a write is in progress are batched into the next write, each
@@ -207,7 +207,7 @@
 
     async def _write(
         self, keys: tuple[str, str, str], claim: Claim, replaced_entry: KvEntry | None
-    ) -> TxnPartDone | KvUnavailable:
+    ) -> TxnPartResult | KvUnavailable:
         """Create a claim, or replace a known one."""
         if replaced_entry is None:
             key = keys[0]
@@ -216,7 +216,7 @@
             key = replaced_entry.key
             compares = (Compare(key, "mod", replaced_entry.mod_revision),)
         part = TxnPart(compares, (Operation(key, msgspec.json.encode(claim)),), keys)
-        future: asyncio.Future[TxnPartDone | KvUnavailable] = (
+        future: asyncio.Future[TxnPartResult | KvUnavailable] = (
             asyncio.get_running_loop().create_future()
         )
         self._pending.append(_PendingWrite(key, part, future))
--- a/rackswitch/daemon/completions.py
+++ b/rackswitch/daemon/completions.py
@@ -4,10 +4,10 @@
 from contextlib import aclosing
 from dataclasses import dataclass
 
-from rackswitch.clients.engine import EngineRequest, StreamBroken
+from rackswitch.clients.engine import EngineRequest, StreamFailed
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.daemon.target_choice import Candidate, TargetChooser
-from rackswitch.daemon.target_keeper import TargetKeeper, version_allowed
+from rackswitch.daemon.target_manager import TargetManager, version_allowed
 from rackswitch.outcomes import MayHaveRun, NotRun, NotRunReason, Outcome
 from rackswitch.requests import (
     AttemptEnd,
@@ -57,7 +57,7 @@
     ----------
     context : DaemonContext
         State shared by the daemon's components.
-    targets : TargetKeeper
+    targets : TargetManager
         Engine clients.
     chooser : TargetChooser
         Picks engines.
@@ -65,7 +65,7 @@
 
     __slots__ = ("_budget", "_chooser", "_context", "_targets")
 
-    def __init__(self, context: DaemonContext, targets: TargetKeeper, chooser: TargetChooser):
+    def __init__(self, context: DaemonContext, targets: TargetManager, chooser: TargetChooser):
         self._context = context
         self._targets = targets
         self._chooser = chooser
@@ -180,12 +180,12 @@
     def _check_item(
         self,
         row: TargetRow,
-        item: StreamChunk | StreamBroken,
+        item: StreamChunk | StreamFailed,
         check: StreamCheck,
         progress: _Progress,
     ) -> AttemptEnd | StreamChunk:
         """Return the chunk if it may be sent to the caller, else the end of the attempt."""
-        if isinstance(item, StreamBroken):
+        if isinstance(item, StreamFailed):
             return AttemptEnd(row.name, item.may_have_run, item.detail)
         if not version_allowed(progress.choice, item.version):
             detail = f"served by version {item.version}, which the route does not allow"
--- a/rackswitch/daemon/context.py
+++ b/rackswitch/daemon/context.py
@@ -65,7 +65,7 @@
     ----------
     stopping : bool
         Whether a planned stop has begun; the daemon then takes no new work and no roles.
-    broken : BrokenInvariant or None
+    violated_invariant : BrokenInvariant or None
         The violated invariant that ends the daemon, if any.
     in_flight : InFlight
         Requests, samples and claims that a planned stop waits for.
@@ -81,7 +81,7 @@
     log: DecisionLog
     rng: random.Random
     stopping: bool = False
-    broken: BrokenInvariant | None = None
+    violated_invariant: BrokenInvariant | None = None
     in_flight: InFlight = field(default_factory=InFlight)
     _tasks: set[asyncio.Task[Any]] = field(default_factory=set)
     _duties: dict[str, asyncio.Task[Any]] = field(default_factory=dict)
@@ -105,8 +105,14 @@
         return task
 
     def _on_duty_done(self, task: asyncio.Task[Any]) -> None:
-        if not task.cancelled() and task.exception() is not None and self.broken is None:
-            self.broken = BrokenInvariant(f"background duty failed: {task.exception()!r}")
+        if (
+            not task.cancelled()
+            and task.exception() is not None
+            and self.violated_invariant is None
+        ):
+            self.violated_invariant = BrokenInvariant(
+                f"background duty failed: {task.exception()!r}"
+            )
 
     def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
@@ -114,7 +120,7 @@
             return
         error = task.exception()
         if isinstance(error, BrokenInvariant):
-            self.broken = error
+            self.violated_invariant = error
             logger.critical("broken invariant: {}", error, daemon=self.settings.daemon)
         elif error is not None:
             logger.opt(exception=error).error("background task failed")
--- a/rackswitch/daemon/core.py
+++ b/rackswitch/daemon/core.py
@@ -14,22 +14,22 @@
 from rackswitch.daemon.access import find_operator
 from rackswitch.daemon.admin_handler import AdminHandler
 from rackswitch.daemon.caller_handler import CallerHandler
-from rackswitch.daemon.claim_keeper import ClaimKeeper
+from rackswitch.daemon.claim_store import ClaimStore
 from rackswitch.daemon.completions import CompletionDispatcher
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.daemon.heartbeats import Heartbeats
-from rackswitch.daemon.ledger_keeper import LedgerKeeper
+from rackswitch.daemon.ledger_manager import LedgerManager
 from rackswitch.daemon.ledger_store import ledger_role
-from rackswitch.daemon.limit_keeper import LimitKeeper
+from rackswitch.daemon.limit_manager import LimitManager
 from rackswitch.daemon.peers import PeersService
 from rackswitch.daemon.roles import RoleManager
-from rackswitch.daemon.rollout_keeper import RolloutKeeper, rollout_role
+from rackswitch.daemon.rollout_manager import RolloutManager, rollout_role
 from rackswitch.daemon.sample_runner import SampleRunner
 from rackswitch.daemon.service_calls import ServiceDispatcher
 from rackswitch.daemon.settings import DaemonSettings
-from rackswitch.daemon.table_keeper import TableKeeper
+from rackswitch.daemon.table_manager import TableManager
 from rackswitch.daemon.target_choice import TargetChooser
-from rackswitch.daemon.target_keeper import TargetKeeper
+from rackswitch.daemon.target_manager import TargetManager
 from rackswitch.daemon.trainer_handler import TrainerHandler
 from rackswitch.membership import Membership, MemberState, MemberUpdate
 from rackswitch.peers.links import PeerLinks
@@ -82,7 +82,7 @@
             log=DecisionLog(settings.daemon, log_descriptor, telemetry.events.count),
             rng=rng,
         )
-        self.table = TableKeeper(self.context, self._announce)
+        self.table = TableManager(self.context, self._announce)
         self.heartbeats = Heartbeats(
             self.context,
             VmListClient(settings.vm_list_url, sessions),
@@ -91,14 +91,14 @@
             self._is_watcher,
         )
         self.roles = RoleManager(self.context, self._required_roles)
-        self.limits = LimitKeeper(self.context, self.heartbeats)
-        self.targets = TargetKeeper(self.context, lambda: set(self.heartbeats.leaving_targets))
-        self.claims = ClaimKeeper(self.context)
+        self.limits = LimitManager(self.context, self.heartbeats)
+        self.targets = TargetManager(self.context, lambda: set(self.heartbeats.leaving_targets))
+        self.claims = ClaimStore(self.context)
         chooser = TargetChooser(self.context, self.targets)
         self.runner = SampleRunner(self.context, self.targets, chooser)
-        self.ledgers = LedgerKeeper(self.context, self.roles, self.runner)
+        self.ledgers = LedgerManager(self.context, self.roles, self.runner)
         weight_store = WeightStoreClient(settings.weight_store_url, sessions)
-        self.rollouts = RolloutKeeper(self.context, self.roles, self.targets, weight_store)
+        self.rollouts = RolloutManager(self.context, self.roles, self.targets, weight_store)
         completions = CompletionDispatcher(self.context, self.targets, chooser)
         plain_client = PlainServiceClient(sessions)
         services = ServiceDispatcher(self.context, chooser, self.claims, plain_client)
@@ -154,7 +154,7 @@
         self.context.log.write(Stopping(requests_in_flight=self.context.in_flight.count))
         self.context.stopping = True
         self.context.membership.leave()
-        await self.roles.tend()
+        await self.roles.update_roles()
         await self.heartbeats.announce()
         await asyncio.sleep(BALANCER_NOTICE_SECONDS)
         is_drained = await self.context.in_flight.wait_idle(STOP_TIMEOUT_SECONDS)
@@ -225,7 +225,7 @@
         return application
 
     async def _on_health(self, request: Request) -> Response:
-        healthy = self.context.broken is None
+        healthy = self.context.violated_invariant is None
         return json_response({"healthy": healthy}, 200 if healthy else 500)
 
     async def _on_ready(self, request: Request) -> Response:
--- a/rackswitch/daemon/ledger_keeper.py
+++ b/rackswitch/daemon/ledger_manager.py
@@ -38,7 +38,7 @@
 from rackswitch.table import TrainerRow
 from rackswitch.telemetry.events import LedgerLoaded, SampleEnded
 
-__all__ = ["LedgerKeeper"]
+__all__ = ["LedgerManager"]
 
 TICK_SECONDS = 0.2
 RETRY_DELAY_SECONDS = 0.05
@@ -50,7 +50,7 @@
 T = TypeVar("T")
 
 
-class LedgerKeeper:
+class LedgerManager:
     """Serves trainers from the ledgers held here, and forwards other calls to their holders.
 
     Parameters
@@ -157,7 +157,7 @@
             if self._roles.may_act(ledger_role(trainer.name)):
                 await self._take_over(trainer)
             return
-        held.ledger.set_rules(trainer.staleness_bound_versions, 0)
+        held.ledger.update_staleness(trainer.staleness_bound_versions, 0)
         free_slots = int(trainer.concurrency) - len(held.ledger.running)
         if free_slots <= 0 or self._context.stopping:
             return
@@ -185,9 +185,9 @@
             )
         )
         if isinstance(result, Sample):
-            held.ledger.finished(result)
+            held.ledger.record_finished_sample(result)
         else:
-            held.ledger.failed(order, result.unlabelled)
+            held.ledger.record_failed_order(order, result.unlabelled)
             await asyncio.sleep(RETRY_DELAY_SECONDS)
         held.changed.set()
         self._wake.set()
@@ -229,7 +229,7 @@
 
     async def _plan(self, trainer: str, held: HeldLedger, plan: StepPlan) -> LedgerAnswer:
         async with held.lock:
-            refusal = held.ledger.learn_plan(plan)
+            refusal = held.ledger.record_plan(plan)
             if refusal is not None:
                 return ledger_problem(409, "plan-differs", refusal.detail)
             answer = await self._store.put_plan(trainer, plan)
@@ -287,7 +287,7 @@
     def _refresh_rules(self, trainer: str, held: HeldLedger) -> None:
         row = self._context.view.row(TrainerRow, trainer)
         if row is not None:
-            held.ledger.set_rules(row.staleness_bound_versions, 0)
+            held.ledger.update_staleness(row.staleness_bound_versions, 0)
 
     def _batch(
         self,
--- a/rackswitch/daemon/ledger_store.py
+++ b/rackswitch/daemon/ledger_store.py
@@ -77,9 +77,9 @@
             return None
         record, mod_revision = _decode_record(record_read)
         ledger = SampleLedger(trainer.name, trainer.model, record, trainer.scorer)
-        ledger.set_rules(trainer.staleness_bound_versions, 0)
+        ledger.update_staleness(trainer.staleness_bound_versions, 0)
         for entry in plans_read.entries:
-            ledger.learn_plan(msgspec.json.decode(entry.value, type=StepPlan))
+            ledger.record_plan(msgspec.json.decode(entry.value, type=StepPlan))
         return HeldLedger(ledger, fencing, mod_revision)
 
     async def put_plan(self, trainer: str, plan: StepPlan) -> LedgerAnswer:
@@ -94,7 +94,7 @@
         if isinstance(done, KvUnavailable):
             return ledger_problem(503, "store-unavailable", "The plan may not have been stored.")
         if not done[0].succeeded:
-            self._roles.lose(ledger_role(trainer))
+            self._roles.record_loss(ledger_role(trainer))
             return LedgerAnswer(NOT_HELD_HERE, b"")
         return LedgerAnswer(200, b'{"planned":true}')
 
@@ -119,7 +119,7 @@
             return ledger_problem(503, "store-unavailable", "The hand-over could not be stored.")
         if not isinstance(done, KvUnavailable) and done[0].succeeded:
             held.mod_revision = done[0].revision
-            held.ledger.written(record)
+            held.ledger.record_write(record)
             return None
         read = await self._context.kv.read(key)
         if isinstance(read, KvUnavailable):
@@ -138,7 +138,7 @@
         held.mod_revision = mod_revision
         if present == held.ledger.record:
             return ledger_problem(503, "store-unavailable", "The hand-over was not stored.")
-        held.ledger.written(present)
+        held.ledger.record_write(present)
         return None
 
     async def _still_holds(self, trainer: str, held: HeldLedger) -> bool:
@@ -148,7 +148,7 @@
             return False
         if read.entries and read.entries[0].create_revision == held.fencing:
             return True
-        self._roles.lose(role)
+        self._roles.record_loss(role)
         return False
 
 
--- a/rackswitch/daemon/limit_keeper.py
+++ b/rackswitch/daemon/limit_manager.py
@@ -17,7 +17,7 @@
 from rackswitch.peers import peers_pb2 as pb
 from rackswitch.table import FleetRow, TenantRow
 
-__all__ = ["LimitKeeper"]
+__all__ = ["LimitManager"]
 
 TICK_SECONDS = 0.25
 LEND_TIMEOUT_SECONDS = 1.0
@@ -33,7 +33,7 @@
     concurrency: ConcurrencyLimit
 
 
-class LimitKeeper:
+class LimitManager:
     """Enforces limits and lends shares to daemons with more demand.
 
     Parameters
--- a/rackswitch/daemon/main.py
+++ b/rackswitch/daemon/main.py
@@ -28,7 +28,7 @@
     daemon = Daemon(settings, log_descriptor=1)
     await daemon.start()
     while not stop.is_set():
-        if daemon.context.broken is not None:
+        if daemon.context.violated_invariant is not None:
             logger.critical("stopping on a broken invariant")
             return EXIT_BROKEN
         await asyncio.sleep(CHECK_INTERVAL_SECONDS)
--- a/rackswitch/daemon/peers.py
+++ b/rackswitch/daemon/peers.py
@@ -13,7 +13,7 @@
 
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.daemon.heartbeats import Heartbeats
-from rackswitch.daemon.limit_keeper import LimitKeeper
+from rackswitch.daemon.limit_manager import LimitManager
 from rackswitch.peers import peers_pb2 as pb
 from rackswitch.peers.links import SECRET_METADATA
 from rackswitch.peers.peers_grpc import PeersBase
@@ -43,7 +43,7 @@
         State shared by the daemon's components.
     heartbeats : Heartbeats
         Receives heartbeats.
-    limits : LimitKeeper
+    limits : LimitManager
         Receives loans.
     call_ledger : callable
         Executes a trainer's call on a ledger held here.
@@ -55,7 +55,7 @@
         self,
         context: DaemonContext,
         heartbeats: Heartbeats,
-        limits: LimitKeeper,
+        limits: LimitManager,
         call_ledger: Callable[[str, str, bytes], Awaitable[LedgerAnswer]],
         run_sample: Callable[[bytes], Awaitable[bytes]],
     ):
--- a/rackswitch/daemon/roles.py
+++ b/rackswitch/daemon/roles.py
@@ -28,7 +28,7 @@
     ----------
     context : DaemonContext
         State shared by the daemon's components.
-    wanted_roles : callable
+    required_roles : callable
         Returns the names of the roles that the current table requires.
     preferred : callable
         Returns the daemon that should take a role if it is vacant, or None.
@@ -45,14 +45,14 @@
         "_prefix",
         "_settled_lease_ids",
         "_vacant_seconds",
-        "_wanted_roles",
+        "_required_roles",
         "roles",
     )
 
     def __init__(
         self,
         context: DaemonContext,
-        wanted_roles: Callable[[], list[str]],
+        required_roles: Callable[[], list[str]],
         preferred: Callable[[str], str | None] = lambda role: None,
         prefix: str = ROLE_PREFIX,
         vacant_seconds: Callable[[str], float | None] = lambda role: 0.0,
@@ -62,7 +62,7 @@
         # Leases granted to this process or already revoked by it; never revoked as a predecessor's.
         self._settled_lease_ids: set[int] = set()
         self._context = context
-        self._wanted_roles = wanted_roles
+        self._required_roles = required_roles
         self._preferred = preferred
         self.roles: dict[str, RoleLease] = {}
 
@@ -80,7 +80,7 @@
         """Return the condition under which the service accepts this holder's writes."""
         return Compare(self._prefix + role, "create", self.fencing(role))
 
-    def lose(self, role: str) -> None:
+    def record_loss(self, role: str) -> None:
         """Record that the service no longer lists this daemon as the holder."""
         lease = self.roles.get(role)
         if lease is not None:
@@ -90,7 +90,7 @@
         """Update all roles periodically."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            await self.tend()
+            await self.update_roles()
 
     async def end_predecessors_lease(self, holder: bytes) -> None:
         """Revoke the lease in a role's value if an earlier process of this daemon acquired it."""
@@ -101,10 +101,10 @@
             self._settled_lease_ids.add(lease_id)
             await self._context.kv.revoke_lease(lease_id)
 
-    async def tend(self) -> None:
+    async def update_roles(self) -> None:
         """Take the next action of each role: acquire, renew or release."""
         live = self._context.membership.live()
-        for role in self._wanted_roles():
+        for role in self._required_roles():
             if role not in self.roles:
                 life_seconds = self._context.settings.lease_seconds
                 self.roles[role] = RoleLease(role, self._context.settings.daemon, life_seconds)
@@ -176,7 +176,7 @@
         if lease.held is None:
             return
         requested_at_seconds = self._context.now_seconds()
-        is_renewed = await self._context.kv.keep_lease(lease.held.lease_id)
+        is_renewed = await self._context.kv.renew_lease(lease.held.lease_id)
         if is_renewed is True:
             lease.record_renewal(requested_at_seconds)
         elif is_renewed is False:
--- a/rackswitch/daemon/rollout_keeper.py
+++ b/rackswitch/daemon/rollout_manager.py
@@ -7,7 +7,7 @@
 from rackswitch.clients.weight_store import PublishedVersions, WeightStoreClient
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.daemon.roles import RoleManager
-from rackswitch.daemon.target_keeper import TargetKeeper
+from rackswitch.daemon.target_manager import TargetManager
 from rackswitch.table import ModelRow, RouteChoice, RouteRow, TargetRow
 from rackswitch.telemetry.events import LoadOrdered
 from rackswitch.weights import (
@@ -19,7 +19,7 @@
     plan_load_orders,
 )
 
-__all__ = ["RolloutKeeper", "rollout_role"]
+__all__ = ["RolloutManager", "rollout_role"]
 
 TICK_SECONDS = 0.25
 STORE_POLL_INTERVAL_SECONDS = 0.5
@@ -44,7 +44,7 @@
         return desired != self.desired or now_seconds >= self.next_check_seconds
 
 
-class RolloutKeeper:
+class RolloutManager:
     """Compares the engines' versions with the desired one, and sends load orders.
 
     Parameters
@@ -53,7 +53,7 @@
         State shared by the daemon's components.
     roles : RoleManager
         Leases on roles.
-    targets : TargetKeeper
+    targets : TargetManager
         Engine clients.
     store : WeightStoreClient
         Lists the published versions.
@@ -73,7 +73,7 @@
         self,
         context: DaemonContext,
         roles: RoleManager,
-        targets: TargetKeeper,
+        targets: TargetManager,
         store: WeightStoreClient,
     ):
         self._context = context
--- a/rackswitch/daemon/sample_runner.py
+++ b/rackswitch/daemon/sample_runner.py
@@ -3,11 +3,11 @@
 import msgspec
 from loguru import logger
 
-from rackswitch.clients.engine import EngineRequest, StreamBroken
+from rackswitch.clients.engine import EngineRequest, StreamFailed
 from rackswitch.clients.scorer import Score, ScorerClient
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.daemon.target_choice import Candidate, TargetChooser
-from rackswitch.daemon.target_keeper import TargetKeeper, version_allowed
+from rackswitch.daemon.target_manager import TargetManager, version_allowed
 from rackswitch.requests import StreamCheck, VersionSpan
 from rackswitch.samples import (
     LabelUnknown,
@@ -56,7 +56,7 @@
     ----------
     context : DaemonContext
         State shared by the daemon's components.
-    targets : TargetKeeper
+    targets : TargetManager
         The known targets.
     chooser : TargetChooser
         Picks engines.
@@ -64,7 +64,7 @@
 
     __slots__ = ("_chooser", "_context", "_scorer", "_targets")
 
-    def __init__(self, context: DaemonContext, targets: TargetKeeper, chooser: TargetChooser):
+    def __init__(self, context: DaemonContext, targets: TargetManager, chooser: TargetChooser):
         self._context = context
         self._targets = targets
         self._chooser = chooser
@@ -131,7 +131,7 @@
         stream = self._targets.client(row.protocol).stream(row.url, request)
         try:
             async for item in stream:
-                if isinstance(item, StreamBroken):
+                if isinstance(item, StreamFailed):
                     detail = item.detail
                     break
                 first_chunk_seconds = first_chunk_seconds or self._context.now_seconds()
--- a/rackswitch/daemon/service_calls.py
+++ b/rackswitch/daemon/service_calls.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from rackswitch.clients.plain_service import PlainAnswer, PlainRequest, PlainServiceClient
-from rackswitch.daemon.claim_keeper import ClaimFound, ClaimKeeper
+from rackswitch.daemon.claim_store import ClaimFound, ClaimStore
 from rackswitch.daemon.context import DaemonContext
 from rackswitch.daemon.target_choice import TargetChooser
 from rackswitch.outcomes import (
@@ -64,7 +64,7 @@
         State shared by the daemon's components.
     chooser : TargetChooser
         Picks targets.
-    claims : ClaimKeeper
+    claims : ClaimStore
         Claims for calls that are not repeatable.
     plain : PlainServiceClient
         Makes the calls.
@@ -76,7 +76,7 @@
         self,
         context: DaemonContext,
         chooser: TargetChooser,
-        claims: ClaimKeeper,
+        claims: ClaimStore,
         plain: PlainServiceClient,
     ):
         self._context = context
--- a/rackswitch/daemon/table_keeper.py
+++ b/rackswitch/daemon/table_manager.py
@@ -25,7 +25,7 @@
 )
 from rackswitch.telemetry import events
 
-__all__ = ["EditResult", "EditUnavailable", "EditUnknown", "TableKeeper"]
+__all__ = ["EditResult", "EditUnavailable", "EditUnknown", "TableManager"]
 
 TABLE_KEY = "table"
 EDIT_TIMEOUT_SECONDS = 4.0
@@ -46,7 +46,7 @@
 EditResult = EditDone | EditConflict | EditInvalid | EditUnknown | EditUnavailable
 
 
-class TableKeeper:
+class TableManager:
     """Maintains this daemon's copy of the table.
 
     Parameters
@@ -262,7 +262,7 @@
 
     async def _install(self, document: TableDocument) -> None:
         before = self._context.view.revision
-        if self._context.view.offer(document):
+        if self._context.view.replace_if_newer(document):
             self._context.log.write(
                 events.TableInForce(revision=document.revision, revision_before=before)
             )
--- a/rackswitch/daemon/target_choice.py
+++ b/rackswitch/daemon/target_choice.py
@@ -4,7 +4,7 @@
 import random
 
 from rackswitch.daemon.context import DaemonContext
-from rackswitch.daemon.target_keeper import TargetKeeper, prompt_prefixes
+from rackswitch.daemon.target_manager import TargetManager, prompt_prefixes
 from rackswitch.requests import AttemptLog
 from rackswitch.routing import POLICIES, RoutedRequest, Target, usable_targets
 from rackswitch.table import RouteChoice, RouteRow, TargetRow
@@ -23,13 +23,13 @@
     ----------
     context : DaemonContext
         State shared by the daemon's components.
-    targets : TargetKeeper
+    targets : TargetManager
         The known targets.
     """
 
     __slots__ = ("_context", "_counter", "_policy", "_start_id", "_targets")
 
-    def __init__(self, context: DaemonContext, targets: TargetKeeper):
+    def __init__(self, context: DaemonContext, targets: TargetManager):
         self._context = context
         self._targets = targets
         self._policy = POLICIES.get(context.settings.routing_policy)(context.rng)
--- a/rackswitch/daemon/target_keeper.py
+++ b/rackswitch/daemon/target_manager.py
@@ -10,14 +10,14 @@
 from rackswitch.routing import LoadReport, Target
 from rackswitch.table import RouteChoice, TargetRow
 
-__all__ = ["TargetKeeper"]
+__all__ = ["TargetManager"]
 
 PREFIX_CHUNK_CHARACTERS = 64
 MAX_PREFIX_CHUNKS = 64
 SAME_ZONE_ONE_WAY_SECONDS = 0.0002
 
 
-class TargetKeeper:
+class TargetManager:
     """Stores a `Target` for each row, polls the engines and selects usable targets.
 
     Parameters
--- a/rackswitch/daemon/tests/support.py
+++ b/rackswitch/daemon/tests/support.py
@@ -29,7 +29,7 @@
 """Empty event loop cycles before the clock jumps; the tests do no real input or output."""
 
 
-def run_virtual(work: Coroutine[Any, Any, Any]) -> Any:
+def run_on_virtual_clock(work: Coroutine[Any, Any, Any]) -> Any:
     """Run a coroutine on an event loop with a virtual clock that skips waits."""
     loop = looptime.new_event_loop(noop_cycles=IDLE_CYCLES)
     try:
--- a/rackswitch/daemon/tests/test_claims.py
+++ b/rackswitch/daemon/tests/test_claims.py
@@ -8,10 +8,10 @@
 import pytest
 
 from rackswitch.clients.plain_service import PlainAnswer, PlainFailed
-from rackswitch.daemon.claim_keeper import ClaimFound, ClaimKeeper, ClaimsUnavailable
+from rackswitch.daemon.claim_store import ClaimFound, ClaimStore, ClaimsUnavailable
 from rackswitch.daemon.service_calls import ServiceCall, ServiceDispatcher
 from rackswitch.daemon.target_choice import TargetChooser
-from rackswitch.daemon.tests.support import make_context, run_virtual
+from rackswitch.daemon.tests.support import make_context, run_on_virtual_clock
 from rackswitch.outcomes import Completed, NotRun, Outcome
 from rackswitch.requests import Claim, ClaimDecision
 from rackswitch.routing import Target
@@ -53,7 +53,7 @@
         return self._targets
 
 
-class UnconditionalClaims(ClaimKeeper):
+class UnconditionalClaims(ClaimStore):
     """Reads the claim and then writes it without a condition."""
 
     async def claim(self, keys, claim, deadline_seconds):
@@ -79,13 +79,13 @@
     )
 
 
-def make_dispatcher(context, claims: ClaimKeeper, service: FakeService) -> ServiceDispatcher:
+def make_dispatcher(context, claims: ClaimStore, service: FakeService) -> ServiceDispatcher:
     chooser = TargetChooser(context, FakeTargets())
     return ServiceDispatcher(context, chooser, claims, service)
 
 
 async def send_duplicates_under_faults(
-    seed: int, claims_class: type[ClaimKeeper]
+    seed: int, claims_class: type[ClaimStore]
 ) -> tuple[list[str], Counter[str]]:
     """Send each key several times, to random daemons, under store faults and crashes."""
     rng = random.Random(seed)
@@ -152,14 +152,17 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_requests_run_at_most_once_and_refusals_are_true(seed):
-    violations, outcome_counts = run_virtual(send_duplicates_under_faults(seed, ClaimKeeper))
+    violations, outcome_counts = run_on_virtual_clock(
+        send_duplicates_under_faults(seed, ClaimStore)
+    )
     assert violations == []
     assert outcome_counts["Completed"] > 0
 
 
 def test_unconditional_claims_run_requests_twice():
     assert any(
-        run_virtual(send_duplicates_under_faults(seed, UnconditionalClaims))[0] for seed in range(6)
+        run_on_virtual_clock(send_duplicates_under_faults(seed, UnconditionalClaims))[0]
+        for seed in range(6)
     )
 
 
@@ -171,12 +174,12 @@
         outcomes = []
         for number in range(2):
             context = make_context(f"d{number}", store, rng)
-            dispatcher = make_dispatcher(context, ClaimKeeper(context), service)
+            dispatcher = make_dispatcher(context, ClaimStore(context), service)
             outcomes.append(await dispatcher.call(make_call("k", 0.0)))
             await asyncio.sleep(1)
         return outcomes, service.runs["k"]
 
-    (first, second), runs = run_virtual(twice())
+    (first, second), runs = run_on_virtual_clock(twice())
     assert runs == 1
     assert isinstance(first, Completed)
     assert second == first
@@ -186,7 +189,7 @@
     async def reuse():
         context = make_context("d0", KvStore(), random.Random(1))
         dispatcher = make_dispatcher(
-            context, ClaimKeeper(context), FakeService(random.Random(2), failure_probability=0.0)
+            context, ClaimStore(context), FakeService(random.Random(2), failure_probability=0.0)
         )
         call = make_call("k", 0.0)
         await dispatcher.call(call)
@@ -194,7 +197,7 @@
         other = dataclasses.replace(make_call("k", 0.0), body=b"another")
         return await dispatcher.call(other)
 
-    outcome = run_virtual(reuse())
+    outcome = run_on_virtual_clock(reuse())
     assert isinstance(outcome, NotRun)
     assert "another request" in outcome.detail
 
@@ -203,13 +206,13 @@
     async def refused():
         service = FakeService(random.Random(1))
         context = make_context("d0", KvStore(), random.Random(1), KvFaults(down=True))
-        dispatcher = make_dispatcher(context, ClaimKeeper(context), service)
+        dispatcher = make_dispatcher(context, ClaimStore(context), service)
         loop = asyncio.get_running_loop()
         started_seconds = loop.time()
         outcome = await dispatcher.call(make_call("k", started_seconds))
         return outcome, loop.time() - started_seconds, service.runs
 
-    outcome, elapsed_seconds, runs = run_virtual(refused())
+    outcome, elapsed_seconds, runs = run_on_virtual_clock(refused())
     assert isinstance(outcome, NotRun)
     assert outcome.retry_at_seconds is not None
     assert elapsed_seconds < 4.0
@@ -219,7 +222,7 @@
 def test_concurrent_claims_share_one_write():
     async def burst():
         context = make_context("d0", KvStore(), random.Random(1))
-        claims = ClaimKeeper(context)
+        claims = ClaimStore(context)
         made = [
             claims.claim(claims.keys("t", f"k{n}"), Claim(owner=f"o{n}", digest=""), 5.0)
             for n in range(60)
@@ -227,7 +230,7 @@
         found = await asyncio.gather(*made)
         return found, context.kv.calls
 
-    found, calls = run_virtual(burst())
+    found, calls = run_on_virtual_clock(burst())
     assert all(each.decision is ClaimDecision.RUN for each in found)
     assert calls == 1
 
@@ -235,7 +238,7 @@
 def test_claim_is_refused_immediately_while_the_store_is_unreachable():
     async def scenario():
         store, faults = KvStore(), KvFaults(down=True)
-        keeper = ClaimKeeper(make_context("d0", store, random.Random(1), faults))
+        keeper = ClaimStore(make_context("d0", store, random.Random(1), faults))
         loop = asyncio.get_running_loop()
 
         async def claim(key: str) -> tuple[object, float]:
@@ -258,7 +261,7 @@
         assert isinstance(found, ClaimFound)
         assert found.decision is ClaimDecision.RUN
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_concurrent_duplicate_at_another_daemon_gets_the_original_answer():
@@ -269,13 +272,13 @@
         dispatchers = []
         for number in range(2):
             context = make_context(f"d{number}", store, rng, KvFaults())
-            dispatchers.append(make_dispatcher(context, ClaimKeeper(context), service))
+            dispatchers.append(make_dispatcher(context, ClaimStore(context), service))
         answers = []
         for number in range(10):
             call = make_call(f"k{number}", asyncio.get_running_loop().time())
             answers += await asyncio.gather(*(dispatcher.call(call) for dispatcher in dispatchers))
         return answers, service.runs
 
-    answers, runs = run_virtual(scenario())
+    answers, runs = run_on_virtual_clock(scenario())
     assert [type(answer) for answer in answers] == [Completed] * 20
     assert set(runs.values()) == {1}
--- a/rackswitch/daemon/tests/test_ledgers.py
+++ b/rackswitch/daemon/tests/test_ledgers.py
@@ -7,11 +7,11 @@
 import msgspec
 import pytest
 
-from rackswitch.daemon.ledger_keeper import LedgerKeeper
+from rackswitch.daemon.ledger_manager import LedgerManager
 from rackswitch.daemon.ledger_store import LedgerStore, ledger_role
 from rackswitch.daemon.roles import RoleManager
 from rackswitch.daemon.sample_runner import SampleFailed
-from rackswitch.daemon.tests.support import make_context, run_virtual
+from rackswitch.daemon.tests.support import make_context, run_on_virtual_clock
 from rackswitch.membership import MemberState, MemberUpdate, VmEntry
 from rackswitch.peers.links import PeerUnreachable
 from rackswitch.samples import (
@@ -64,7 +64,7 @@
         )
 
 
-class LocalLedgerKeeper(LedgerKeeper):
+class LocalLedgerKeeper(LedgerManager):
     """Runs all samples on this daemon, since the test has no network."""
 
     async def _run_on_fleet(self, order):
@@ -74,7 +74,7 @@
 class Trainer:
     """Draws through random daemons; may restart from its last checkpoint."""
 
-    def __init__(self, runner: FakeRunner, keepers: list[LedgerKeeper], rng: random.Random):
+    def __init__(self, runner: FakeRunner, keepers: list[LedgerManager], rng: random.Random):
         self.runner = runner
         self.keepers = keepers
         self.rng = rng
@@ -161,11 +161,11 @@
     store = KvStore()
     faults = KvFaults(lost_request=0.06, lost_answer=0.1, late_effect=0.06, stale_read=0.05)
     runner = FakeRunner(rng)
-    keepers: list[LedgerKeeper] = []
+    keepers: list[LedgerManager] = []
 
-    def start_daemon(name: str) -> LedgerKeeper:
+    def start_daemon(name: str) -> LedgerManager:
         context = make_context(name, store, rng, faults)
-        context.view.offer(TABLE)
+        context.view.replace_if_newer(TABLE)
         context.view.confirm(1, float("inf"))
         entries = [VmEntry(f"d{n}", "h", 1, "z", False) for n in range(DAEMONS)]
         context.membership.update_from_vm_list(entries, 0.0)
@@ -193,7 +193,9 @@
                 faults.down = True
                 await asyncio.sleep(rng.random() * 4)
                 faults.down = False
-            invariant_errors.extend(str(k._context.broken) for k in keepers if k._context.broken)
+            invariant_errors.extend(
+                str(k._context.violated_invariant) for k in keepers if k._context.violated_invariant
+            )
 
     faults_task = asyncio.create_task(inject_faults())
     trainer = Trainer(runner, keepers, rng)
@@ -207,14 +209,14 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_each_sample_arrives_once_under_faults(seed):
-    violations, received = run_virtual(train(seed))
+    violations, received = run_on_virtual_clock(train(seed))
     assert violations == []
     assert received == STEPS * 11
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_restarted_trainer_gets_lost_samples_again(seed):
-    violations, received = run_virtual(train(seed, restarts=True))
+    violations, received = run_on_virtual_clock(train(seed, restarts=True))
     assert violations == []
     assert received >= STEPS * 11
 
@@ -222,16 +224,16 @@
 def test_holder_with_an_unconfirmed_table_refuses_draws():
     async def draw():
         context = make_context("d0", KvStore(), random.Random(1))
-        context.view.offer(TABLE)
+        context.view.replace_if_newer(TABLE)
         roles = RoleManager(context, lambda: [ledger_role("t")])
-        await roles.tend()
+        await roles.update_roles()
         keeper = LocalLedgerKeeper(context, roles, FakeRunner(random.Random(1)))
         context.spawn(keeper.run())
         await asyncio.sleep(1.0)
         message = Draw(step=1, acknowledged_batch=0, policy_version=1)
         return await keeper.call_here("t", "draw", msgspec.json.encode(message))
 
-    answer = run_virtual(draw())
+    answer = run_on_virtual_clock(draw())
     assert answer.status == 503
     assert b"table-unconfirmed" in answer.body
 
@@ -251,18 +253,18 @@
             await asyncio.sleep(0)
         return task.done()
 
-    assert run_virtual(cancel())
+    assert run_on_virtual_clock(cancel())
 
 
 def test_without_a_stored_record_a_new_holder_cannot_continue(monkeypatch):
     """Without durable records, a new holder cannot complete the step correctly."""
 
     async def record_in_memory(self, trainer, held, record):
-        held.ledger.written(record)
+        held.ledger.record_write(record)
 
     monkeypatch.setattr(LedgerStore, "write", record_in_memory)
     try:
-        violations, _ = run_virtual(train(1, timeout_seconds=120.0))
+        violations, _ = run_on_virtual_clock(train(1, timeout_seconds=120.0))
     except TimeoutError:
         violations = ["the trainer's step was never complete"]
     assert violations
@@ -281,7 +283,7 @@
     results = []
     for seed in range(6):
         try:
-            results.append(run_virtual(train(seed, timeout_seconds=300.0))[0])
+            results.append(run_on_virtual_clock(train(seed, timeout_seconds=300.0))[0])
         except (KeyError, TimeoutError):
             results.append([])
     assert any("too old" in line for result in results for line in result)
@@ -317,7 +319,7 @@
     # Guards against orders at a dead daemon that block the step until they time out.
     async def scenario():
         context = make_context("a", KvStore(), random.Random(1))
-        keeper = LedgerKeeper(context, RoleManager(context, lambda: []), None)
+        keeper = LedgerManager(context, RoleManager(context, lambda: []), None)
         peer = MemberUpdate("b", "127.0.0.1", 1, "z", 5, MemberState.ALIVE)
         context.membership.merge(peer, 0.0)
 
@@ -337,13 +339,13 @@
         assert task.done()
         assert isinstance(task.result(), SampleFailed)
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_order_at_a_leaving_daemon_is_not_abandoned():
     async def scenario():
         context = make_context("a", KvStore(), random.Random(1))
-        keeper = LedgerKeeper(context, RoleManager(context, lambda: []), None)
+        keeper = LedgerManager(context, RoleManager(context, lambda: []), None)
         peer = MemberUpdate("b", "127.0.0.1", 1, "z", 5, MemberState.ALIVE)
         context.membership.merge(peer, 0.0)
 
@@ -354,7 +356,7 @@
         context.membership.merge(replace(peer, state=MemberState.LEAVING), 1.0)
         assert (await task).detail == "the end"
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_plan_of_a_former_holder_is_not_stored():
@@ -366,15 +368,15 @@
         stores = [LedgerStore(*pair) for pair in zip(contexts, role_managers, strict=True)]
         plan = StepPlan(step=1, groups=(GroupPlan(prompt="p", samples=1, max_tokens=3, seed=1),))
         other = StepPlan(step=1, groups=(GroupPlan(prompt="q", samples=1, max_tokens=3, seed=1),))
-        await role_managers[0].tend()
+        await role_managers[0].update_roles()
         assert (await stores[0].put_plan("t", plan)).status == 200
         # The service grants the role to another daemon without notifying the former holder.
         kv.end_lease(role_managers[0].roles[role].held.lease_id)
-        await role_managers[1].tend()
+        await role_managers[1].update_roles()
         assert role_managers[0].may_act(role) and role_managers[1].may_act(role)
         assert (await stores[0].put_plan("t", other)).status != 200
         loaded = await stores[1].load(TRAINER)
         assert loaded.ledger.plans[1] == plan
         assert not role_managers[0].may_act(role)
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
--- a/rackswitch/daemon/tests/test_roles.py
+++ b/rackswitch/daemon/tests/test_roles.py
@@ -7,7 +7,7 @@
 
 from rackswitch.clients.kv import Operation, TxnPart
 from rackswitch.daemon.roles import RoleManager
-from rackswitch.daemon.tests.support import make_context, run_virtual
+from rackswitch.daemon.tests.support import make_context, run_on_virtual_clock
 from rackswitch.membership import MemberState, VmEntry
 from rackswitch.standins.faulty_kv import KvFaults
 from rackswitch.standins.kv_store import KvStore
@@ -81,14 +81,16 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_writes_are_accepted_in_fencing_order(seed):
-    accepted_fencings, _ = run_virtual(run_contending_daemons(seed, fenced=True, end_leases=True))
+    accepted_fencings, _ = run_on_virtual_clock(
+        run_contending_daemons(seed, fenced=True, end_leases=True)
+    )
     assert accepted_fencings
     assert accepted_fencings == sorted(accepted_fencings)
 
 
 def test_unfenced_writes_of_a_former_holder_are_accepted():
     runs = [
-        run_virtual(run_contending_daemons(seed, fenced=False, end_leases=True))[0]
+        run_on_virtual_clock(run_contending_daemons(seed, fenced=False, end_leases=True))[0]
         for seed in range(5)
     ]
     assert any(accepted_fencings != sorted(accepted_fencings) for accepted_fencings in runs)
@@ -96,7 +98,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_never_two_holders_while_leases_last(seed):
-    _, overlaps = run_virtual(run_contending_daemons(seed, fenced=True, end_leases=False))
+    _, overlaps = run_on_virtual_clock(run_contending_daemons(seed, fenced=True, end_leases=False))
     assert overlaps == 0
 
 
@@ -105,14 +107,14 @@
         store = KvStore()
         context = make_context("d0", store, random.Random(1))
         role_manager = RoleManager(context, lambda: [ROLE])
-        await role_manager.tend()
+        await role_manager.update_roles()
         held = role_manager.may_act(ROLE)
         context.stopping = True
         context.membership.leave()
-        await role_manager.tend()
+        await role_manager.update_roles()
         return held, role_manager.may_act(ROLE), store.read("roles/" + ROLE).entries
 
-    held, held_after, entries = run_virtual(leave())
+    held, held_after, entries = run_on_virtual_clock(leave())
     assert held
     assert not held_after
     assert entries == ()
@@ -126,14 +128,14 @@
         other_daemon = RoleManager(
             make_context("d1", store, random.Random(2)), lambda: [ROLE + "2"]
         )
-        await predecessor.tend()
-        await other_daemon.tend()
+        await predecessor.update_roles()
+        await other_daemon.update_roles()
         restarted = RoleManager(make_context("d0", store, random.Random(3)), lambda: [ROLE])
         for entry in store.read("roles/", is_prefix=True).entries:
             await restarted.end_predecessors_lease(entry.value)
-        await restarted.tend()
+        await restarted.update_roles()
         return restarted.may_act(ROLE), store.read("roles/" + ROLE + "2").entries
 
-    is_holder, other_entries = run_virtual(restart())
+    is_holder, other_entries = run_on_virtual_clock(restart())
     assert is_holder
     assert other_entries
--- a/rackswitch/daemon/tests/test_sample_runner.py
+++ b/rackswitch/daemon/tests/test_sample_runner.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from rackswitch.clients.engine import StreamBroken
+from rackswitch.clients.engine import StreamFailed
 from rackswitch.daemon.sample_runner import SampleRunner
 from rackswitch.daemon.target_choice import TargetChooser
-from rackswitch.daemon.tests.support import make_context, run_virtual
+from rackswitch.daemon.tests.support import make_context, run_on_virtual_clock
 from rackswitch.requests import StreamChunk
 from rackswitch.routing import Target
 from rackswitch.samples import Sample, SampleOrder
@@ -40,7 +40,7 @@
                 "stop" if is_last else None,
             )
         if self.versions:
-            yield StreamBroken(True, "broke")
+            yield StreamFailed(True, "broke")
 
 
 class SingleEngineTargets:
@@ -76,7 +76,7 @@
         )
         return await runner.run(order), engine.resumed_with
 
-    return run_virtual(run())
+    return run_on_virtual_clock(run())
 
 
 def test_resumes_a_fresh_part_and_labels_both_spans():
--- a/rackswitch/daemon/tests/test_table_keeper.py
+++ b/rackswitch/daemon/tests/test_table_manager.py
@@ -7,8 +7,8 @@
 import pytest
 
 from rackswitch.clients.kv import KvUnavailable, Operation, TxnPart
-from rackswitch.daemon.table_keeper import EditUnavailable, EditUnknown, TableKeeper
-from rackswitch.daemon.tests.support import make_context, run_virtual
+from rackswitch.daemon.table_manager import EditUnavailable, EditUnknown, TableManager
+from rackswitch.daemon.tests.support import make_context, run_on_virtual_clock
 from rackswitch.standins.faulty_kv import KvFaults
 from rackswitch.standins.kv_store import KvStore
 from rackswitch.table import DaemonRow, Edit, EditDone, RowChange, TableDocument, apply_edit
@@ -30,7 +30,7 @@
     )
 
 
-class UnconditionalTableKeeper(TableKeeper):
+class UnconditionalTableKeeper(TableManager):
     """Writes without a condition and treats a lost answer as a refusal."""
 
     async def submit(self, edit, dry_run=False, may_be_retry=True):
@@ -50,7 +50,7 @@
         return EditDone(outcome.document.revision)
 
 
-async def run_racing_writers(seed: int, keeper_class: type[TableKeeper]) -> list[str]:
+async def run_racing_writers(seed: int, keeper_class: type[TableManager]) -> list[str]:
     """Let writers race under faults; return the violations found at the end."""
     rng = random.Random(seed)
     store = KvStore()
@@ -100,21 +100,24 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_accepted_edits_are_not_lost(seed):
-    assert run_virtual(run_racing_writers(seed, TableKeeper)) == []
+    assert run_on_virtual_clock(run_racing_writers(seed, TableManager)) == []
 
 
 def test_unconditional_writes_lose_edits():
-    assert any(run_virtual(run_racing_writers(seed, UnconditionalTableKeeper)) for seed in range(5))
+    assert any(
+        run_on_virtual_clock(run_racing_writers(seed, UnconditionalTableKeeper))
+        for seed in range(5)
+    )
 
 
 def test_edit_during_an_outage_is_unknown_if_it_may_be_a_retry():
     async def attempt():
         context = make_context("d0", KvStore(), random.Random(1), KvFaults(down=True))
-        keeper = TableKeeper(context, _ignore_announcement)
+        keeper = TableManager(context, _ignore_announcement)
         first = await keeper.submit(make_edit(0, 0), may_be_retry=False)
         return first, await keeper.submit(make_edit(0, 0))
 
-    first, again = run_virtual(attempt())
+    first, again = run_on_virtual_clock(attempt())
     assert isinstance(first, EditUnavailable)
     assert isinstance(again, EditUnknown)
 
@@ -123,12 +126,12 @@
     async def attempt():
         store = KvStore()
         context = make_context("d0", store, random.Random(1))
-        result = await TableKeeper(context, _ignore_announcement).submit(
+        result = await TableManager(context, _ignore_announcement).submit(
             make_edit(0, 0), dry_run=True
         )
         return result, store.read("table").entries
 
-    result, entries = run_virtual(attempt())
+    result, entries = run_on_virtual_clock(attempt())
     assert result == EditDone(1)
     assert entries == ()
 
@@ -136,8 +139,8 @@
 def test_daemon_without_any_table_source_is_not_ready():
     async def boot():
         context = make_context("d0", KvStore(), random.Random(1), KvFaults(down=True))
-        keeper = TableKeeper(context, _ignore_announcement)
+        keeper = TableManager(context, _ignore_announcement)
         await keeper.boot()
         return keeper.is_ready
 
-    assert run_virtual(boot()) is False
+    assert run_on_virtual_clock(boot()) is False
--- a/rackswitch/daemon/trainer_handler.py
+++ b/rackswitch/daemon/trainer_handler.py
@@ -5,7 +5,7 @@
 
 from rackswitch.daemon.access import find_trainer
 from rackswitch.daemon.context import DaemonContext
-from rackswitch.daemon.ledger_keeper import LedgerKeeper
+from rackswitch.daemon.ledger_manager import LedgerManager
 from rackswitch.daemon.peers import LedgerAnswer
 from rackswitch.samples import Draw, StepPlan
 from rackswitch.web.handlers import BodyFault, path_value, read_json
@@ -23,13 +23,13 @@
     ----------
     context : DaemonContext
         State shared by the daemon's components.
-    ledgers : LedgerKeeper
+    ledgers : LedgerManager
         Calls the trainers' ledgers.
     """
 
     __slots__ = ("_context", "_ledgers")
 
-    def __init__(self, context: DaemonContext, ledgers: LedgerKeeper):
+    def __init__(self, context: DaemonContext, ledgers: LedgerManager):
         self._context = context
         self._ledgers = ledgers
 
--- a/rackswitch/demo/fleet.py
+++ b/rackswitch/demo/fleet.py
@@ -261,9 +261,9 @@
     def broken_invariants(self) -> list[str]:
         """Return the invariants that daemons found violated."""
         return [
-            f"{name}: {daemon.context.broken}"
+            f"{name}: {daemon.context.violated_invariant}"
             for name, daemon in self.daemons.items()
-            if daemon.context.broken is not None
+            if daemon.context.violated_invariant is not None
         ]
 
 
--- a/rackswitch/gateway/callers/caller_handler.py
+++ b/rackswitch/gateway/callers/caller_handler.py
@@ -161,7 +161,7 @@
         While the key-value service is unreachable, the table may lack a new key. The response is
         then a 503, as callers do not retry after a 401.
         """
-        contact = self._context.contact
+        contact = self._context.store_reachability
         if not fault.may_be_new or not contact.is_unreachable:
             return Refusal(401, fault.detail, response_text=fault.public_detail)
         retry_after_seconds = contact.outage.remaining_seconds(self._context.now_seconds())
--- a/rackswitch/gateway/callers/request_dispatcher.py
+++ b/rackswitch/gateway/callers/request_dispatcher.py
@@ -406,7 +406,7 @@
         if log.began_at_unix_seconds is None:
             log.began_at_unix_seconds = at_unix_seconds
             if call.caller.tenant:
-                self._context.usage.began(call.caller.tenant, at_unix_seconds)
+                self._context.usage.record_start(call.caller.tenant, at_unix_seconds)
 
     def record_stream_end(self, call: Call) -> None:
         """Record that a stream ended normally."""
--- a/rackswitch/gateway/callers/target_choice.py
+++ b/rackswitch/gateway/callers/target_choice.py
@@ -63,7 +63,7 @@
         if not listed:
             return None
         targets = [self._context.targets[instance] for instance in listed]
-        if self._context.chooses_by_load(service):
+        if self._context.chooses_targets_by_load(service):
             return listed[self._choose_by_load(service, listed, targets, now_seconds).name]
         routed = RoutedRequest(0.0, CALL_COST_TOKENS, (), now_seconds)
         chosen = self._policy.choose(routed, usable_targets(targets, now_seconds))
@@ -96,7 +96,7 @@
 
     def estimates(self, service: str) -> list[TargetEstimate]:
         """Return the estimates of a service's targets; none if they are not chosen by load."""
-        if not self._context.chooses_by_load(service):
+        if not self._context.chooses_targets_by_load(service):
             return []
         now_seconds = self._context.now_seconds()
         return [
--- a/rackswitch/gateway/callers/tests/test_call_admission.py
+++ b/rackswitch/gateway/callers/tests/test_call_admission.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.callers.request_dispatcher import (
     REFUSED_RETRY_DELAY_SECONDS,
     RequestDispatcher,
@@ -174,7 +174,7 @@
         answer = await harness.call("r")
         return answer, targets.sends, harness.decisions
 
-    answer, sends, decisions = run_virtual(scenario())
+    answer, sends, decisions = run_on_virtual_clock(scenario())
     assert isinstance(answer.outcome, NotRun)
     assert answer.outcome.reason is NotRunReason.NO_TARGET
     # Two attempts by the route and eight refusals, each followed by a delay.
@@ -193,7 +193,7 @@
         await asyncio.gather(*tasks)
         return served(tasks), [event.outcome for event in harness.decisions]
 
-    names, outcomes = run_virtual(scenario())
+    names, outcomes = run_on_virtual_clock(scenario())
     assert len(names) == 4
     assert outcomes == ["sent"] * 4
 
@@ -206,7 +206,7 @@
         await asyncio.gather(*tasks)
         return served(tasks), targets
 
-    names, targets = run_virtual(scenario())
+    names, targets = run_on_virtual_clock(scenario())
     assert len(names) == 8
     assert len(targets.sends) <= 10
     assert len(set(targets.ran)) == len(targets.ran) == 8
@@ -225,7 +225,7 @@
         await asyncio.gather(*waiting)
         return targets.ran
 
-    ran = run_virtual(scenario())
+    ran = run_on_virtual_clock(scenario())
     assert ran.index("high") < ran.index("low") < ran.index("reward")
 
 
@@ -242,7 +242,7 @@
             task.cancel()
         return answer, now_seconds - began_seconds, now_seconds, harness.decisions
 
-    answer, took_seconds, now_seconds, decisions = run_virtual(scenario())
+    answer, took_seconds, now_seconds, decisions = run_on_virtual_clock(scenario())
     assert answer.outcome.reason is NotRunReason.OVERLOADED
     assert took_seconds < 0.02
     assert now_seconds < answer.outcome.retry_at_seconds < now_seconds + 0.4
@@ -262,7 +262,7 @@
         admission = harness.dispatcher._service_admission._service(SERVICE).admission
         return targets.ran, len(admission.queue), admission.limit.in_flight
 
-    ran, waiting, in_flight = run_virtual(scenario())
+    ran, waiting, in_flight = run_on_virtual_clock(scenario())
     assert "r5" not in ran
     assert (waiting, in_flight) == (0, 0)
 
@@ -285,7 +285,7 @@
         await asyncio.gather(*(other.call(name, timeout_seconds=9.0) for name in unsent_names[:8]))
         return sent, names, targets.ran
 
-    sent, names, ran = run_virtual(scenario())
+    sent, names, ran = run_on_virtual_clock(scenario())
     assert 0 < len(names) < 40
     assert len(set(ran)) == len(ran)
     assert ran[: len(sent)] == sent
@@ -303,7 +303,7 @@
         refused = [task.result().outcome for task in tasks if task.get_name() not in targets.ran]
         return new_call, refused
 
-    new_call, refused = run_virtual(scenario())
+    new_call, refused = run_on_virtual_clock(scenario())
     assert new_call.outcome.reason is NotRunReason.NO_TARGET
     assert refused
     assert all(isinstance(outcome, NotRun) for outcome in refused)
@@ -324,7 +324,7 @@
         ]
         return sent_at_once, served(tasks), refused_outcomes, targets.ran
 
-    sent_at_once, names, refused_outcomes, ran = run_virtual(scenario())
+    sent_at_once, names, refused_outcomes, ran = run_on_virtual_clock(scenario())
     assert sent_at_once <= 2
     # Calls of one rank are sent in the order of their arrival.
     assert len(names) >= 4
@@ -345,7 +345,7 @@
         await held
         return in_flight, targets.ran, quarantine.claim_flags
 
-    assert run_virtual(scenario()) == (0, ["held"], [False, True])
+    assert run_on_virtual_clock(scenario()) == (0, ["held"], [False, True])
 
 
 def test_refused_call_claims_no_trial():
@@ -362,7 +362,7 @@
             task.cancel()
         return new_claim_flags
 
-    assert run_virtual(scenario()) == [False]
+    assert run_on_virtual_clock(scenario()) == [False]
 
 
 @pytest.mark.parametrize(("other_requests", "is_saturated"), [(0, False), (12, True)])
@@ -380,7 +380,7 @@
             SERVICE
         ).admission.limit.limit
 
-    initial_limit, limit = run_virtual(scenario())
+    initial_limit, limit = run_on_virtual_clock(scenario())
     assert limit < initial_limit if is_saturated else limit > initial_limit
 
 
@@ -395,8 +395,8 @@
         await asyncio.sleep(age_seconds)
         return (await harness.call("urgent", 1, timeout_seconds=0.06)).outcome
 
-    assert isinstance(run_virtual(scenario(0.0)), TargetAnswer)
-    assert isinstance(run_virtual(scenario(0.2)), NotRun)
+    assert isinstance(run_on_virtual_clock(scenario(0.0)), TargetAnswer)
+    assert isinstance(run_on_virtual_clock(scenario(0.2)), NotRun)
 
 
 def test_retry_budget_limits_retries_of_failed_calls():
@@ -409,8 +409,8 @@
             await harness.call(f"r{number}")
         return len(targets.sends)
 
-    assert run_virtual(scenario(1)) == 2
-    assert run_virtual(scenario(200)) <= 200 + 10 + 2
+    assert run_on_virtual_clock(scenario(1)) == 2
+    assert run_on_virtual_clock(scenario(200)) <= 200 + 10 + 2
 
 
 def test_call_that_may_have_run_is_not_reported_as_not_run():
@@ -420,7 +420,7 @@
         harness = DispatcherHarness(targets)
         return (await harness.call("r", once=True)).outcome, targets.ran
 
-    outcome, ran = run_virtual(scenario())
+    outcome, ran = run_on_virtual_clock(scenario())
     assert isinstance(outcome, MayHaveRun)
     assert ran == ["r"]
 
@@ -435,7 +435,7 @@
             task.cancel()
         return harness.service_events
 
-    [event] = run_virtual(scenario())
+    [event] = run_on_virtual_clock(scenario())
     assert event.service == SERVICE
     assert set(event.tenant_shares) == {"t0", "t1"}
     assert json.dumps(event.tenant_shares)
--- a/rackswitch/gateway/callers/tests/test_path_requests.py
+++ b/rackswitch/gateway/callers/tests/test_path_requests.py
@@ -7,7 +7,7 @@
 import pytest
 
 from rackswitch.explain import read_events
-from rackswitch.gateway.tests.path import play, runs_of, wait_for
+from rackswitch.gateway.tests.path import run_scenario, runs_of, wait_for
 from rackswitch.outcomes import NotRunReason
 from rackswitch.requests import Call
 from rackswitch.standins.platform_fleet import HOST, desired_state
@@ -27,7 +27,7 @@
         [run] = [run for service in fleet.services for run in service.runs]
         assert (run.method, run.target, run.body) == ("POST", "/look/a%2Fb?x=1&y=%20", b"hello")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_bad_requests_are_refused_with_the_matching_status():
@@ -53,7 +53,7 @@
         assert not any(target.runs for target in (*fleet.services, *fleet.engines))
         assert await status("GET", "/look/x") == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_refusal_is_immediate_and_has_a_retry_time():
@@ -67,7 +67,7 @@
         assert asyncio.get_running_loop().time() - started_at_seconds < 0.7
         assert not any(service.runs for service in fleet.services)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_without_a_usable_target_is_refused_at_once():
@@ -80,8 +80,8 @@
         now_seconds = gateway.context.now_seconds()
         route = gateway.context.routes.find(HOST, "/look/x")
         call = Call("r1", HOST, "GET", "/look/x", (), b"")
-        log = gateway.front.new_log(route)
-        coroutine = gateway.front.call(route, call, now_seconds + 5.0, log)
+        log = gateway.request_dispatcher.new_log(route)
+        coroutine = gateway.request_dispatcher.call(route, call, now_seconds + 5.0, log)
         # The coroutine returns at its first step, without waiting.
         with pytest.raises(StopIteration) as stopped:
             coroutine.send(None)
@@ -89,7 +89,7 @@
         assert outcome.reason is NotRunReason.NO_TARGET
         assert outcome.retry_at_seconds > now_seconds
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_retries_a_repeatable_request_at_another_target_after_a_timeout():
@@ -99,7 +99,7 @@
             status, _, _ = await fleet.request("d0", "POST", "/look/1", b"b", f"r{number}")
             assert status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_that_may_not_be_repeated_runs_once_and_is_not_reported_as_not_run():
@@ -110,7 +110,7 @@
         assert status == 504
         assert runs_of(fleet.services, "r1") == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("fault", ["foreign", "encoded"])
@@ -122,7 +122,7 @@
         assert status in (502, 504)
         assert "X-Rackswitch-Server-Stamp" not in headers
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_draining_target_receives_no_new_requests():
@@ -135,7 +135,7 @@
             assert status == 200
         assert not fleet.services[0].runs
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_interrupted_streams_count_against_the_attempt_limit():
@@ -154,7 +154,7 @@
             )
         assert runs_of(fleet.engines, "r1") == 2
 
-    play(scenario, engines=3)
+    run_scenario(scenario, engines=3)
 
 
 def test_the_host_is_matched_without_its_port():
@@ -162,7 +162,7 @@
         status, _, _ = await fleet.request("d0", "GET", "/look/x", host=HOST.upper() + ":80")
         assert status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("resumable", [True, False])
@@ -190,7 +190,7 @@
         assert sorted(run.last_event_id or "" for run in runs)[0] == ""
         assert len(runs) == 2, runs
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_every_refusal_is_logged_with_its_request():
@@ -201,7 +201,7 @@
         await wait_for(lambda: gateway.context.table_revision == 1)
         gateway.context.daemon.view.document = TableDocument()
         assert (await fleet.request("d9", "GET", "/look/x", request_id="r1"))[0] == 503
-        gateway.context.daemon.view.offer(TableDocument(revision=1))
+        gateway.context.daemon.view.replace_if_newer(TableDocument(revision=1))
         assert (await fleet.request("d9", "GET", "/look/x", host="other", request_id="r2"))[
             0
         ] == 404
@@ -210,4 +210,4 @@
         refused = [line.event for line in log.events if isinstance(line.event, RequestRefused)]
         assert [(event.request, event.status) for event in refused] == [("r1", 503), ("r2", 404)]
 
-    play(scenario)
+    run_scenario(scenario)
--- a/rackswitch/gateway/callers/tests/test_target_choice.py
+++ b/rackswitch/gateway/callers/tests/test_target_choice.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.callers.target_choice import DEFAULT_POLICY, TargetChooser
 from rackswitch.gateway.tests.support import make_gateway_context
 from rackswitch.requests import TargetAnswer, TargetFailed
@@ -47,7 +47,7 @@
         report_loads(context, {"t0": 18, "t1": 18}, pace=1.0)
         return count_picks(chooser)
 
-    assert set(run_virtual(scenario())) == {"t2", "t3"}
+    assert set(run_on_virtual_clock(scenario())) == {"t2", "t3"}
 
 
 def test_uses_the_default_policy_for_services_without_reported_pace():
@@ -85,8 +85,8 @@
             chosen.append(target.name)
         return chosen
 
-    assert run_virtual(scenario(True)) == choose_by_policy()
-    assert run_virtual(scenario(False)) == choose_by_policy()
+    assert run_on_virtual_clock(scenario(True)) == choose_by_policy()
+    assert run_on_virtual_clock(scenario(False)) == choose_by_policy()
 
 
 def test_refusal_overrides_reported_free_slots():
@@ -97,7 +97,7 @@
         chooser.record_failure(TARGETS[0], FULL)
         return before, count_picks(chooser)
 
-    before, after = run_virtual(scenario())
+    before, after = run_on_virtual_clock(scenario())
     assert before["t0"] > 80
     assert after["t0"] == 0
 
@@ -112,7 +112,7 @@
             chooser.record_end(sent_request, failed)
         return count_picks(chooser)
 
-    assert run_virtual(scenario())["t0"] < 10
+    assert run_on_virtual_clock(scenario())["t0"] < 10
 
 
 def test_avoids_an_unresponsive_target_despite_its_reported_load():
@@ -122,7 +122,7 @@
         chooser.record_failure(TARGETS[0], TargetFailed(True, "no answer", is_unresponsive=True))
         return count_picks(chooser)
 
-    assert run_virtual(scenario())["t0"] == 0
+    assert run_on_virtual_clock(scenario())["t0"] == 0
 
 
 def test_keeps_the_estimate_of_the_chosen_target():
@@ -132,7 +132,7 @@
         target = chooser.pick("s", {"t1", "t2", "t3"})
         return chooser.target_state(target).estimate
 
-    estimate = run_virtual(scenario())
+    estimate = run_on_virtual_clock(scenario())
     assert (estimate.instance, estimate.running, estimate.waiting, estimate.pace) == (
         "t0",
         6,
@@ -153,7 +153,7 @@
             chooser.record_end(sent_request, TargetAnswer(status, (), b""))
         return context.load_estimator.typical_run_seconds("s", WorkKind.CALL), initial_seconds
 
-    typical_seconds, initial_seconds = run_virtual(scenario())
+    typical_seconds, initial_seconds = run_on_virtual_clock(scenario())
     assert (typical_seconds < initial_seconds) is is_recorded
 
 
@@ -170,7 +170,7 @@
         now_seconds = context.now_seconds()
         return context.load_estimator.estimate(TARGETS[0], WorkKind.CALL, 1.0, now_seconds).pace
 
-    pace = run_virtual(scenario())
+    pace = run_on_virtual_clock(scenario())
     assert pace > 2.0 if is_slow else pace == pytest.approx(1.0)
 
 
@@ -181,7 +181,7 @@
         report_loads(context, {"t0": 18, "t1": 18}, pace=None)
         return count_picks(chooser), chooser.estimates("s")
 
-    chosen, estimates = run_virtual(scenario())
+    chosen, estimates = run_on_virtual_clock(scenario())
     assert set(chosen) == {"t2", "t3"}
     assert {estimate.instance: estimate.free_slots for estimate in estimates} == {
         "t0": 0.0,
@@ -203,4 +203,4 @@
                 chooser.record_end(sent_request, ANSWER)
         return count_picks(chooser)
 
-    assert run_virtual(scenario())["t0"] < 10
+    assert run_on_virtual_clock(scenario())["t0"] < 10
--- a/rackswitch/gateway/context.py
+++ b/rackswitch/gateway/context.py
@@ -69,7 +69,7 @@
 
     settings: NodeSettings
     daemon: DaemonContext
-    contact: StoreReachability
+    store_reachability: StoreReachability
     policy: PolicySettings = field(default_factory=PolicySettings)
     routes: RouteIndex = field(default_factory=RouteIndex)
     directory: TargetDirectory = field(default_factory=TargetDirectory)
@@ -114,14 +114,14 @@
         entry = self.member_entries.get(daemon)
         return entry.started_at_unix_seconds if entry is not None else None
 
-    def free_slots_of(self, daemon: str) -> float:
+    def processor_share_of(self, daemon: str) -> float:
         """Return the processor share of a daemon's VM; 0 if unknown."""
         if daemon == self.daemon_name:
             return self.settings.processor_share
         entry = self.member_entries.get(daemon)
         return entry.processor_share if entry is not None else 0.0
 
-    def chooses_by_load(self, service: str) -> bool:
+    def chooses_targets_by_load(self, service: str) -> bool:
         """Return whether a service's targets are chosen by their reported load.
 
         This is the case if they report their pace, as their speeds may differ, or if calls are
@@ -134,7 +134,7 @@
         age_seconds = self.now_seconds() - self.list_confirmed_at_seconds
         return round(age_seconds, 3) if age_seconds < float("inf") else -1.0
 
-    def forget_unlisted(self) -> None:
+    def remove_unlisted_estimates(self) -> None:
         """Drop the load estimates of target starts that are no longer listed."""
         self.directory.expire(self.now_seconds())
         self.load_estimator.keep_only({target.start for target in self.directory.entries.values()})
--- a/rackswitch/gateway/core.py
+++ b/rackswitch/gateway/core.py
@@ -102,7 +102,7 @@
         policy = policy or PolicySettings()
         rng = random.Random(random.SystemRandom().randrange(1 << 60))
         parts = make_daemon_context(settings, rng, log_descriptor, policy)
-        self.direct = parts.direct
+        self.direct_transport = parts.direct
         self.log = parts.context.log
         self.context = GatewayContext(settings, parts.context, StoreReachability(self.log), policy)
         self._sessions = TargetSessions(self._record_load_report)
@@ -114,13 +114,13 @@
         self._role_entries = RoleEntries()
         self.roles = RoleManager(
             parts.context,
-            self._wanted_roles,
+            self._required_roles,
             self._preferred_holder,
             ROLES_PREFIX,
             self._vacant_seconds,
         )
         target_chooser = TargetChooser(self.context)
-        self.front = RequestDispatcher(
+        self.request_dispatcher = RequestDispatcher(
             self.context,
             target_chooser,
             TargetClient(self._sessions),
@@ -130,7 +130,11 @@
         job_store = JobStore(self.context)
         paces = EnginePaces()
         item_runner = ItemRunner(
-            self.context, ItemClient(self._sessions), self.front, paces, self.quarantine
+            self.context,
+            ItemClient(self._sessions),
+            self.request_dispatcher,
+            paces,
+            self.quarantine,
         )
         orders = OrderClient(self._sessions)
         load_poller = LoadPoller(
@@ -176,7 +180,7 @@
         )
         caller_handler = CallerHandler(
             self.context,
-            CallHandler(self.context, self.front),
+            CallHandler(self.context, self.request_dispatcher),
             JobHandler(self.context, self.jobs, job_reader, JobPlacer(self.context, self.jobs)),
         )
         pages = StatusPages(self.context, self.replicas, self.snapshot)
@@ -217,7 +221,7 @@
         try:
             async with asyncio.timeout_at(deadline_seconds):
                 await self.presence.announce_leaving()
-                await asyncio.gather(self.roles.tend(), self.jobs.hand_over())
+                await asyncio.gather(self.roles.update_roles(), self.jobs.hand_over())
         except TimeoutError:
             # Other daemons take over the rest when this daemon's leases expire.
             self.log.write(HandOverTimedOut(jobs=list(self.jobs.owned)))
@@ -274,7 +278,7 @@
         changes = compare_settings(self.settings, settings)
         self.settings = settings
         self.context.settings = settings
-        self.direct.url = settings.kv_url
+        self.direct_transport.url = settings.kv_url
         self.log.write(Reloaded(applied=changes.applied, needs_restart=changes.needs_restart))
 
     def check_suspension(self) -> None:
@@ -298,11 +302,11 @@
     def _vacant_seconds(self, role: str) -> float | None:
         return self._role_entries.vacant_seconds(role, self.context.now_seconds())
 
-    def _wanted_roles(self) -> list[str]:
+    def _required_roles(self) -> list[str]:
         # The last holders are known only once the replicas are complete.
         if not self.replicas.is_complete:
             return []
-        return [*self.versions.wanted_roles(), *self._duties.wanted_roles()]
+        return [*self.versions.required_roles(), *self._duties.required_roles()]
 
     def _preferred_holder(self, role: str) -> str | None:
         """Return the last holder if it is a live member or may still be starting with the fleet."""
@@ -321,5 +325,5 @@
 
     async def _forget_unlisted_targets(self) -> None:
         while True:
-            self.context.forget_unlisted()
+            self.context.remove_unlisted_estimates()
             await asyncio.sleep(UNLISTED_CHECK_INTERVAL_SECONDS)
--- a/rackswitch/gateway/daemon_snapshot.py
+++ b/rackswitch/gateway/daemon_snapshot.py
@@ -70,7 +70,7 @@
 ) -> DaemonSnapshot:
     """Return a snapshot of a daemon's state."""
     now_seconds = context.now_seconds()
-    unreachable_since_seconds = context.contact.unreachable_since_seconds
+    unreachable_since_seconds = context.store_reachability.unreachable_since_seconds
     services = context.daemon.view.rows(ServiceRow)
     return DaemonSnapshot(
         daemon=context.daemon_name,
--- a/rackswitch/gateway/duties/duties.py
+++ b/rackswitch/gateway/duties/duties.py
@@ -51,7 +51,7 @@
             context.usage = UsageCounts(windows, time.time())
         self.usage = UsageService(context, context.usage)
 
-    def wanted_roles(self) -> list[str]:
+    def required_roles(self) -> list[str]:
         """Return the roles that the settings require."""
         return [DUTIES_ROLE] if self._context.settings.duties is not None else []
 
--- a/rackswitch/gateway/duties/duty_turn.py
+++ b/rackswitch/gateway/duties/duty_turn.py
@@ -5,7 +5,7 @@
 from rackswitch.clients.kv import KvEntry
 from rackswitch.gateway.turns import Turn, TurnManager
 
-__all__ = ["DUTIES_KEY", "DUTIES_ROLE", "DUTIES_TURN", "DutyRecord", "note_record"]
+__all__ = ["DUTIES_KEY", "DUTIES_ROLE", "DUTIES_TURN", "DutyRecord", "record_duty_entry"]
 
 DUTIES_ROLE = "duties"
 DUTIES_KEY = "control/duties"
@@ -19,7 +19,7 @@
     holder: str
 
 
-def note_record(turns: TurnManager, entry: KvEntry) -> None:
+def record_duty_entry(turns: TurnManager, entry: KvEntry) -> None:
     """Update the turns by the stored record."""
     record = msgspec.json.decode(entry.value, type=DutyRecord)
     turns.record_entry(DUTIES_TURN.group, record.holder, entry.mod_revision)
--- a/rackswitch/gateway/duties/fenced_record.py
+++ b/rackswitch/gateway/duties/fenced_record.py
@@ -6,7 +6,7 @@
 
 from rackswitch.clients.kv import Compare, KvEntry, KvUnavailable, Operation
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.duties.duty_turn import DUTIES_TURN, DutyRecord, note_record
+from rackswitch.gateway.duties.duty_turn import DUTIES_TURN, DutyRecord, record_duty_entry
 from rackswitch.gateway.turns import Entry, TurnManager
 
 __all__ = ["FencedRecord"]
@@ -73,7 +73,9 @@
     async def _read(self) -> T | None:
         read = await self._context.kv.read(self._key)
         if isinstance(read, KvUnavailable):
-            self._context.contact.record_failure(self._context.now_seconds(), read.detail)
+            self._context.store_reachability.record_failure(
+                self._context.now_seconds(), read.detail
+            )
             return None
         self.value, self._revision = self._empty, 0
         for found in read.entries:
@@ -82,4 +84,4 @@
         return self.value
 
     def _record_turn(self, entry: KvEntry) -> None:
-        note_record(self._turns, entry)
+        record_duty_entry(self._turns, entry)
--- a/rackswitch/gateway/duties/scaling_manager.py
+++ b/rackswitch/gateway/duties/scaling_manager.py
@@ -181,7 +181,7 @@
 
         Around an outage of the key-value service live engines may be missing too.
         """
-        contact = self._context.contact
+        contact = self._context.store_reachability
         settled_seconds = contact.recovered_at_seconds + LIST_SETTLE_SECONDS
         return not contact.is_unreachable and self._context.now_seconds() >= settled_seconds
 
--- a/rackswitch/gateway/duties/tests/test_path_usage.py
+++ b/rackswitch/gateway/duties/tests/test_path_usage.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from rackswitch.gateway.tests.path import play, wait_for
+from rackswitch.gateway.tests.path import run_scenario, wait_for
 from rackswitch.gateway.tests.test_path_tenants import ACME, ZETA, state
 
 WINDOW_SECONDS = 1.0
@@ -37,7 +37,7 @@
         await wait_for(lambda: total_by_tenant(fleet) == expected, 12.0)
         assert len({call.holder for call in fleet.api.calls}) == 1
 
-    play(scenario, usage_window_seconds=WINDOW_SECONDS)
+    run_scenario(scenario, usage_window_seconds=WINDOW_SECONDS)
 
 
 def test_jobs_items_and_reward_calls_are_not_reported_as_usage():
@@ -50,7 +50,7 @@
         await wait_for(lambda: len(fleet.api.usage()) >= reported + 4, 12.0)
         assert total_by_tenant(fleet) == {}
 
-    play(scenario, usage_window_seconds=WINDOW_SECONDS)
+    run_scenario(scenario, usage_window_seconds=WINDOW_SECONDS)
 
 
 def test_reports_the_counts_of_a_stopping_daemon():
@@ -65,7 +65,7 @@
         await wait_for(lambda: total_by_tenant(fleet) == {"acme": 5}, 12.0)
 
     # Long enough that the window is still open when the daemon stops.
-    play(scenario, usage_window_seconds=6.0)
+    run_scenario(scenario, usage_window_seconds=6.0)
 
 
 def test_sends_pending_reports_unchanged_after_an_outage_of_the_api():
@@ -82,4 +82,4 @@
             contents.setdefault(call.body["window"], set()).add(str(call.body["counts"]))
         assert all(len(content) == 1 for content in contents.values())
 
-    play(scenario, usage_window_seconds=WINDOW_SECONDS)
+    run_scenario(scenario, usage_window_seconds=WINDOW_SECONDS)
--- a/rackswitch/gateway/duties/tests/test_scaling_manager.py
+++ b/rackswitch/gateway/duties/tests/test_scaling_manager.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rackswitch.daemon.roles import RoleManager
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.duties.duty_turn import DUTIES_ROLE
 from rackswitch.gateway.duties.scaling_manager import ScalingManager
 from rackswitch.gateway.jobs.job_records import JobMarker
@@ -66,7 +66,7 @@
 def start(name: str, kv: KvStore, platform: Platform, work_seconds: float, listed: bool = True):
     context = make_gateway_context(name, kv)
     context.policy = PolicySettings(engines_wanted="forecast")
-    context.daemon.view.offer(TABLE)
+    context.daemon.view.replace_if_newer(TABLE)
     platform.contexts.append(context)
     if listed:
         platform.list_engines(context)
@@ -95,7 +95,7 @@
         platform.outcome = DutyOutcome.NONE_AVAILABLE
         await context.daemon.cancel_all()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("outcome", [DutyOutcome.NONE_AVAILABLE, DutyOutcome.BUSY])
@@ -112,7 +112,7 @@
         assert sum(platform.counts.values()) >= 8
         await context.daemon.cancel_all()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_new_holder_continues_from_the_stored_orders():
@@ -131,7 +131,7 @@
         assert sum(platform.counts.values()) == 8
         await second.daemon.cancel_all()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_removes_a_lasting_surplus_down_to_the_wanted_count():
@@ -143,4 +143,4 @@
         assert platform.min_engines >= 4
         await context.daemon.cancel_all()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
--- a/rackswitch/gateway/duties/tests/test_usage_gathering.py
+++ b/rackswitch/gateway/duties/tests/test_usage_gathering.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.duties.usage_gathering import UsageGatherer, counts_to_messages
 from rackswitch.gateway.tests.support import make_gateway_context
 from rackswitch.membership import VmEntry
@@ -43,11 +43,11 @@
         )
         context.daemon.membership.update_from_complete_list(entries, 1.0)
         counts = UsageCounts(WINDOWS, 0.0)
-        counts.began("t", 1001.0)
-        counts.began("u", 1002.0)
+        counts.record_start("t", 1001.0)
+        counts.record_start("u", 1002.0)
         return await UsageGatherer(context, counts).gather(WINDOW)
 
-    return run_virtual(scenario())
+    return run_on_virtual_clock(scenario())
 
 
 def test_asks_every_daemon_including_a_stopping_one():
--- a/rackswitch/gateway/duties/tests/test_usage_runs.py
+++ b/rackswitch/gateway/duties/tests/test_usage_runs.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.duties.tests.usage_run import RegatheringReporter, UsageRun
 
 RUN_SECONDS = 240.0
@@ -14,7 +14,7 @@
         await run.run(RUN_SECONDS)
         return run
 
-    return run_virtual(scenario())
+    return run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/rackswitch/gateway/duties/tests/usage_run.py
+++ b/rackswitch/gateway/duties/tests/usage_run.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 
 from rackswitch.daemon.roles import RoleManager
-from rackswitch.gateway.duties.duty_turn import DUTIES_KEY, DUTIES_ROLE, note_record
+from rackswitch.gateway.duties.duty_turn import DUTIES_KEY, DUTIES_ROLE, record_duty_entry
 from rackswitch.gateway.duties.fenced_record import FencedRecord
 from rackswitch.gateway.duties.usage_gathering import GatheredUsage
 from rackswitch.gateway.duties.usage_reporter import REPORTS_KEY, UsageReporter
 from rackswitch.gateway.tests.support import (
-    break_at_random,
+    inject_random_faults,
     make_gateway_context,
     turn_violations,
 )
@@ -122,7 +122,7 @@
         for name in DAEMONS:
             self._start(name)
         fault_task = asyncio.create_task(
-            break_at_random(self.rng, FAULT_INTERVAL_SECONDS, FAULT_KINDS, self._inject_fault)
+            inject_random_faults(self.rng, FAULT_INTERVAL_SECONDS, FAULT_KINDS, self._inject_fault)
         )
         await asyncio.sleep(seconds)
         fault_task.cancel()
@@ -160,7 +160,7 @@
             await asyncio.sleep(self.rng.uniform(0.1, 0.7))
             if not self._faults[name].down:
                 for entry in self.kv.read(DUTIES_KEY).entries:
-                    note_record(turns, entry)
+                    record_duty_entry(turns, entry)
 
     async def _inject_fault(self, kind: str) -> None:
         name = self.rng.choice(DAEMONS)
--- a/rackswitch/gateway/duties/usage_gathering.py
+++ b/rackswitch/gateway/duties/usage_gathering.py
@@ -61,7 +61,7 @@
 
     async def gather(self, window: int) -> GatheredUsage:
         """Return the counts of a window from all reachable daemons."""
-        gathered = GatheredUsage(Counter(self._counts.of(window)), answered=1)
+        gathered = GatheredUsage(Counter(self._counts.counts_in(window)), answered=1)
         # Stopping daemons are asked too: they hand over their counts only at their end.
         peers = self._context.daemon.membership.reachable_peers()
         unanswered = await self._ask_all(peers, window, gathered)
--- a/rackswitch/gateway/duties/usage_reporter.py
+++ b/rackswitch/gateway/duties/usage_reporter.py
@@ -89,10 +89,10 @@
         if reports is None:
             return
         settle_seconds = self._settle_seconds()
-        window = reports.next_to_gather(self._windows, settle_seconds, self._wall_clock())
+        window = reports.next_window_to_collect(self._windows, settle_seconds, self._wall_clock())
         if window is not None:
             report = await self._gather(window)
-            await self._write_and_send(reports.with_fixed(report))
+            await self._write_and_send(reports.with_stored_report(report))
         elif reports.open and self._context.now_seconds() >= self._next_retry_seconds:
             await self._write_and_send(reports)
 
@@ -141,7 +141,7 @@
         holder = Holder(self._context.daemon_name, fencing)
         answer = await self._client.report_usage(holder, report.window, report.counts)
         if answer.outcome in (DutyOutcome.ACCEPTED, DutyOutcome.REFUSED):
-            reports.taken(report.window)
+            reports.record_delivered(report.window)
         seconds_after_end = self._wall_clock() - self._windows.ends_at_unix_seconds(report.window)
         self._context.log.write(
             UsageSent(
--- a/rackswitch/gateway/duties/usage_service.py
+++ b/rackswitch/gateway/duties/usage_service.py
@@ -37,7 +37,7 @@
     def window_counts(self, request: pb.CountUsageRequest) -> pb.CountUsageReply:
         """Return the counts of a window."""
         return pb.CountUsageReply(
-            counts=counts_to_messages(self._counts.of(request.window)),
+            counts=counts_to_messages(self._counts.counts_in(request.window)),
             counted_from_ms=round(self._counts.counted_from_unix_seconds * 1000),
         )
 
@@ -58,7 +58,7 @@
         """
         windows = [
             pb.WindowUsage(window=window, counts=counts_to_messages(counts))
-            for window, counts in self._counts.take_since(first_window).items()
+            for window, counts in self._counts.pop_since(first_window).items()
         ]
         if not windows:
             return
--- a/rackswitch/gateway/items/item_starter.py
+++ b/rackswitch/gateway/items/item_starter.py
@@ -123,7 +123,7 @@
 
         Slack, other owners' runs, memory, urgency and leaving engines count only for these.
         """
-        return frozenset(filter(self._context.chooses_by_load, services))
+        return frozenset(filter(self._context.chooses_targets_by_load, services))
 
     def _services(self, owned_jobs: dict[str, OwnedJob], now_seconds: float) -> dict[str, str]:
         """Return the service that runs each job; give up items that no engine may run."""
--- a/rackswitch/gateway/items/load_poller.py
+++ b/rackswitch/gateway/items/load_poller.py
@@ -63,7 +63,7 @@
 
     def _record_load(self, target: ListedTarget, report: EngineReport, now_seconds: float) -> None:
         """Pass a report to the load estimator; it states no pace."""
-        if not target.slots or not self._context.chooses_by_load(target.service):
+        if not target.slots or not self._context.chooses_targets_by_load(target.service):
             return
         reported_at_seconds = now_seconds - ASSUMED_REPORT_AGE_SECONDS
         reported_load = ReportedLoad(
--- a/rackswitch/gateway/items/run_load_tracker.py
+++ b/rackswitch/gateway/items/run_load_tracker.py
@@ -24,7 +24,7 @@
 
     def estimate(self, target: ListedTarget, now_seconds: float) -> TargetEstimate | None:
         """Return an engine's estimate for a typical run; None if its load is not considered."""
-        if not self._context.chooses_by_load(target.service):
+        if not self._context.chooses_targets_by_load(target.service):
             return None
         return self._estimate(target, now_seconds)
 
@@ -59,7 +59,7 @@
         """
         measured_seconds = intervals.seconds_per_piece()
         load_estimator = self._context.load_estimator
-        if measured_seconds is None or not self._context.chooses_by_load(target.service):
+        if measured_seconds is None or not self._context.chooses_targets_by_load(target.service):
             return measured_seconds
         now_seconds = self._context.now_seconds()
         estimate = load_estimator.estimate(target, WorkKind.TEXT, remaining_pieces, now_seconds)
--- a/rackswitch/gateway/items/tests/test_item_runner.py
+++ b/rackswitch/gateway/items/tests/test_item_runner.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.items.item_runner import FIRST_PIECE_TIMEOUT_SECONDS, ItemRunner
 from rackswitch.gateway.items.load_poller import LoadPoller
@@ -91,7 +91,7 @@
         await run_task
         return runner._context.targets[ENGINE.instance].open_until_seconds > now_seconds
 
-    assert run_virtual(scenario()) is is_in_cooldown
+    assert run_on_virtual_clock(scenario()) is is_in_cooldown
 
 
 @pytest.mark.parametrize(("urgency", "is_in_cooldown"), [(5, True), (7, False)])
@@ -108,7 +108,7 @@
         await run_task
         return runner._context.targets[ENGINE.instance].open_until_seconds > now_seconds
 
-    assert run_virtual(scenario()) is is_in_cooldown
+    assert run_on_virtual_clock(scenario()) is is_in_cooldown
 
 
 @pytest.mark.parametrize("spare_seconds_per_piece", [None, 0.04, 0.05])
@@ -121,7 +121,7 @@
         ended = await run_item(runner, ledger)
         return ended.end, ledger.items["i0"].moves, runner.spare
 
-    end, moves, spare = run_virtual(scenario())
+    end, moves, spare = run_on_virtual_clock(scenario())
     assert moves == (spare_seconds_per_piece == 0.04)
     assert (end is ItemRunEnd.COMPLETE) is (moves == 0)
     assert all(capacity.free_slots == 1 - moves for capacity in spare.values())
@@ -135,7 +135,7 @@
         await run_item(runner, ledger)
         return runner.occupancy.other_runs(ENGINE.instance, runner._context.now_seconds())
 
-    assert run_virtual(scenario()) == 9
+    assert run_on_virtual_clock(scenario()) == 9
 
 
 class FakeOrderClient:
@@ -161,7 +161,7 @@
         now_seconds = context.now_seconds()
         return occupancy.other_runs("e1", now_seconds), occupancy.other_runs("e2", now_seconds)
 
-    assert run_virtual(scenario()) == (15, 0)
+    assert run_on_virtual_clock(scenario()) == (15, 0)
 
 
 @pytest.mark.parametrize(
@@ -185,7 +185,7 @@
         await run_item(*make_runner(engine, quarantine))
         return quarantine.reports
 
-    assert run_virtual(scenario()) == [report]
+    assert run_on_virtual_clock(scenario()) == [report]
 
 
 @pytest.mark.parametrize(("pieces", "reports"), [(1, ["broke"]), (10, ["broke"]), (40, [])])
@@ -197,4 +197,4 @@
         await run_item(*make_runner(engine, quarantine))
         return quarantine.reports
 
-    assert run_virtual(scenario()) == reports
+    assert run_on_virtual_clock(scenario()) == reports
--- a/rackswitch/gateway/items/tests/test_item_starter.py
+++ b/rackswitch/gateway/items/tests/test_item_starter.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.items import item_starter
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.items.item_runner import ItemRunner
@@ -148,7 +148,7 @@
         self.context = make_gateway_context(name, KvStore())
         self.context.settings = replace(self.context.settings, drain_seconds=DRAIN_SECONDS)
         self.context.policy = policy
-        self.context.daemon.view.offer(TABLE)
+        self.context.daemon.view.replace_if_newer(TABLE)
         self.context.routes = index_routes(TABLE)
         for number in range(count):
             self.list_engine(f"e{number}")
@@ -245,7 +245,7 @@
         check_complete_texts(owner, engines)
         return requests_at_notice_end, engines.requests
 
-    requests_at_notice_end, requests = run_virtual(scenario())
+    requests_at_notice_end, requests = run_on_virtual_clock(scenario())
     assert requests_at_notice_end[:2] == [("e0", "j-0"), ("e0", "j-1")]
     assert requests_at_notice_end[2:] == ([("e1", "j-0")] if moves else [])
     # The run continues after its last piece, whether it was moved or interrupted.
@@ -265,7 +265,7 @@
         await owner.run_for(0.2)
         return [name for name, _ in engines.requests]
 
-    assert run_virtual(scenario()) == ["e0", "e1"]
+    assert run_on_virtual_clock(scenario()) == ["e0", "e1"]
 
 
 def test_moves_runs_from_an_engine_that_is_no_longer_listed():
@@ -281,7 +281,7 @@
         check_complete_texts(owner, engines)
         return [name for name, _ in engines.requests]
 
-    assert run_virtual(scenario()) == ["e0", "e1"]
+    assert run_on_virtual_clock(scenario()) == ["e0", "e1"]
 
 
 @pytest.mark.parametrize(
@@ -305,7 +305,7 @@
         await owner.run_for(1.0)
         return [name for name, _ in engines.requests]
 
-    assert run_virtual(scenario()) == expected_engines
+    assert run_on_virtual_clock(scenario()) == expected_engines
     assert suspected == []
 
 
@@ -325,7 +325,7 @@
             )
         assert owner.runner.own_runs.by_start == {}
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_moves_runs_only_to_free_slots():
@@ -342,7 +342,7 @@
         await owner.run_for(1.0)
         return [name for name, _ in engines.requests][2 * SLOTS - 2 :], engines.max_queued
 
-    assert run_virtual(scenario()) == (["e1", "e1"], 0)
+    assert run_on_virtual_clock(scenario()) == (["e1", "e1"], 0)
 
 
 def test_sends_urgency_by_slack_and_rank_only_if_enabled():
@@ -362,7 +362,7 @@
             await owner.run_for(0.1)
             return {request.item.item_id: request.urgency for _, request in engines.requests}
 
-        return run_virtual(scenario())
+        return run_on_virtual_clock(scenario())
 
     urgencies = urgencies_with(ON)
     expected_order = ["late-0", "tight-0", "easy-0", "second-0", "easy-2"]
@@ -388,7 +388,7 @@
                 check_complete_texts(owner, engines)
             return engines.max_queued
 
-        return run_virtual(scenario())
+        return run_on_virtual_clock(scenario())
 
     assert max_queued(OFF) >= SLOTS
     # Without a load report, an owner sends its first runs at once.
@@ -411,7 +411,7 @@
         return sorted(name for name, _ in engines.requests)
 
     # Each item will use 5,000 tokens: the faster engine has memory for only one.
-    assert run_virtual(scenario()) == ["e0", "e1"]
+    assert run_on_virtual_clock(scenario()) == ["e0", "e1"]
 
 
 @pytest.mark.parametrize(("policy", "pace"), [(OFF, 1.0), (OFF, None), (ON, None)])
@@ -450,7 +450,7 @@
             await asyncio.sleep(rng.uniform(0.1, 0.9))
         return expected_capacities, {"j": owner.owned["j"].due_seconds}
 
-    expected_capacities, due = run_virtual(scenario())
+    expected_capacities, due = run_on_virtual_clock(scenario())
     for (capacities, planned_due_seconds, longest, order, tokens_of), expected in zip(
         plan_calls, expected_capacities, strict=True
     ):
@@ -481,7 +481,7 @@
         owner.runner.record_memory(listed, report)
         owner.starter.start_items(owner.owned)
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
     [(free_slots, free_tokens, order, tokens_of)] = plan_calls
     assert (free_slots, free_tokens) == (SLOTS - 4, 100)
     assert isinstance(order, SlackOrder)
@@ -505,7 +505,7 @@
             ledger.items["j-1"].pieces = ["x"] * 100
         return surplus
 
-    assert run_virtual(scenario()) == [["j-2"], ["j-2"], ["j-1"]]
+    assert run_on_virtual_clock(scenario()) == [["j-2"], ["j-2"], ["j-1"]]
 
 
 def test_only_services_with_reported_paces_share_engines(monkeypatch):
@@ -540,7 +540,7 @@
         await asyncio.sleep(2.0)
         owner.starter.start_items(owner.owned)
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
     assert planned_by_service == {"s": (SLOTS - 4, True, True), "t": (SLOTS, False, False)}
 
 
@@ -563,7 +563,7 @@
         return spare, [name for name, _ in owner.runner._item_client.requests]
 
     # The item will use 5,000 tokens, more than the engine has: the engine itself refuses it.
-    assert run_virtual(scenario()) == ([set(), {"s"}], ["e0"])
+    assert run_on_virtual_clock(scenario()) == ([set(), {"s"}], ["e0"])
 
 
 @pytest.mark.parametrize("policy", [ON, OFF])
@@ -608,7 +608,7 @@
             assert owner.runner.own_runs.by_start == {}
             assert all(count == 0 for count in owner.runner.occupancy.own_runs.values())
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -648,7 +648,7 @@
             check_complete_texts(owner, engines)
         return worst_seconds
 
-    assert run_virtual(scenario()) <= 0.1 + 2 * TICK_SECONDS
+    assert run_on_virtual_clock(scenario()) <= 0.1 + 2 * TICK_SECONDS
 
 
 def test_decodes_an_item_without_prompt_tokens():
@@ -680,4 +680,4 @@
         return free_slots
 
     # Planned; reserved during the retry delay; free again for the plan that starts the item.
-    assert run_virtual(scenario()) == [0, 0, 1]
+    assert run_on_virtual_clock(scenario()) == [0, 0, 1]
--- a/rackswitch/gateway/items/tests/test_run_load_tracker.py
+++ b/rackswitch/gateway/items/tests/test_run_load_tracker.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.items.item_runner import ItemRunner
 from rackswitch.gateway.items.item_starter import ItemStarter
@@ -67,7 +67,7 @@
         report_load(runner, ENGINES[1])
         return started_engines(runner)
 
-    assert set(run_virtual(scenario())) == {"e2"}
+    assert set(run_on_virtual_clock(scenario())) == {"e2"}
 
 
 def test_capacities_ignore_the_load_estimate_of_engines_without_a_pace():
@@ -81,7 +81,7 @@
             )
         return capacities_before, capacities_of(runner)
 
-    capacities_before, capacities_after = run_virtual(scenario())
+    capacities_before, capacities_after = run_on_virtual_clock(scenario())
     assert capacities_before == capacities_after
     assert all(engine.estimate is None for engine in capacities_after)
 
@@ -97,7 +97,7 @@
         await run_task
         return during_run, runner.load_tracker.estimate(ENGINES[0], runner._context.now_seconds())
 
-    during_run, after_run = run_virtual(scenario())
+    during_run, after_run = run_on_virtual_clock(scenario())
     assert during_run.running == 1
     # The refusal is newer than the load report that showed free slots.
     assert (after_run.free_slots == 0) is (end is ItemRunEnd.NOT_RUN)
@@ -114,7 +114,7 @@
         await asyncio.gather(run_task, return_exceptions=True)
         return runner.load_tracker.estimate(ENGINES[0], runner._context.now_seconds()).running
 
-    assert run_virtual(scenario()) == 0
+    assert run_on_virtual_clock(scenario()) == 0
 
 
 @pytest.mark.parametrize(("pace", "moves"), [(2.5, 1), (1.0, 0)])
@@ -130,7 +130,7 @@
         await run_item(runner, ledger)
         return ledger.items["i0"].moves
 
-    assert run_virtual(scenario()) == moves
+    assert run_on_virtual_clock(scenario()) == moves
 
 
 def test_an_engine_filled_by_others_is_no_spare_capacity():
@@ -140,7 +140,7 @@
         report_load(runner, ENGINES[1], running=12, waiting=1, pace=0.6)
         return spare_capacities(capacities_of(runner))
 
-    assert run_virtual(scenario())["s"].instance == "e1"
+    assert run_on_virtual_clock(scenario())["s"].instance == "e1"
 
 
 def test_logs_the_estimate_of_the_engine_with_the_run(monkeypatch):
@@ -154,7 +154,7 @@
         await run_item(runner, JobLedger(make_job()))
         return logged_events[-1].place, run_seconds
 
-    estimate, run_seconds = run_virtual(scenario())
+    estimate, run_seconds = run_on_virtual_clock(scenario())
     assert estimate.word_age_seconds == pytest.approx(0.2, abs=0.01)
     assert estimate.slots == 12
     assert estimate.wait_seconds > run_seconds / 12
@@ -169,4 +169,4 @@
         report_load(runner, ENGINES[0], pace=None)
         return ItemStarter(context, runner, asyncio.Event())._load_based_services({"s"})
 
-    assert bool(run_virtual(scenario())) is queues_calls
+    assert bool(run_on_virtual_clock(scenario())) is queues_calls
--- a/rackswitch/gateway/jobs/hand_over_receiver.py
+++ b/rackswitch/gateway/jobs/hand_over_receiver.py
@@ -165,6 +165,6 @@
         self, request: pb.HandOverRequest, job_id: str, position: int | None
     ) -> int | JobNotStored:
         """Claim a job, conditional on the sender's owner revision."""
-        if request.may_wait and self._context.contact.is_unreachable:
+        if request.may_wait and self._context.store_reachability.is_unreachable:
             return JobNotStored("the key-value service is unreachable", effect_unknown=False)
         return await self._local_claims.claim_offered(job_id, request.owner_revision, position)
--- a/rackswitch/gateway/jobs/hand_over_sender.py
+++ b/rackswitch/gateway/jobs/hand_over_sender.py
@@ -98,7 +98,7 @@
         """Offer a job to one daemon after the other until one takes it."""
         job_id = owned.ledger.job.job_id
         until_seconds = self._context.now_seconds() + OFFERS_TIMEOUT_SECONDS
-        service_unreachable = self._context.contact.is_unreachable
+        service_unreachable = self._context.store_reachability.is_unreachable
         for successor in self._successors(owned):
             if self._context.now_seconds() >= until_seconds or not self._is_owned_here(owned):
                 break
@@ -138,7 +138,7 @@
             SuccessorCandidate(
                 OwnerCandidate(
                     name,
-                    context.free_slots_of(name),
+                    context.processor_share_of(name),
                     open_items[name],
                     now_unix_seconds - last_submits.get(name, float("-inf")),
                     is_restarted(
--- a/rackswitch/gateway/jobs/job_claims.py
+++ b/rackswitch/gateway/jobs/job_claims.py
@@ -121,7 +121,7 @@
 
     def claim_due(self) -> None:
         """Start the claims that are due, in the order in which training steps need the jobs."""
-        is_unreachable = self._context.contact.is_unreachable
+        is_unreachable = self._context.store_reachability.is_unreachable
         if is_unreachable or (self._session.lease_id is not None and not self._session.is_valid()):
             self._probe()
         if is_unreachable:
@@ -180,7 +180,7 @@
 
     def _has_just_recovered(self) -> bool:
         """Return whether an outage of the key-value service has ended a moment ago."""
-        recovered_at_seconds = self._context.contact.recovered_at_seconds
+        recovered_at_seconds = self._context.store_reachability.recovered_at_seconds
         return self._context.now_seconds() - recovered_at_seconds < RECOVERY_GRACE_SECONDS
 
     async def claim(self, job_id: str, marker_revision: int) -> None:
--- a/rackswitch/gateway/jobs/job_cleaner.py
+++ b/rackswitch/gateway/jobs/job_cleaner.py
@@ -42,7 +42,7 @@
         """Delete one old job after the other until cancelled."""
         while True:
             await asyncio.sleep(CLEAN_INTERVAL_SECONDS * (0.5 + self._context.rng.random()))
-            if self._context.daemon.stopping or self._context.contact.is_unreachable:
+            if self._context.daemon.stopping or self._context.store_reachability.is_unreachable:
                 continue
             job_id = self._next_job()
             if job_id is not None:
--- a/rackswitch/gateway/jobs/job_handler.py
+++ b/rackswitch/gateway/jobs/job_handler.py
@@ -139,7 +139,7 @@
 
     def _retry_after_seconds(self) -> float:
         """Return the retry delay for a refused trainer, longer during an outage."""
-        contact = self._context.contact
+        contact = self._context.store_reachability
         if not contact.is_unreachable:
             return RETRY_AFTER_SECONDS
         now_seconds = self._context.now_seconds()
--- a/rackswitch/gateway/jobs/job_placer.py
+++ b/rackswitch/gateway/jobs/job_placer.py
@@ -71,7 +71,10 @@
         During an outage of the key-value service that is this daemon: others are probably cut off
         too, and the submitter would wait `FORWARD_TIMEOUT_SECONDS` for an unknown outcome.
         """
-        if not self._context.policy.jobs_gathered or self._context.contact.is_unreachable:
+        if (
+            not self._context.policy.jobs_gathered
+            or self._context.store_reachability.is_unreachable
+        ):
             return self._context.daemon_name
         open_items = self._job_manager.known.open_items()
         last_submits = self._job_manager.known.last_submit_unix_seconds()
@@ -80,7 +83,7 @@
         candidates = [
             OwnerCandidate(
                 name,
-                self._context.free_slots_of(name),
+                self._context.processor_share_of(name),
                 open_items[name],
                 idle_seconds=job.submitted_at_unix_seconds - last_submits.get(name, float("-inf")),
                 is_restarted=name in restarted,
--- a/rackswitch/gateway/jobs/job_store.py
+++ b/rackswitch/gateway/jobs/job_store.py
@@ -18,7 +18,7 @@
     KvUnavailable,
     Operation,
     TxnPart,
-    TxnPartDone,
+    TxnPartResult,
 )
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.jobs.job_outcomes import (
@@ -336,19 +336,19 @@
         self._record_reply(read)
         return read
 
-    async def _txn(self, part: TxnPart) -> TxnPartDone | JobNotStored:
+    async def _txn(self, part: TxnPart) -> TxnPartResult | JobNotStored:
         reply = await self._context.kv.txn([part])
         self._record_reply(reply)
         if isinstance(reply, KvUnavailable):
             return JobNotStored(reply.detail, reply.effect_unknown)
-        if reply[0].lease_gone:
+        if reply[0].lease_expired:
             return JobNotStored(
                 "the session's lease has expired", effect_unknown=False, lease_gone=True
             )
         return reply[0]
 
     def _record_reply(self, reply: object) -> None:
-        self._context.contact.record_result(self._context.now_seconds(), reply)
+        self._context.store_reachability.record_result(self._context.now_seconds(), reply)
 
 
 def _checkpoint_put(key_part: str, checkpoint: JobCheckpoint) -> Operation:
--- a/rackswitch/gateway/jobs/tests/fault_injection_run.py
+++ b/rackswitch/gateway/jobs/tests/fault_injection_run.py
@@ -28,7 +28,7 @@
 from rackswitch.gateway.tests.support import (
     NoLoadPoller,
     NoQuarantine,
-    break_at_random,
+    inject_random_faults,
     make_gateway_context,
 )
 from rackswitch.jobs import Job, JobItem, JobResult, TextPiece
@@ -202,7 +202,7 @@
         self.context = make_gateway_context(name, kv, rng.randrange(1 << 30), self.faults)
         self.kv = StallingKv(kv, rng, self.faults)
         self.context.daemon.kv = self.kv
-        self.context.daemon.view.offer(TABLE)
+        self.context.daemon.view.replace_if_newer(TABLE)
         self.context.routes = index_routes(TABLE)
         for number in range(ENGINES):
             listed = ListedTarget(f"e{number}", "s", "h", 1, "z", SLOTS, False, {"m": 1})
@@ -247,7 +247,7 @@
         while True:
             await asyncio.sleep(REPLICA_INTERVAL_SECONDS * (0.5 + self.context.rng.random()))
             read = await self.kv.read(CONTROL_PREFIX, is_prefix=True)
-            self.context.contact.record_result(self.context.now_seconds(), read)
+            self.context.store_reachability.record_result(self.context.now_seconds(), read)
             if isinstance(read, KvUnavailable):
                 continue
             changes = self._replica.replace(read.entries, read.revision)
@@ -323,7 +323,9 @@
     async def run(self, seconds: float) -> None:
         for name in ("a", "b", "c"):
             self._start(name)
-        injecting = break_at_random(self.rng, FAULT_FREE_SECONDS, self._faults, self._inject_fault)
+        injecting = inject_random_faults(
+            self.rng, FAULT_FREE_SECONDS, self._faults, self._inject_fault
+        )
         tasks = [asyncio.create_task(duty) for duty in (self._submit(), self._read(), injecting)]
         await asyncio.sleep(seconds)
         tasks[2].cancel()
@@ -334,8 +336,10 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         for name, process in self.processes.items():
-            if process.context.daemon.broken is not None:
-                self.history.violations.append(f"{name}: {process.context.daemon.broken}")
+            if process.context.daemon.violated_invariant is not None:
+                self.history.violations.append(
+                    f"{name}: {process.context.daemon.violated_invariant}"
+                )
             await process.context.daemon.cancel_all()
 
     def _start(self, name: str) -> None:
--- a/rackswitch/gateway/jobs/tests/hand_over_fleet.py
+++ b/rackswitch/gateway/jobs/tests/hand_over_fleet.py
@@ -170,5 +170,5 @@
 
     async def stop_all(self) -> None:
         for process in self.processes.values():
-            assert process.context.daemon.broken is None
+            assert process.context.daemon.violated_invariant is None
             await process.context.daemon.cancel_all()
--- a/rackswitch/gateway/jobs/tests/test_hand_over.py
+++ b/rackswitch/gateway/jobs/tests/test_hand_over.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.jobs.job_checkpoints import MIN_CHECKPOINT_PIECES
 from rackswitch.gateway.jobs.job_outcomes import JobCreated
 from rackswitch.gateway.jobs.job_reader import JobReader
@@ -33,7 +33,7 @@
         finally:
             await fleet.stop_all()
 
-    return run_virtual(run())
+    return run_on_virtual_clock(run())
 
 
 def test_a_planned_stop_under_full_load_repeats_no_piece_and_stalls_no_job():
@@ -511,7 +511,7 @@
         await fleet.submit("a", job)
         await asyncio.sleep(1.0)
         fleet.set_service_down(True)
-        assert not fleet.processes["a"].context.contact.is_unreachable
+        assert not fleet.processes["a"].context.store_reachability.is_unreachable
         await fleet.processes["a"].job_manager.hand_over()
         assert fleet.processes["b"].job_manager.owned["j"].awaits_claim
         await fleet.processes["a"].context.daemon.cancel_all()
--- a/rackswitch/gateway/jobs/tests/test_hand_over_machine.py
+++ b/rackswitch/gateway/jobs/tests/test_hand_over_machine.py
@@ -125,7 +125,7 @@
         if not hasattr(self, "fleet"):
             return
         for process in self.fleet.processes.values():
-            assert process.context.daemon.broken is None
+            assert process.context.daemon.violated_invariant is None
 
     def teardown(self) -> None:
         if not hasattr(self, "fleet"):
--- a/rackswitch/gateway/jobs/tests/test_job_checkpoints.py
+++ b/rackswitch/gateway/jobs/tests/test_job_checkpoints.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.jobs.job_checkpoints import PREDECESSOR_END_TIMEOUT_SECONDS, JobCheckpoints
 from rackswitch.gateway.jobs.known_jobs import KnownJobs
 from rackswitch.gateway.jobs.owned_job import new_owned_job
@@ -47,7 +47,7 @@
         await context.daemon.cancel_all()
         return first_startable, item.pieces, startable
 
-    first_startable, pieces, startable = run_virtual(scenario())
+    first_startable, pieces, startable = run_on_virtual_clock(scenario())
     # Items without a checkpoint may start at once.
     assert {"i1", "i2", "i3"} <= first_startable
     assert ("i0" in first_startable) is runs_ended
--- a/rackswitch/gateway/jobs/tests/test_job_cleaner.py
+++ b/rackswitch/gateway/jobs/tests/test_job_cleaner.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.jobs.job_cleaner import JobCleaner
 from rackswitch.gateway.jobs.job_records import JOBS_PREFIX
@@ -56,7 +56,7 @@
         await clean(context, known)
         assert kv.keys == {}
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_job_within_its_retention_time_is_not_deleted():
@@ -68,7 +68,7 @@
         await clean(context, known)
         assert kv.keys == before
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_an_interrupted_deletion_is_completed_later():
@@ -82,11 +82,11 @@
         assert any(key.startswith(JOBS_PREFIX) for key in kv.keys) or kv.keys == {}
         faults.lost_answer = 0.0
         # Stands for a successful renewal of the session.
-        context.contact.record_answer(context.now_seconds())
+        context.store_reachability.record_answer(context.now_seconds())
         await clean(context, known)
         assert kv.keys == {}
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_one_daemon_of_a_fleet_deletes_a_job():
@@ -99,4 +99,4 @@
         cleaners = [JobCleaner(c, known, JobStore(c)) for c in contexts.values()]
         assert sum(cleaner._next_job() is not None for cleaner in cleaners) == 1
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
--- a/rackswitch/gateway/jobs/tests/test_job_manager.py
+++ b/rackswitch/gateway/jobs/tests/test_job_manager.py
@@ -3,7 +3,7 @@
 import pytest
 
 from rackswitch.clients.kv import KvEntry
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.jobs.job_claims import CLAIM_REPLY_TIMEOUT_SECONDS
 from rackswitch.gateway.jobs.job_manager import JobManager
@@ -50,7 +50,7 @@
         await asyncio.sleep(CLAIM_REPLY_TIMEOUT_SECONDS + 0.1)
         assert job_manager.owned["j"].owner_revision == owner_entry(kv).mod_revision
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_predecessors_job_that_another_daemon_claimed_is_not_adopted():
@@ -70,7 +70,7 @@
         await asyncio.sleep(CLAIM_REPLY_TIMEOUT_SECONDS + 0.1)
         assert job_manager.owned == {}
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_job_that_another_daemon_owns_is_dropped():
@@ -86,7 +86,7 @@
         job_manager.owner_put(owner_entry(kv))
         assert job_manager.owned == {}
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("watch_first", [True, False])
@@ -115,7 +115,7 @@
         assert checkpoint.runs_ended
         assert [(item.item_id, len(item.pieces)) for item in checkpoint.items] == [("i1", 5)]
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_claimed_job_survives_a_late_deletion_of_the_former_owners_key():
@@ -135,7 +135,7 @@
         assert job_manager.owned["j"] is claimed
         assert not job_manager._claims._orphans.is_orphan("j")
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("watch_first", [True, False])
@@ -165,7 +165,7 @@
         assert job_manager.owned["j"].owner_revision == owner_entry(kv).mod_revision
         assert not job_manager._claims._orphans.is_orphan("j")
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_an_owner_claims_first_if_its_key_is_deleted_before_its_renewal_fails():
@@ -185,7 +185,7 @@
         assert job_manager._session.is_valid()
         assert kv.keys[OWNERS_PREFIX + "j"].lease_id == job_manager._session.lease_id
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_job_is_stored_although_the_lease_has_expired_unnoticed():
@@ -197,7 +197,7 @@
         assert owner_entry(kv).mod_revision == job_manager.owned["j"].owner_revision
         assert kv.keys[OWNERS_PREFIX + "j"].lease_id == job_manager._session.lease_id
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 class RefusingStore(JobStore):
@@ -220,4 +220,4 @@
         assert len(store.asked) == len(set(store.asked)) == MAX_LEASE_ATTEMPTS
         assert job_manager.owned == {}
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
--- a/rackswitch/gateway/jobs/tests/test_job_placer.py
+++ b/rackswitch/gateway/jobs/tests/test_job_placer.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.jobs.job_outcomes import JobCreated, JobKnown, JobNotStored
 from rackswitch.gateway.jobs.job_placer import ForwardedJobReceiver, JobPlacer
 from rackswitch.gateway.jobs.job_records import make_marker, pack_job
 from rackswitch.gateway.jobs.known_jobs import JobOwner
 from rackswitch.gateway.jobs.tests.test_job_manager import make_job_manager
 from rackswitch.gateway.policy import PolicySettings
-from rackswitch.gateway.tests.path import check_complete, play, wait_for
+from rackswitch.gateway.tests.path import check_complete, run_scenario, wait_for
 from rackswitch.gateway.tests.support import make_member
 from rackswitch.jobs.tests.support import make_job
 from rackswitch.membership import VmEntry
@@ -57,7 +57,7 @@
         assert not placer._job_manager.owned
         assert await placer.submit(make_job()) == JobKnown()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("reply", [PeerUnreachable("silent"), pb.TakeJobReply(detail="no")])
@@ -71,7 +71,7 @@
         await placer.submit(make_job(job_id="k"))
         assert links.called == ["b"]
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_job_stored_by_the_other_daemon_without_a_reply_is_stored_once():
@@ -85,7 +85,7 @@
         assert await placer.submit(make_job()) == JobKnown()
         assert not placer._job_manager.owned
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize(
@@ -105,7 +105,7 @@
         assert isinstance(outcome, JobNotStored)
         assert outcome.effect_unknown is unknown
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_while_the_service_is_unreachable_jobs_are_not_forwarded():
@@ -114,11 +114,13 @@
     async def scenario():
         links = FixedLinks(PeerUnreachable("silent"))
         placer = make_placer(KvStore(), links)
-        placer._context.contact.record_failure(placer._context.now_seconds(), "no answer")
+        placer._context.store_reachability.record_failure(
+            placer._context.now_seconds(), "no answer"
+        )
         assert isinstance(await placer.submit(make_job()), JobCreated)
         assert links.called == []
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_job_whose_submitter_gave_up_is_still_run():
@@ -134,7 +136,7 @@
         await asyncio.sleep(1.0)
         assert "j" in job_manager.owned
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize(("handed_over", "called"), [(True, ["c"]), (False, ["b"])])
@@ -157,7 +159,7 @@
         await placer.submit(make_job())
         assert links.called == called
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_an_invalid_or_late_forwarded_job_is_refused():
@@ -170,7 +172,7 @@
         job_manager._context.daemon.stopping = True
         assert not (await receiver.receive(pb.TakeJobRequest(job=pack_job(make_job())))).kept
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_jobs_submitted_anywhere_are_owned_by_one_daemon_and_read_everywhere():
@@ -186,4 +188,4 @@
         for number, name in enumerate(("d2", "d1", "d0")):
             check_complete(await fleet.read_all(name, f"k{number}"), [2, 3], f"k{number}")
 
-    play(scenario, daemons=3)
+    run_scenario(scenario, daemons=3)
--- a/rackswitch/gateway/jobs/tests/test_job_store.py
+++ b/rackswitch/gateway/jobs/tests/test_job_store.py
@@ -1,6 +1,6 @@
 import msgspec
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.jobs.job_outcomes import (
     AppendConflict,
     Appended,
@@ -35,7 +35,7 @@
         assert isinstance(second, JobKnown)
         assert await make_store("b", kv).load_items("j") == job
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_job_without_a_valid_lease_is_not_stored():
@@ -46,7 +46,7 @@
         assert isinstance(outcome, JobNotStored)
         assert kv.keys == {}
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_results_keep_their_positions_over_segments():
@@ -60,7 +60,7 @@
         assert await reader.load_results("j", 0) == [*FIRST, *OTHER]
         assert await reader.load_results("j", 1) == OTHER
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_an_unanswered_append_that_took_effect_is_recognized():
@@ -75,7 +75,7 @@
         outcome = await store.append("j", created.owner_revision, 0, [*FIRST, *OTHER])
         assert outcome == Appended(FIRST, already_stored=True)
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_former_owner_does_not_accept_the_new_owners_segment_as_its_own():
@@ -94,7 +94,7 @@
         assert isinstance(outcome, AppendConflict)
         assert await successor.load_results("j", 0) == FIRST
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_one_of_two_claims_succeeds():
@@ -112,7 +112,7 @@
         assert claims[0] > 0
         assert claims[1] == 0
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_an_ended_job_cannot_be_claimed_or_appended_to():
@@ -126,7 +126,7 @@
         assert isinstance(outcome, AppendConflict)
         assert await store.claim("j", known.mod_revision, kv.grant(100.0, 0.0), 0) == 0
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_identities_that_do_not_fit_in_a_key_are_hashed():
@@ -154,7 +154,7 @@
         assert await second.claim("j", marker.mod_revision, lease, stored.revision) > 0
         assert (await third.load_checkpoint("j")).checkpoint is None
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_only_the_owner_can_store_checkpoints():
@@ -170,7 +170,7 @@
         await store.store_checkpoint("j", created.owner_revision, checkpoint)
         assert (await store.load_checkpoint("j")).checkpoint == checkpoint
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_claim_at_a_position_is_refused_if_a_result_is_stored_there():
@@ -188,4 +188,4 @@
         assert await store.claim_and_append("j", claimed, 0, lease_id) > claimed
         assert await store.load_results("j", 0) == FIRST
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
--- a/rackswitch/gateway/jobs/tests/test_long_runs.py
+++ b/rackswitch/gateway/jobs/tests/test_long_runs.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.tests.fault_injection_run import (
     FAULTS,
@@ -27,7 +27,7 @@
         await asyncio.sleep(0)
         return run
 
-    return run_virtual(scenario())
+    return run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/rackswitch/gateway/jobs/tests/test_path_jobs.py
+++ b/rackswitch/gateway/jobs/tests/test_path_jobs.py
@@ -7,7 +7,7 @@
 from rackswitch.clients.kv import Operation, TxnPart
 from rackswitch.gateway.jobs.job_records import JOBS_PREFIX, job_key_part
 from rackswitch.gateway.policy import PolicySettings
-from rackswitch.gateway.tests.path import SCENARIO_SECONDS, check_complete, play, wait_for
+from rackswitch.gateway.tests.path import SCENARIO_SECONDS, check_complete, run_scenario, wait_for
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.peers.links import PeerUnreachable
 
@@ -29,7 +29,7 @@
             assert status == 200
         assert (await fleet.read("d0", "j1")).results == results
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_streams_that_break_inside_an_event_are_resumed_without_loss():
@@ -42,7 +42,7 @@
         resumed = [run for engine in fleet.engines for run in engine.runs if run.last_event_id]
         assert resumed
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_another_daemon_takes_a_dead_owners_job_and_keeps_its_positions():
@@ -57,7 +57,7 @@
         check_complete(results, pieces, "j1")
         assert results[: len(before)] == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_nothing_of_a_job_reaches_an_engine_after_its_end():
@@ -71,7 +71,7 @@
         await asyncio.sleep(1.0)
         assert sum(len(engine.runs) for engine in fleet.engines) == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_job_whose_acceptance_went_unanswered_is_not_refused_and_is_listed_once():
@@ -86,7 +86,7 @@
         assert await fleet.submit("d1", "j1", [2, 3]) == 202
         check_complete(await fleet.read_all("d1", "j1"), [2, 3], "j1")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_accepted_job_keeps_running_while_the_store_is_down():
@@ -101,7 +101,7 @@
         check_complete(await fleet.read_all("d0", "j1"), [40, 50, 60], "j1")
         assert await fleet.submit("d0", "j2", [2]) == 202
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_planned_stop_hands_the_jobs_over_and_cuts_nothing():
@@ -122,7 +122,7 @@
         assert len(resumed) == 2
         assert all(int(run.last_event_id) > 1 for run in resumed)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_planned_stop_while_the_store_is_down_hands_the_jobs_over_unclaimed():
@@ -142,7 +142,7 @@
         check_complete(await fleet.read_all("d1", "j1", 15.0), pieces, "j1")
         assert not received["j1"].awaits_claim
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_daemon_without_access_to_the_store_releases_its_job_with_its_texts():
@@ -153,7 +153,7 @@
         former = fleet.gateways["d0"]
         items = former.jobs.owned["j1"].ledger.items
         await wait_for(lambda: sum(item.last_number > 20 for item in items.values()) == 2)
-        former.direct.url = "http://127.0.0.1:9"
+        former.direct_transport.url = "http://127.0.0.1:9"
         fleet.store.end_lease(former.session.lease_id or 0)
         check_complete(await fleet.read_all("d1", "j1", 15.0), pieces, "j1")
         runs = [run for engine in fleet.engines for run in engine.runs]
@@ -164,7 +164,7 @@
 
     # Without these settings the former owner could reach the store through its peers, and runs
     # that move to a faster engine would be counted too.
-    play(scenario, policy=PolicySettings(calls_through_peers=False, runs_move=False))
+    run_scenario(scenario, policy=PolicySettings(calls_through_peers=False, runs_move=False))
 
 
 def test_a_job_that_is_handed_over_continues_without_a_wait_for_its_former_owner(monkeypatch):
@@ -176,7 +176,7 @@
 
     # Only a claim without a wait happens within the scenario's timeout.
     monkeypatch.setattr("rackswitch.jobs.orphaned_jobs.RANK_DELAY_SECONDS", 1000.0)
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_after_a_loss_of_all_daemons_jobs_are_claimed_without_waiting(monkeypatch):
@@ -190,7 +190,7 @@
 
     # Only a claim without a wait happens within the scenario's timeout.
     monkeypatch.setattr("rackswitch.jobs.orphaned_jobs.RANK_DELAY_SECONDS", 1000.0)
-    play(scenario)
+    run_scenario(scenario)
 
 
 class OwnerReadLinks:
@@ -244,4 +244,4 @@
         assert (await fleet.read("d1", "j1")).results == first.results
         assert range_reads() == reads + 1
 
-    play(scenario)
+    run_scenario(scenario)
--- a/rackswitch/gateway/jobs/tests/test_unsettled_appends.py
+++ b/rackswitch/gateway/jobs/tests/test_unsettled_appends.py
@@ -2,11 +2,11 @@
 
 from unittest.mock import patch
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.jobs.job_outcomes import JobNotStored
 from rackswitch.gateway.jobs.job_store import JobStore
 from rackswitch.gateway.jobs.tests.test_job_manager import apply_entries, make_job_manager
-from rackswitch.gateway.tests.path import play, wait_for
+from rackswitch.gateway.tests.path import run_scenario, wait_for
 from rackswitch.jobs import JobResult
 from rackswitch.jobs.tests.support import make_job
 from rackswitch.standins.kv_store import KvStore
@@ -28,7 +28,7 @@
             page = await fleet.read("d0", "j1", 0)
         assert (page.status, len(page.results)) == (200, 1)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_results_of_an_unanswered_claim_count_as_an_unconfirmed_append():
@@ -53,4 +53,4 @@
         assert owned.append_is_unknown
         assert not owned.ledger.listed
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
--- a/rackswitch/gateway/main.py
+++ b/rackswitch/gateway/main.py
@@ -44,7 +44,7 @@
     loop = asyncio.get_running_loop()
     next_reload_seconds = loop.time() + RELOAD_INTERVAL_SECONDS
     while not signals.stop.is_set():
-        if gateway.context.daemon.broken is not None:
+        if gateway.context.daemon.violated_invariant is not None:
             logger.critical("stopping on a broken invariant")
             gateway.log.flush()
             return EXIT_BROKEN_INVARIANT
--- a/rackswitch/gateway/peer_service.py
+++ b/rackswitch/gateway/peer_service.py
@@ -32,9 +32,9 @@
         Reads results of the jobs owned by this daemon.
     jobs : JobManager
         Manages the jobs owned by this daemon.
-    passed_on : ForwardedCalls
+    forwarded_calls : ForwardedCalls
         Makes calls to the key-value service for daemons that cannot reach it.
-    taken : ForwardedJobReceiver
+    forwarded_job_receiver : ForwardedJobReceiver
         Takes ownership of jobs that other daemons accepted.
     usage : UsageService
         Serves this daemon's usage counts.
@@ -48,15 +48,15 @@
         replica_server: ReplicaServer,
         reader: JobReader,
         jobs: JobManager,
-        passed_on: ForwardedCalls,
-        taken: ForwardedJobReceiver,
+        forwarded_calls: ForwardedCalls,
+        forwarded_job_receiver: ForwardedJobReceiver,
         usage: UsageService,
         quarantine: QuarantineManager,
     ):
         self._quarantine = quarantine
         self._usage = usage
-        self._adopted_jobs = taken
-        self._passed_on = passed_on
+        self._adopted_jobs = forwarded_job_receiver
+        self._forwarded_calls = forwarded_calls
         self._context = context
         self._replica_server = replica_server
         self._reader = reader
@@ -124,7 +124,7 @@
         """Make a call to the key-value service for a daemon that cannot reach it."""
         request = await stream.recv_message()
         if request is not None:
-            await stream.send_message(await self._passed_on.serve(request))
+            await stream.send_message(await self._forwarded_calls.serve(request))
 
     async def CountUsage(self, stream: Stream[pb.CountUsageRequest, pb.CountUsageReply]) -> None:
         """Return this daemon's usage counts of a window."""
--- a/rackswitch/gateway/placement_log.py
+++ b/rackswitch/gateway/placement_log.py
@@ -13,7 +13,7 @@
     context: GatewayContext, estimate: TargetEstimate | None, service: str, kind: WorkKind
 ) -> EstimateLogged | None:
     """Return the inputs of a placement for the log; None if the load did not decide it."""
-    if estimate is None or not context.chooses_by_load(service):
+    if estimate is None or not context.chooses_targets_by_load(service):
         return None
     run_seconds = context.load_estimator.typical_run_seconds(service, kind)
     has_report = math.isfinite(estimate.report_age_seconds)
--- a/rackswitch/gateway/policy.py
+++ b/rackswitch/gateway/policy.py
@@ -42,7 +42,7 @@
     steps_by_slack : bool
         Whether items start by slack and rank over all steps; those that no trainer waits for start
         last. This and the following switches apply only to services whose targets are chosen by
-        load (`GatewayContext.chooses_by_load`).
+        load (`GatewayContext.chooses_targets_by_load`).
     room_shared : bool
         Whether other daemons' runs are subtracted from an engine's free slots.
     memory_counted : bool
--- a/rackswitch/gateway/quarantine/end_reporter.py
+++ b/rackswitch/gateway/quarantine/end_reporter.py
@@ -192,10 +192,10 @@
         value = msgspec.json.encode(self._record())
         put = Operation(key, value, self.lease.lease_id or 0)
         result = await self._context.kv.txn([TxnPart((), (put,))])
-        self._context.contact.record_result(self._context.now_seconds(), result)
+        self._context.store_reachability.record_result(self._context.now_seconds(), result)
         if isinstance(result, KvUnavailable):
             return False
-        if result[0].lease_gone:
+        if result[0].lease_expired:
             self.lease.record_loss()
         return result[0].succeeded
 
@@ -205,10 +205,10 @@
             return True
         requested_at_seconds = self._context.now_seconds()
         granted = await self._context.kv.grant_lease(LEASE_TTL_SECONDS)
-        self._context.contact.record_result(self._context.now_seconds(), granted)
+        self._context.store_reachability.record_result(self._context.now_seconds(), granted)
         if not isinstance(granted, LeaseGranted):
             return False
-        self.lease.record_grant(requested_at_seconds, granted.lease_id, granted.life_seconds)
+        self.lease.record_grant(requested_at_seconds, granted.lease_id, granted.ttl_seconds)
         return True
 
     async def _notify_peers(self) -> int:
--- a/rackswitch/gateway/quarantine/quarantine_manager.py
+++ b/rackswitch/gateway/quarantine/quarantine_manager.py
@@ -271,7 +271,7 @@
             key, msgspec.json.encode(trial_due.claim), self._reporter.lease.lease_id or 0
         )
         result = await self._context.kv.txn([TxnPart((unchanged,), (put,), (key,))])
-        self._context.contact.record_result(self._context.now_seconds(), result)
+        self._context.store_reachability.record_result(self._context.now_seconds(), result)
         is_claimed = False
         if not isinstance(result, KvUnavailable) and result[0].succeeded:
             is_claimed = True
@@ -289,7 +289,7 @@
         key = TRIALS_PREFIX + fingerprint
         unchanged = Compare(key, "mod", known_trials.revision)
         result = await self._context.kv.txn([TxnPart((unchanged,), (Operation(key, None),))])
-        self._context.contact.record_result(self._context.now_seconds(), result)
+        self._context.store_reachability.record_result(self._context.now_seconds(), result)
 
     def _record_end(self, end: TargetEnd) -> None:
         """Record that a target ended under runs of this daemon."""
--- a/rackswitch/gateway/quarantine/tests/quarantine_run.py
+++ b/rackswitch/gateway/quarantine/tests/quarantine_run.py
@@ -15,7 +15,7 @@
 from rackswitch.gateway.quarantine.quarantine_manager import TRIALS_PREFIX, QuarantineManager
 from rackswitch.gateway.store.member_entries import vm_entry
 from rackswitch.gateway.store.replicas import PrefixReplica
-from rackswitch.gateway.tests.support import break_at_random, make_gateway_context, make_member
+from rackswitch.gateway.tests.support import inject_random_faults, make_gateway_context, make_member
 from rackswitch.peers.links import PeerUnreachable
 from rackswitch.quarantine import ProbeOutcome
 from rackswitch.routing import ListedTarget
@@ -283,7 +283,7 @@
                 self._end_target(self.rng.choice(running))
 
     async def _faults(self) -> None:
-        await break_at_random(self.rng, FAULT_INTERVAL_SECONDS, FAULTS, self._fault)
+        await inject_random_faults(self.rng, FAULT_INTERVAL_SECONDS, FAULTS, self._fault)
 
     async def _fault(self, kind: str) -> None:
         duration_seconds = self.rng.uniform(*FAULT_SECONDS)
--- a/rackswitch/gateway/quarantine/tests/test_path_quarantine.py
+++ b/rackswitch/gateway/quarantine/tests/test_path_quarantine.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rackswitch.gateway.tests.path import check_complete, play, wait_for
+from rackswitch.gateway.tests.path import check_complete, run_scenario, wait_for
 
 LETHAL_BODY = b"ends whoever runs it"
 
@@ -67,7 +67,7 @@
         status, _, _ = await fleet.request("d1", "POST", "/look/1", b"another", "healthy")
         assert status == 200
 
-    play(scenario, daemons=3, services=4)
+    run_scenario(scenario, daemons=3, services=4)
 
 
 def test_counts_ends_of_targets_that_restart_under_the_same_identity():
@@ -81,7 +81,7 @@
         await resend(fleet, fleet.services, 6)
         assert run_count(fleet.services) - count_before <= MAX_SENDS_AFTER_THIRD_END
 
-    play(scenario, daemons=2, services=2)
+    run_scenario(scenario, daemons=2, services=2)
 
 
 def test_request_stays_held_back_when_all_daemons_restart():
@@ -108,7 +108,7 @@
         assert run_count(fleet.services) - count_before <= 1
         assert all(status == 503 for status, _ in answers)
 
-    play(scenario, daemons=2, services=4)
+    run_scenario(scenario, daemons=2, services=4)
 
 
 def test_daemons_notify_each_other_directly_while_the_store_is_unreachable():
@@ -129,7 +129,7 @@
         status, _, _ = await fleet.request("d1", "POST", "/look/1", b"another", "healthy")
         assert status == 200
 
-    play(scenario, daemons=2, services=4)
+    run_scenario(scenario, daemons=2, services=4)
 
 
 def test_holds_back_an_item_that_ended_three_engines():
@@ -149,7 +149,7 @@
         assert end_count(fleet.engines) - count_before <= MAX_SENDS_AFTER_THIRD_END
         check_complete_except(results, [30, 77, 25, 40, 35, 20], 1)
 
-    play(scenario, engines=4)
+    run_scenario(scenario, engines=4)
 
 
 def check_complete_except(results, pieces, held_number):
@@ -177,4 +177,4 @@
         check_complete(await fleet.read_all("d1", "j1", 20.0), pieces, "j1")
         await restart
 
-    play(scenario, engines=3)
+    run_scenario(scenario, engines=3)
--- a/rackswitch/gateway/quarantine/tests/test_quarantine_runs.py
+++ b/rackswitch/gateway/quarantine/tests/test_quarantine_runs.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
 from rackswitch.gateway.quarantine.tests.quarantine_run import QuarantineRun
 from rackswitch.quarantine.verdicts import ENDS_TO_HOLD, MAX_TRIALS
@@ -65,7 +65,7 @@
 
 def simulate(seed, manager_class=QuarantineManager):
     run = QuarantineRun(seed, manager_class)
-    run_virtual(run.simulate(SIMULATED_SECONDS))
+    run_on_virtual_clock(run.simulate(SIMULATED_SECONDS))
     return run
 
 
--- a/rackswitch/gateway/store/control_entries.py
+++ b/rackswitch/gateway/store/control_entries.py
@@ -5,7 +5,7 @@
 from rackswitch.clients.kv import KvEntry
 from rackswitch.daemon.roles import RoleManager
 from rackswitch.gateway.context import GatewayContext
-from rackswitch.gateway.duties.duty_turn import DUTIES_KEY, note_record
+from rackswitch.gateway.duties.duty_turn import DUTIES_KEY, record_duty_entry
 from rackswitch.gateway.jobs.job_manager import JobManager
 from rackswitch.gateway.jobs.job_records import JOBS_PREFIX, OWNERS_PREFIX
 from rackswitch.gateway.quarantine.end_reporter import ENDS_PREFIX
@@ -102,13 +102,13 @@
         elif entry.key.startswith(OWNERS_PREFIX):
             self._jobs.owner_put(entry)
         elif entry.key.startswith(ORDERS_PREFIX):
-            self._versions.orders_put(entry)
+            self._versions.record_orders(entry)
         elif entry.key.startswith(ENDS_PREFIX):
             self._quarantine.record_put(entry)
         elif entry.key.startswith(TRIALS_PREFIX):
             self._quarantine.trial_put(entry)
         elif entry.key == DUTIES_KEY:
-            note_record(self._duty_turns, entry)
+            record_duty_entry(self._duty_turns, entry)
         elif entry.key.startswith(ROLES_PREFIX):
             self._roles.put(entry.key.removeprefix(ROLES_PREFIX))
             self._context.daemon.spawn(self._role_manager.end_predecessors_lease(entry.value))
--- a/rackswitch/gateway/store/lease_renewal.py
+++ b/rackswitch/gateway/store/lease_renewal.py
@@ -12,11 +12,11 @@
     """Renew a lease once; return False if the service no longer knows it."""
     requested_at_seconds = context.now_seconds()
     lease_id = lease.lease_id or 0
-    renewal = await context.kv.keep_lease(lease_id)
+    renewal = await context.kv.renew_lease(lease_id)
     if isinstance(renewal, KvUnavailable):
         record_lease_failure(context, lease, renewal)
         return True
-    context.contact.record_answer(context.now_seconds())
+    context.store_reachability.record_answer(context.now_seconds())
     if lease_id != (lease.lease_id or 0):
         # Another call has found in the meantime that this lease is over.
         return True
@@ -34,5 +34,5 @@
     """Record a failed call about a lease; `failure` is None if the service rejected the call."""
     now_seconds = context.now_seconds()
     if failure is not None:
-        context.contact.record_failure(now_seconds, failure.detail)
+        context.store_reachability.record_failure(now_seconds, failure.detail)
     lease.record_no_answer(now_seconds, context.rng.random())
--- a/rackswitch/gateway/store/peer_replicas.py
+++ b/rackswitch/gateway/store/peer_replicas.py
@@ -147,7 +147,7 @@
         Otherwise, after an outage of the whole fleet, every daemon would watch the service itself
         until its sources' cooldowns end, at a time of many changes.
         """
-        back_seconds = self._context.contact.recovered_at_seconds
+        back_seconds = self._context.store_reachability.recovered_at_seconds
         if back_seconds > self._recovered_at_seconds:
             self._recovered_at_seconds = back_seconds
             self.selector.clear_cooldowns()
@@ -157,7 +157,8 @@
         if live != self._live_zones:
             self._live_zones = live
             self._tree = DistributionTree(
-                TreeMember(name, zone, self._context.free_slots_of(name)) for name, zone in live
+                TreeMember(name, zone, self._context.processor_share_of(name))
+                for name, zone in live
             )
         return self._tree
 
@@ -237,7 +238,9 @@
             if message.revision >= replica.revision:
                 self._replicas.confirm(message.prefix, now_seconds - age_seconds)
         if self._context.policy.calls_through_peers:
-            self._context.contact.record_peer_contact(now_seconds - oldest_seconds, now_seconds)
+            self._context.store_reachability.record_peer_contact(
+                now_seconds - oldest_seconds, now_seconds
+            )
         self._paces.record_peer_paces(reply.paces, now_seconds)
         return oldest_seconds
 
--- a/rackswitch/gateway/store/presence.py
+++ b/rackswitch/gateway/store/presence.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from rackswitch.clients.kv import KvUnavailable, LeaseGranted, Operation, TxnPart, TxnPartDone
+from rackswitch.clients.kv import KvUnavailable, LeaseGranted, Operation, TxnPart, TxnPartResult
 from rackswitch.gateway.context import GatewayContext
 from rackswitch.gateway.store.lease_renewal import record_lease_failure, renew_lease
 from rackswitch.gateway.store.member_entries import MEMBERS_PREFIX, MemberEntry
@@ -98,7 +98,7 @@
         if entry is None:
             return
         requested_at_seconds = self._context.now_seconds()
-        renewal = await self._context.kv.keep_lease(entry.lease_id)
+        renewal = await self._context.kv.renew_lease(entry.lease_id)
         if renewal is not True:
             return
         result = await self._put_entry(entry.lease_id)
@@ -106,7 +106,7 @@
             self.lease.record_grant(requested_at_seconds, entry.lease_id, self.lease.ttl_seconds)
             self._context.log.write(EntryContinued(lease=entry.lease_id))
 
-    async def _put_entry(self, lease_id: int) -> list[TxnPartDone] | KvUnavailable:
+    async def _put_entry(self, lease_id: int) -> list[TxnPartResult] | KvUnavailable:
         """Write this daemon's membership entry under a lease."""
         entry = MemberEntry(
             self._context.settings.host,
@@ -137,6 +137,6 @@
             failure = result if isinstance(result, KvUnavailable) else None
             record_lease_failure(self._context, self.lease, failure)
             return
-        self._context.contact.record_answer(self._context.now_seconds())
-        self.lease.record_grant(requested_at_seconds, granted.lease_id, granted.life_seconds)
+        self._context.store_reachability.record_answer(self._context.now_seconds())
+        self.lease.record_grant(requested_at_seconds, granted.lease_id, granted.ttl_seconds)
         self._context.log.write(SessionBegun(lease=granted.lease_id))
--- a/rackswitch/gateway/store/service_watch.py
+++ b/rackswitch/gateway/store/service_watch.py
@@ -113,7 +113,7 @@
         """Return whether a prefix has to wait, because the members may name a source to follow."""
         if prefix == self._members_prefix:
             return False
-        contact = self._context.contact
+        contact = self._context.store_reachability
         grace_until_seconds = contact.recovered_at_seconds + RECOVERY_GRACE_SECONDS
         if contact.is_unreachable or (
             not self._is_root and self._context.now_seconds() < grace_until_seconds
@@ -131,7 +131,7 @@
         """Read all entries of a prefix; return whether the service answered."""
         requested_at_seconds = self._context.now_seconds()
         read = await self._context.kv.read(prefix, is_prefix=True)
-        self._context.contact.record_result(self._context.now_seconds(), read)
+        self._context.store_reachability.record_result(self._context.now_seconds(), read)
         if isinstance(read, KvUnavailable):
             return False
         self._replicas.apply_snapshot(prefix, read.entries, read.revision)
@@ -151,9 +151,11 @@
             now_seconds = self._context.now_seconds()
             if isinstance(update, KvUnavailable):
                 if not update.history_lost:
-                    self._context.contact.record_failure(now_seconds, f"watch: {update.detail}")
+                    self._context.store_reachability.record_failure(
+                        now_seconds, f"watch: {update.detail}"
+                    )
                 return True, update.history_lost
-            self._context.contact.record_answer(now_seconds)
+            self._context.store_reachability.record_answer(now_seconds)
             # A working watch never ends, so the failure count is reset here; otherwise followers
             # would go on avoiding a daemon whose connection has recovered.
             self._set_failures(prefix, 0)
--- a/rackswitch/gateway/store/session.py
+++ b/rackswitch/gateway/store/session.py
@@ -110,8 +110,8 @@
         """
         requested_at_seconds = self._context.now_seconds()
         lease_id = self.lease.lease_id
-        renewal = await self._context.kv.keep_lease(lease_id or NO_LEASE_ID)
-        self._context.contact.record_result(self._context.now_seconds(), renewal)
+        renewal = await self._context.kv.renew_lease(lease_id or NO_LEASE_ID)
+        self._context.store_reachability.record_result(self._context.now_seconds(), renewal)
         if isinstance(renewal, KvUnavailable) or lease_id is None:
             return
         if not renewal:
@@ -168,9 +168,11 @@
         requested_at_seconds = self._context.now_seconds()
         granted = await self._context.kv.grant_lease(self.lease.ttl_seconds)
         if not isinstance(granted, LeaseGranted):
-            self._context.contact.record_failure(self._context.now_seconds(), granted.detail)
+            self._context.store_reachability.record_failure(
+                self._context.now_seconds(), granted.detail
+            )
             return
-        self._context.contact.record_answer(self._context.now_seconds())
+        self._context.store_reachability.record_answer(self._context.now_seconds())
         self._own_leases.add(granted.lease_id)
-        self.lease.record_grant(requested_at_seconds, granted.lease_id, granted.life_seconds)
+        self.lease.record_grant(requested_at_seconds, granted.lease_id, granted.ttl_seconds)
         self._context.log.write(SessionBegun(lease=granted.lease_id))
--- a/rackswitch/gateway/store/state_manager.py
+++ b/rackswitch/gateway/store/state_manager.py
@@ -80,7 +80,7 @@
 
     def _apply_table(self, document: TableDocument) -> None:
         previous = self._context.table_revision
-        if self._context.daemon.view.offer(document):
+        if self._context.daemon.view.replace_if_newer(document):
             self._context.routes = index_routes(document)
             self._context.tenants = index_tenants(document, self._context.tenants)
             self._apply_limits()
@@ -155,7 +155,7 @@
         instance = target_instance(key)
         previous = self._context.directory.entries.get(instance)
         now_seconds = self._context.now_seconds()
-        back_seconds = self._context.contact.recovered_at_seconds
+        back_seconds = self._context.store_reachability.recovered_at_seconds
         self._context.directory.remove(instance, now_seconds, back_seconds)
         is_lapsed = instance in self._context.directory.lapsed
         if not is_lapsed:
--- a/rackswitch/gateway/store/tests/spread_run.py
+++ b/rackswitch/gateway/store/tests/spread_run.py
@@ -84,13 +84,13 @@
         self._service.billed_calls += 0.1 if may_be_stale else 1.0
         return await super().read(key, is_prefix)
 
-    async def keep_lease(self, lease_id):
+    async def renew_lease(self, lease_id):
         self._service.billed_calls += 0.1
-        return await super().keep_lease(lease_id)
+        return await super().renew_lease(lease_id)
 
-    async def grant_lease(self, life_seconds):
+    async def grant_lease(self, ttl_seconds):
         self._service.billed_calls += 1.0
-        return await super().grant_lease(life_seconds)
+        return await super().grant_lease(ttl_seconds)
 
     async def txn(self, parts):
         self._service.billed_calls += 1.0
--- a/rackswitch/gateway/store/tests/test_path_store.py
+++ b/rackswitch/gateway/store/tests/test_path_store.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import replace
 
-from rackswitch.gateway.tests.path import play, wait_for
+from rackswitch.gateway.tests.path import run_scenario, wait_for
 from rackswitch.standins.platform_fleet import desired_state
 
 
@@ -18,7 +18,7 @@
         assert all(gateway.context.table_revision == 5 for gateway in gateways)
         assert (await fleet.request("d0", "GET", "/look/x"))[0] == 404
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_daemon_whose_store_calls_fail_receives_changes_from_peers():
@@ -27,11 +27,11 @@
         await wait_for(lambda: sum(bool(g.replicas.followed) for g in gateways) == 2)
         follower = next(gateway for gateway in gateways if gateway.replicas.followed)
         # Its direct calls fail from here on; its source still answers.
-        follower.direct.url = "http://127.0.0.1:9"
+        follower.direct_transport.url = "http://127.0.0.1:9"
         fleet.store.put("op/config", desired_state(9, routes=[]))
         await wait_for(lambda: follower.context.table_revision == 9, 2.0)
 
-    play(scenario, daemons=3)
+    run_scenario(scenario, daemons=3)
 
 
 def test_a_planned_stop_ends_in_time_with_an_unresponsive_store():
@@ -45,7 +45,7 @@
         await gateway.stop()
         assert asyncio.get_running_loop().time() - started_at_seconds < 6.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_entry_deleted_and_recreated_within_one_watch_is_kept():
@@ -58,7 +58,7 @@
         await wait_for(lambda: all(g.context.table_revision == 2 for g in gateways), 2.0)
         assert all("s0" in gateway.context.directory.entries for gateway in gateways)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_malformed_control_entries_do_not_end_daemons():
@@ -71,8 +71,8 @@
                 fleet.store.put("op/config", desired_state(2 + 10 * number))
         await wait_for(lambda: all(g.context.table_revision == 72 for g in fleet.gateways.values()))
         for name, gateway in fleet.gateways.items():
-            assert gateway.context.daemon.broken is None
+            assert gateway.context.daemon.violated_invariant is None
             status, _, _ = await fleet.request(name, "POST", "/look/1", b"b")
             assert status == 200
 
-    play(scenario)
+    run_scenario(scenario)
--- a/rackswitch/gateway/store/tests/test_replica_machine.py
+++ b/rackswitch/gateway/store/tests/test_replica_machine.py
@@ -61,7 +61,7 @@
     def apply_table_changes(self, update: WatchUpdate) -> None:
         for entry in update.entries:
             if entry.key == CONFIG:
-                self.view.offer(TableDocument(revision=int(entry.value)))
+                self.view.replace_if_newer(TableDocument(revision=int(entry.value)))
 
 
 class ReplicaStateMachine(RuleBasedStateMachine):
--- a/rackswitch/gateway/store/tests/test_replica_manager.py
+++ b/rackswitch/gateway/store/tests/test_replica_manager.py
@@ -59,8 +59,8 @@
             self.replica_manager.server,
             reader=None,
             jobs=None,
-            passed_on=None,
-            taken=None,
+            forwarded_calls=None,
+            forwarded_job_receiver=None,
             usage=None,
             quarantine=None,
         )
@@ -241,11 +241,11 @@
 def test_a_daemon_with_a_larger_processor_share_becomes_the_root():
     async def scenario(source, follower):
         entries = follower.context.member_entries
-        entries["a"] = make_member(room=0.5)
+        entries["a"] = make_member(processor_share=0.5)
         assert follower.follower._current_tree().root == "a"
         members = follower.context.daemon.membership
         entry = VmEntry("e", "127.0.0.1", 1, "z", False)
-        entries["e"] = make_member(room=0.9)
+        entries["e"] = make_member(processor_share=0.9)
         members.update_from_complete_list([entry], 0.0)
         assert follower.follower._current_tree().root == "e"
 
@@ -255,12 +255,12 @@
 def test_a_follower_learns_from_its_source_that_the_service_is_reachable_again():
     async def scenario(source, follower):
         source.put("p/x", 5)
-        follower.context.contact.record_failure(follower.now_seconds(), "no answer")
+        follower.context.store_reachability.record_failure(follower.now_seconds(), "no answer")
         await follower.follower.poll_source("a", 1)
         # The source's last confirmation is older than the failure.
-        assert follower.context.contact.is_unreachable
+        assert follower.context.store_reachability.is_unreachable
         source.put("p/y", 6)
         await follower.follower.poll_source("a", 1)
-        assert not follower.context.contact.is_unreachable
+        assert not follower.context.store_reachability.is_unreachable
 
     run_scenario(scenario)
--- a/rackswitch/gateway/store/tests/test_service_watch.py
+++ b/rackswitch/gateway/store/tests/test_service_watch.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from rackswitch.clients.kv import KvUnavailable, WatchUpdate
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.store.replica_set import ReplicaHandlers, ReplicaSet
 from rackswitch.gateway.store.service_watch import CUT_OFF_FAILURES, ServiceWatch
 from rackswitch.gateway.tests.support import make_gateway_context
@@ -47,7 +47,7 @@
         watch_task.cancel()
         return observed
 
-    assert run_virtual(scenario()) == [True, False, False]
+    assert run_on_virtual_clock(scenario()) == [True, False, False]
 
 
 async def is_ever_cut_off(watch: ServiceWatch) -> bool:
--- a/rackswitch/gateway/store/tests/test_session.py
+++ b/rackswitch/gateway/store/tests/test_session.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.store.member_entries import MEMBERS_PREFIX, decode_member
 from rackswitch.gateway.store.presence import LEASE_TTL_SECONDS, Presence
 from rackswitch.gateway.store.session import IDLE_HOLD_SECONDS, Session
@@ -50,7 +50,7 @@
         # One renewal and one write.
         assert second_presence._context.kv.calls == 2
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_an_expired_entry_is_recreated_under_a_new_lease():
@@ -63,7 +63,7 @@
         assert second_presence.lease.lease_id not in (None, lease_id)
         assert read_member_entry(kv).lease_id == second_presence.lease.lease_id
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_an_entry_outlives_an_outage_shorter_than_its_ttl_with_few_renewals():
@@ -78,7 +78,7 @@
         kv.expire(asyncio.get_running_loop().time())
         assert read_member_entry(kv) is None
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_daemon_holds_a_lease_only_while_it_owns_jobs():
@@ -105,7 +105,7 @@
         assert context.kv.calls == calls
         task.cancel()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_jobs_claimed_concurrently_share_one_lease():
@@ -116,7 +116,7 @@
         assert len(set(leases)) == 1
         assert len(kv.leases) == 1
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("is_own", [True, False])
@@ -130,7 +130,7 @@
         assert (lease_id in kv.leases) is is_own
         assert session._context.kv.calls == 1
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_lease_is_acquired_once_the_service_is_reachable_again():
@@ -139,11 +139,11 @@
         context = make_gateway_context("a", KvStore(), faults=faults)
         session = Session(context, lambda: None, lambda: True)
         assert await session.acquire_lease() is None
-        assert context.contact.is_unreachable
+        assert context.store_reachability.is_unreachable
         faults.down = False
         assert await session.acquire_lease() is not None
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_lease_reported_lost_by_a_write_is_dropped_once():
@@ -165,7 +165,7 @@
         assert session.is_valid()
         assert len(lost_leases) == 1
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("is_renewed", [True, False])
@@ -179,11 +179,11 @@
         renewal_answer = asyncio.get_running_loop().create_future()
         renewed_leases = []
 
-        async def keep_lease(lease_id):
+        async def renew_lease(lease_id):
             renewed_leases.append(lease_id)
             return await renewal_answer
 
-        context.kv.keep_lease = keep_lease
+        context.kv.renew_lease = renew_lease
         task = asyncio.create_task(session.run())
         while not renewed_leases:
             await asyncio.sleep(0.01)
@@ -199,4 +199,4 @@
         assert len(lost_leases) == 1
         task.cancel()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
--- a/rackswitch/gateway/store/tests/test_spread_runs.py
+++ b/rackswitch/gateway/store/tests/test_spread_runs.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.store.tests.spread_run import STATE, SpreadRun
 from rackswitch.spread import FAN_OUT
 
@@ -32,7 +32,7 @@
         assert served <= 10 * (FAN_OUT + ZONES) * 2
         await run.stop()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -48,7 +48,7 @@
         assert len(run.watchers()) <= 3
         await run.stop()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -63,7 +63,7 @@
         assert (await run.propagate("after it was cut off"))[-1] < 1.25
         await run.stop()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -77,7 +77,7 @@
         assert (await run.propagate("without them"))[-1] < CONFIG_SECONDS
         await run.stop()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -96,7 +96,7 @@
         await run.propagate("to all", 1.0)
         await run.stop()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize(("outage_seconds", "max_calls"), [(1.0, 60), (2.5, 700)])
@@ -116,7 +116,7 @@
         assert (await run.propagate("after it"))[-1] < 0.3
         await run.stop()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_daemons_follow_again_instead_of_watching_after_a_long_outage():
@@ -143,4 +143,4 @@
         assert len(run.watchers()) == 1
         await run.stop()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
--- a/rackswitch/gateway/store/tests/test_store_relay.py
+++ b/rackswitch/gateway/store/tests/test_store_relay.py
@@ -8,7 +8,7 @@
 from rackswitch.clients.kv import KvUnavailable
 from rackswitch.gateway.policy import PolicySettings
 from rackswitch.gateway.store.store_relay import MAX_FORWARDED_CALLS, ForwardedCalls, RelayTransport
-from rackswitch.gateway.tests.path import check_complete, play, wait_for
+from rackswitch.gateway.tests.path import check_complete, run_scenario, wait_for
 from rackswitch.membership import MemberState, MemberUpdate
 from rackswitch.peers import gateway_pb2 as pb
 from rackswitch.platform.store_calls import StoreCall, decode_call, encode_call
@@ -40,7 +40,7 @@
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
         assert await fleet.submit("d0", "j0", [LONG_ITEM_PIECES]) == 202
-        gateway.direct.url = UNREACHABLE_URL
+        gateway.direct_transport.url = UNREACHABLE_URL
         await wait_for(lambda: gateway.session.is_valid() is through_peers, 5.0)
         await asyncio.sleep(0 if not through_peers else 2.5)
         assert gateway.session.is_valid() is through_peers
@@ -49,7 +49,7 @@
         if through_peers:
             check_complete(await fleet.read_all("d0", "j1"), [3, 5], "j1")
 
-    play(scenario, policy=PolicySettings(calls_through_peers=through_peers))
+    run_scenario(scenario, policy=PolicySettings(calls_through_peers=through_peers))
 
 
 def test_a_cut_off_daemon_acquires_a_new_session_after_its_lease_ended():
@@ -57,43 +57,43 @@
         gateway = fleet.gateways["d0"]
         assert await fleet.submit("d0", "j0", [LONG_ITEM_PIECES]) == 202
         previous_lease_id = gateway.session.lease_id
-        gateway.direct.url = UNREACHABLE_URL
+        gateway.direct_transport.url = UNREACHABLE_URL
         fleet.store.end_lease(previous_lease_id)
         await wait_for(lambda: gateway.session.lease_id != previous_lease_id)
         assert await fleet.submit("d0", "j1", [3]) == 202
         assert gateway.session.lease_id not in (previous_lease_id, None)
 
     # Otherwise the job may be placed at the daemon that has taken over the other one.
-    play(scenario, policy=PolicySettings(jobs_gathered=False))
+    run_scenario(scenario, policy=PolicySettings(jobs_gathered=False))
 
 
 def test_a_daemon_returns_to_the_direct_path_once_it_recovers():
     async def scenario(fleet):
         gateway = fleet.gateways["d0"]
-        reachable_url = gateway.direct.url
-        gateway.direct.url = UNREACHABLE_URL
+        reachable_url = gateway.direct_transport.url
+        gateway.direct_transport.url = UNREACHABLE_URL
         path_selector = gateway.context.kv._transport.path_selector
         await wait_for(lambda: not path_selector.is_own_path_up)
-        gateway.direct.url = reachable_url
+        gateway.direct_transport.url = reachable_url
         await wait_for(lambda: path_selector.is_own_path_up, 3.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_call_is_forwarded_at_most_once():
     async def scenario(fleet):
         for gateway in fleet.gateways.values():
-            gateway.direct.url = UNREACHABLE_URL
+            gateway.direct_transport.url = UNREACHABLE_URL
         path_selectors = [g.context.kv._transport.path_selector for g in fleet.gateways.values()]
         await wait_for(
             lambda: not any(path_selector.is_own_path_up for path_selector in path_selectors)
         )
         request = pb.PassOnRequest(daemon="d1", call=encode_call(READ))
-        reply = await fleet.gateways["d0"]._peers._passed_on.serve(request)
+        reply = await fleet.gateways["d0"]._peers._forwarded_calls.serve(request)
         assert reply.refused
         assert not reply.answered
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 class FakePath:
@@ -252,4 +252,4 @@
         gateway.context.daemon.log = original_log
         assert relay.path_selector.paths([], True, 0.0) == [OWN_PATH]
 
-    play(scenario)
+    run_scenario(scenario)
--- a/rackswitch/gateway/store/tests/test_target_list.py
+++ b/rackswitch/gateway/store/tests/test_target_list.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from rackswitch.clients.kv import KvEntry
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.quarantine.quarantine_manager import QuarantineManager
 from rackswitch.gateway.store.state_manager import StateManager
 from rackswitch.gateway.tests.support import make_gateway_context
@@ -71,7 +71,7 @@
         assert not target_list.context.loads.is_loading("i-1", "m", now_seconds)
         assert target_list.context.directory.entries["i-1"].versions == {"m": 1}
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_estimates_are_discarded_when_the_entry_was_deleted_before_the_restart():
@@ -84,7 +84,7 @@
         target_list.put("i-1", STARTED_AT_UNIX_MS + 3000)
         assert target_list.context.targets["i-1"].open_until_seconds == 0.0
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_malformed_entries_name_no_engine_and_leave_others_usable():
@@ -101,7 +101,7 @@
         target_list.put("i-1", STARTED_AT_UNIX_MS)
         assert set(target_list.usable()) == {"i-1", "i-2"}
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_a_deleted_entry_is_evidence_of_an_end_unless_the_engine_was_draining():
@@ -122,7 +122,7 @@
         assert evidence.count("under i-1") == 1
         assert evidence.count("under i-2") == 0
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_another_start_at_an_engines_address_is_evidence_of_its_end():
@@ -135,7 +135,7 @@
         target_list.put("i-9", STARTED_AT_UNIX_MS + 3000)
         assert target_list.quarantine._evidence.count("f") == 1
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_the_list_is_not_searched_while_no_inquiry_is_open(monkeypatch):
@@ -158,7 +158,7 @@
         target_list.put("i-3", address="127.0.0.5:80")
         assert searched_hosts == ["127.0.0.5"]
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def test_the_load_estimate_of_an_unlisted_start_is_removed_after_its_grace_period():
@@ -171,14 +171,14 @@
             context.load_estimator.record_report(
                 target.start, "engines", ReportedLoad(1, 0, 4, 1.0, 0.0)
             )
-        context.contact.recovered_at_seconds = context.now_seconds()
+        context.store_reachability.recovered_at_seconds = context.now_seconds()
         target_list.handlers.on_deleted("servers/i-1")
-        context.forget_unlisted()
+        context.remove_unlisted_estimates()
         during = context.load_estimator.starts()
         await asyncio.sleep(LAPSE_GRACE_SECONDS + 0.1)
-        context.forget_unlisted()
+        context.remove_unlisted_estimates()
         return during, context.load_estimator.starts()
 
-    during, after = run_virtual(scenario())
+    during, after = run_on_virtual_clock(scenario())
     assert during == {f"i-1@{STARTED_AT_UNIX_MS}", f"i-2@{STARTED_AT_UNIX_MS}"}
     assert after == {f"i-2@{STARTED_AT_UNIX_MS}"}
--- a/rackswitch/gateway/tests/path.py
+++ b/rackswitch/gateway/tests/path.py
@@ -11,14 +11,14 @@
 SCENARIO_SECONDS = 30.0
 
 
-def play(
+def run_scenario(
     scenario: Callable[[PlatformFleet], Awaitable[None]],
     policy: PolicySettings | None = None,
     **sizes: int,
 ) -> None:
     """Run a scenario on a new fleet."""
 
-    async def run_scenario() -> None:
+    async def run_on_new_fleet() -> None:
         fleet = PlatformFleet(**sizes, policy=policy)
         await fleet.start()
         try:
@@ -27,7 +27,7 @@
         finally:
             await fleet.stop()
 
-    run_on_boot_clock(run_scenario())
+    run_on_boot_clock(run_on_new_fleet())
 
 
 def runs_of(targets: list[PlatformTargetStandIn], request_id: str) -> int:
--- a/rackswitch/gateway/tests/support.py
+++ b/rackswitch/gateway/tests/support.py
@@ -22,8 +22,10 @@
     return GatewayContext(stand_in_settings(name), daemon, StoreReachability(daemon.log))
 
 
-def make_member(started_at_unix_seconds: float = 0.0, room: float = 0.0) -> MemberEntry:
-    return MemberEntry("127.0.0.1", 1, "z", 1, started_at_unix_seconds, processor_share=room)
+def make_member(started_at_unix_seconds: float = 0.0, processor_share: float = 0.0) -> MemberEntry:
+    return MemberEntry(
+        "127.0.0.1", 1, "z", 1, started_at_unix_seconds, processor_share=processor_share
+    )
 
 
 class NoLoadPoller:
@@ -54,7 +56,7 @@
         return
 
 
-async def break_at_random(
+async def inject_random_faults(
     rng: random.Random,
     interval_seconds: tuple[float, float],
     kinds: Sequence[str],
--- a/rackswitch/gateway/tests/test_bad_input.py
+++ b/rackswitch/gateway/tests/test_bad_input.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from rackswitch.gateway.tests.path import play, runs_of
+from rackswitch.gateway.tests.path import run_scenario, runs_of
 from rackswitch.jobs import MAX_ITEMS
 from rackswitch.standins.platform_fleet import HOST, PlatformFleet, desired_state
 
@@ -52,7 +52,7 @@
         assert not has_run(fleet)
         assert (await fleet.request("d0", "GET", "/look/x"))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_runs_nothing_if_the_caller_disconnects_within_the_body():
@@ -65,7 +65,7 @@
         assert (await fleet.request("d0", "GET", "/look/x", request_id="r2"))[0] == 200
         assert runs_of(fleet.services, "r1") == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_data_after_a_complete_request_is_not_part_of_it():
@@ -77,7 +77,7 @@
         assert runs_of(fleet.services, "r1") == 1
         assert runs_of(fleet.services, "r9") == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_rejects_a_job_with_too_many_items():
@@ -95,7 +95,7 @@
         assert not has_run(fleet)
         assert (await fleet.request("d0", "GET", "/look/x"))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -121,4 +121,4 @@
         assert (await fleet.read("d0", "j1")).status == 404
         assert not has_run(fleet)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/rackswitch/gateway/tests/test_path_daemon.py
+++ b/rackswitch/gateway/tests/test_path_daemon.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from rackswitch.gateway.policy import PolicySettings
-from rackswitch.gateway.tests.path import check_complete, play, wait_for
+from rackswitch.gateway.tests.path import check_complete, run_scenario, wait_for
 
 
 def test_applies_changed_settings_without_a_restart():
@@ -16,12 +16,14 @@
         assert await fleet.submit("d0", "j1", [2]) == 503
         gateway.settings_changed(replace(gateway.settings, kv_url=old_url))
         await wait_for(
-            lambda: gateway.replicas.followed or not gateway.context.contact.is_unreachable
+            lambda: (
+                gateway.replicas.followed or not gateway.context.store_reachability.is_unreachable
+            )
         )
         assert await fleet.submit("d0", "j1", [2]) == 202
 
     # Otherwise peers would forward the calls, and the wrong address would have no effect.
-    play(scenario, policy=PolicySettings(calls_through_peers=False))
+    run_scenario(scenario, policy=PolicySettings(calls_through_peers=False))
 
 
 def test_snapshot_shows_the_state_of_a_daemon():
@@ -36,7 +38,7 @@
         assert all(age >= 0 for age in snapshot.copy_ages_seconds.values())
         check_complete(await fleet.read_all("d0", "j1"), [100, 100], "j1")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_blocked_log_reader_does_not_delay_responses():
@@ -53,4 +55,4 @@
             assert status == 200
         assert gateway.log.flush()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/rackswitch/gateway/tests/test_path_tenants.py
+++ b/rackswitch/gateway/tests/test_path_tenants.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from rackswitch.explain import read_events
-from rackswitch.gateway.tests.path import check_complete, play, wait_for
+from rackswitch.gateway.tests.path import check_complete, run_scenario, wait_for
 from rackswitch.standins.platform_fleet import desired_state
 from rackswitch.telemetry.events import EntryUnreadable, RequestRefused
 
@@ -31,7 +31,7 @@
         assert run.values("X-Rackswitch-Tenant") == ["acme"]
         assert run.values("Authorization") == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_rejects_an_unknown_key_with_401_and_runs_nothing():
@@ -51,7 +51,7 @@
         runs = [run.request_id for service in fleet.services for run in service.runs]
         assert sorted(runs) == ["open", "racme-key-1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_rejects_a_revoked_key_and_logs_the_table_but_not_the_key(tmp_path):
@@ -76,7 +76,7 @@
         assert refused.status == 401
         assert refused.table_revision == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_answers_503_for_an_unknown_key_while_the_store_is_unreachable():
@@ -84,7 +84,7 @@
         await fleet.operate(state(2, ACME))
         await fleet.operate(state(3, {**ACME, "api_keys": ["acme-key-1"]}))
         fleet.store.faults.down = "busy"
-        await wait_for(lambda: fleet.gateways["d0"].context.contact.is_unreachable)
+        await wait_for(lambda: fleet.gateways["d0"].context.store_reachability.is_unreachable)
         fleet.key = "made-since"
         status, headers, _ = await fleet.request("d0", "GET", "/look/x")
         assert status == 503
@@ -92,7 +92,7 @@
         fleet.key = "acme-key-2"
         assert (await fleet.request("d0", "GET", "/look/x"))[0] == 401
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_rejects_a_table_in_which_two_tenants_share_a_key(tmp_path):
@@ -114,7 +114,7 @@
         ]
         assert any("'acme' and 'b'" in event.detail for event in unreadable)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_job_is_visible_only_to_its_tenant():
@@ -143,7 +143,7 @@
         scores = [run for service in fleet.services for run in service.runs]
         assert not any(run.values("X-Rackswitch-Tenant") for run in scores)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_job_continues_after_its_key_is_revoked_and_its_owner_crashed():
@@ -166,7 +166,7 @@
         runs = [run for engine in fleet.engines for run in engine.runs]
         assert all(run.values("X-Rackswitch-Tenant") == ["acme"] for run in runs)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_item_headers_cannot_inject_a_key_a_tenant_or_a_request():
@@ -201,4 +201,4 @@
             assert status == 400
             assert b"items[0]" in body
 
-    play(scenario)
+    run_scenario(scenario)
--- a/rackswitch/gateway/tests/test_planned_stop.py
+++ b/rackswitch/gateway/tests/test_planned_stop.py
@@ -4,7 +4,7 @@
 from unittest.mock import patch
 
 from rackswitch.gateway.store.session import Session
-from rackswitch.gateway.tests.path import play, runs_of, wait_for
+from rackswitch.gateway.tests.path import run_scenario, runs_of, wait_for
 
 WORK_SECONDS = 0.6
 
@@ -31,4 +31,4 @@
         assert status == 200
         assert runs_of(fleet.services, "r1") == 1
 
-    play(scenario)
+    run_scenario(scenario)
--- a/rackswitch/gateway/tests/test_suspension.py
+++ b/rackswitch/gateway/tests/test_suspension.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from rackswitch.clocks.tests.support import suspendable_machine
-from rackswitch.gateway.tests.path import play, runs_of, wait_for
+from rackswitch.clocks.tests.support import suspendable_vm
+from rackswitch.gateway.tests.path import run_scenario, runs_of, wait_for
 
 SUSPENDED_SECONDS = 7.0
 
@@ -23,8 +23,8 @@
         await wait_for(lambda: any(gateway.roles.may_act(ROLE) for gateway in gateways))
         await wait_for(fleet.gateways["d0"].session.is_valid)
 
-    with suspendable_machine() as machine:
-        play(scenario)
+    with suspendable_vm() as machine:
+        run_scenario(scenario)
 
 
 def test_a_request_that_expired_during_a_suspension_is_not_sent_again():
@@ -38,8 +38,8 @@
         assert status == 504
         assert runs_of(fleet.services, "r1") == 1
 
-    with suspendable_machine() as machine:
-        play(scenario)
+    with suspendable_vm() as machine:
+        run_scenario(scenario)
 
 
 def test_connections_idle_during_a_suspension_are_not_reused():
@@ -56,5 +56,5 @@
         status, _, _ = await fleet.request("d0", "POST", "/look/1", b"b", "r2")
         assert status == 200
 
-    with suspendable_machine() as machine:
-        play(scenario)
+    with suspendable_vm() as machine:
+        run_scenario(scenario)
--- a/rackswitch/gateway/turns.py
+++ b/rackswitch/gateway/turns.py
@@ -125,11 +125,13 @@
         operations = (Operation(turn.key, record), *extra_operations)
         replies = await self._context.kv.txn([TxnPart((fence, *conditions), operations)])
         if isinstance(replies, KvUnavailable):
-            self._context.contact.record_failure(self._context.now_seconds(), replies.detail)
+            self._context.store_reachability.record_failure(
+                self._context.now_seconds(), replies.detail
+            )
             return None
         if not replies[0].succeeded:
             if not conditions:
-                self._roles.lose(turn.role)
+                self._roles.record_loss(turn.role)
             return None
         return Entry(began_seconds, replies[0].revision)
 
@@ -158,7 +160,9 @@
             return True
         read = await self._context.kv.read(turn.key)
         if isinstance(read, KvUnavailable):
-            self._context.contact.record_failure(self._context.now_seconds(), read.detail)
+            self._context.store_reachability.record_failure(
+                self._context.now_seconds(), read.detail
+            )
             return False
         for entry in read.entries:
             on_entry(entry)
--- a/rackswitch/gateway/versions/tests/order_run.py
+++ b/rackswitch/gateway/versions/tests/order_run.py
@@ -7,7 +7,7 @@
 from rackswitch.daemon.roles import RoleManager
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.tests.support import (
-    break_at_random,
+    inject_random_faults,
     make_gateway_context,
     turn_violations,
 )
@@ -126,7 +126,7 @@
         for name in DAEMONS:
             self._start(name)
         fault_task = asyncio.create_task(
-            break_at_random(self.rng, FAULT_INTERVAL_SECONDS, FAULT_KINDS, self._inject_fault)
+            inject_random_faults(self.rng, FAULT_INTERVAL_SECONDS, FAULT_KINDS, self._inject_fault)
         )
         naming_task = asyncio.create_task(self._name_versions())
         await asyncio.sleep(seconds)
@@ -147,7 +147,7 @@
     def _start(self, name: str) -> None:
         faults = self._faults.setdefault(name, KvFaults())
         context = make_gateway_context(name, self.kv, self.rng.randrange(1 << 30), faults)
-        context.daemon.view.offer(TABLE)
+        context.daemon.view.replace_if_newer(TABLE)
         context.named_versions = {"m": self.newest_version}
         for engine in ENGINES:
             listed = ListedTarget(engine, "s", "h", 1, "z", 4, False, {"m": 1})
@@ -173,7 +173,7 @@
             await asyncio.sleep(self.rng.uniform(0.1, 0.7))
             if not self._faults[context.daemon_name].down:
                 for entry in self.kv.read(ORDERS_PREFIX, is_prefix=True).entries:
-                    manager.orders_put(entry)
+                    manager.record_orders(entry)
             context.named_versions = {"m": self.newest_version}
             for name, engine in self.engines.items():
                 context.directory.entries[name].versions["m"] = engine.version
--- a/rackswitch/gateway/versions/tests/test_order_runs.py
+++ b/rackswitch/gateway/versions/tests/test_order_runs.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.versions.tests.order_run import OrderRun
 
 RUN_SECONDS = 150.0
@@ -16,7 +16,7 @@
         await run.run(RUN_SECONDS)
         return run
 
-    return run_virtual(scenario())
+    return run_on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/rackswitch/gateway/versions/tests/test_path_versions.py
+++ b/rackswitch/gateway/versions/tests/test_path_versions.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import Counter
 
-from rackswitch.gateway.tests.path import check_complete, play, wait_for
+from rackswitch.gateway.tests.path import check_complete, run_scenario, wait_for
 from rackswitch.platform.connections import TargetSessions
 from rackswitch.platform.orders import EngineReport, NoReport, OrderClient
 
@@ -25,7 +25,7 @@
         assert len(orders) == len(engines)
         assert len({(order.holder, order.fence) for order in orders}) == 1
 
-    play(scenario, engines=4)
+    run_scenario(scenario, engines=4)
 
 
 def test_a_text_generated_by_two_versions_lists_both():
@@ -38,7 +38,7 @@
         assert {tuple(result["versions"]) for result in results} <= {(1,), (1, 2), (2,)}
         assert Counter(len(result["versions"]) for result in results)[2] > 0
 
-    play(scenario, engines=1)
+    run_scenario(scenario, engines=1)
 
 
 def test_a_job_that_needs_a_newer_version_waits_for_it():
@@ -49,7 +49,7 @@
         fleet.store.put("op/version/m0", {"model": "m0", "version": 2})
         assert (await fleet.read_all("d0", "j1"))[0]["versions"] == [2]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_the_last_holder_gets_the_role_again_after_a_restart_of_all_daemons():
@@ -65,7 +65,7 @@
         await wait_for(lambda: any(engine.versions["m0"] == 3 for engine in fleet.engines))
         assert {order.holder for engine in fleet.engines for order in engine.orders} == {holder}
 
-    play(scenario, daemons=4)
+    run_scenario(scenario, daemons=4)
 
 
 def test_ignores_a_report_from_another_start_of_the_engine():
@@ -86,4 +86,4 @@
         assert isinstance(await client.report(listed_after_restart), EngineReport)
         await sessions.close()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/rackswitch/gateway/versions/tests/test_version_manager.py
+++ b/rackswitch/gateway/versions/tests/test_version_manager.py
@@ -6,7 +6,7 @@
 
 from rackswitch.clients.kv import Operation, TxnPart
 from rackswitch.daemon.roles import RoleManager
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.gateway.items.engine_paces import EnginePaces
 from rackswitch.gateway.tests.support import make_gateway_context
 from rackswitch.gateway.versions.order_sender import PlannedLoad
@@ -35,7 +35,7 @@
 
 def make_manager(name: str, kv: KvStore) -> tuple[VersionManager, FakeSender]:
     context = make_gateway_context(name, kv)
-    context.daemon.view.offer(TABLE)
+    context.daemon.view.replace_if_newer(TABLE)
     for engine in ("e0", "e1"):
         listed = ListedTarget(engine, "s", "h", 1, "z", 4, False, {"m": 1, "n": 1})
         context.directory.put(listed)
@@ -58,7 +58,7 @@
         assert sender.sent
         owner = make_manager("b", kv)[0]
         (entry,) = kv.read(ORDERS_PREFIX + "s").entries
-        owner.orders_put(entry)
+        owner.record_orders(entry)
         loads = owner._context.loads
         now_seconds = owner._context.now_seconds()
         recorded = {
@@ -70,7 +70,7 @@
         for context in (manager._context, owner._context):
             await context.daemon.cancel_all()
 
-    run_virtual(scenario())
+    run_on_virtual_clock(scenario())
 
 
 def write_entry(kv: KvStore, holder: str) -> None:
@@ -88,7 +88,7 @@
         await asyncio.sleep(3.0)
         return early, sender.sent
 
-    early, sent = run_virtual(scenario())
+    early, sent = run_on_virtual_clock(scenario())
     assert early == []
     assert sent
 
@@ -102,8 +102,8 @@
         await asyncio.sleep(1.5)
         return sender.sent
 
-    assert run_virtual(scenario("b"))
-    assert run_virtual(scenario(None))
+    assert run_on_virtual_clock(scenario("b"))
+    assert run_on_virtual_clock(scenario(None))
 
 
 def test_an_engine_gets_one_order_at_a_time_for_all_its_models():
@@ -112,7 +112,7 @@
         await asyncio.sleep(8.0)
         return sender.sent
 
-    sent = run_virtual(scenario())
+    sent = run_on_virtual_clock(scenario())
     assert len(sent) >= 2
     by_engine: dict[str, list[float]] = {}
     for at_seconds, load in sent:
--- a/rackswitch/gateway/versions/version_manager.py
+++ b/rackswitch/gateway/versions/version_manager.py
@@ -130,7 +130,7 @@
         self._loads: dict[str, _ServiceLoads] = {}
         self._named_at_seconds: dict[tuple[str, int], float] = {}
 
-    def wanted_roles(self) -> list[str]:
+    def required_roles(self) -> list[str]:
         """Return the roles that the table in force requires."""
         rows = self._context.daemon.view.rows(ServiceRow)
         return [version_role(row.name) for row in rows if row.models]
@@ -147,7 +147,7 @@
                 if row.models:
                     await self._update_service(row)
 
-    def orders_put(self, entry: KvEntry) -> None:
+    def record_orders(self, entry: KvEntry) -> None:
         """Record the holder and the loads from a service's stored record."""
         record = msgspec.json.decode(entry.value, type=OrdersRecord)
         service = entry.key.removeprefix(ORDERS_PREFIX)
@@ -161,7 +161,7 @@
 
     async def _update_service(self, row: ServiceRow) -> None:
         turn = version_turn(row.name)
-        if not await self._turns.may_act_now(turn, self.orders_put):
+        if not await self._turns.may_act_now(turn, self.record_orders):
             return
         planned = self._plan(row)
         if not planned:
--- a/rackswitch/load/campaign.py
+++ b/rackswitch/load/campaign.py
@@ -151,8 +151,8 @@
             await old_daemon.stop()
         else:
             await old_daemon.crash()
-        if old_daemon.context.broken is not None:
-            self.report.violations.append(f"{name}: {old_daemon.context.broken}")
+        if old_daemon.context.violated_invariant is not None:
+            self.report.violations.append(f"{name}: {old_daemon.context.violated_invariant}")
         number = self._next_daemon
         self._next_daemon += 1
         await self.fleet.start_daemon(f"d{number}", number)
