--- a/rackswitch/platform/store.py
+++ b/rackswitch/platform/store.py
@@ -19,7 +19,7 @@
     KvUnavailable,
     LeaseGranted,
     TxnPart,
-    TxnPartDone,
+    TxnPartResult,
     WatchUpdate,
     latest_update,
 )
@@ -144,9 +144,9 @@
             start = new_items[-1].key
         return KvRead(tuple(entries.values()), first_revision)
 
-    async def txn(self, parts: list[TxnPart]) -> list[TxnPartDone] | KvUnavailable:
+    async def txn(self, parts: list[TxnPart]) -> list[TxnPartResult] | KvUnavailable:
         """Execute the parts in order, each on its own conditions."""
-        done: list[TxnPartDone] = []
+        done: list[TxnPartResult] = []
         for part in parts:
             result = await self._txn_part(part)
             if isinstance(result, KvUnavailable):
@@ -155,29 +155,29 @@
             done.append(result)
         return done
 
-    async def _txn_part(self, part: TxnPart) -> TxnPartDone | KvUnavailable:
+    async def _txn_part(self, part: TxnPart) -> TxnPartResult | KvUnavailable:
         answer = await self._call("POST", "/rackswitch/kv-txn", body=txn_body(part))
         if isinstance(answer, KvUnavailable):
             return answer
         if answer.status == 404:
-            return TxnPartDone(False, None, 0, lease_gone=True)
+            return TxnPartResult(False, None, 0, lease_expired=True)
         if answer.status == 412:
             conflict = answer.decode(WireConflict)
             if isinstance(conflict, KvUnavailable):
                 return KvUnavailable(conflict.detail, effect_unknown=False)
-            return TxnPartDone(False, first_existing_entry(part, conflict), 0)
+            return TxnPartResult(False, first_existing_entry(part, conflict), 0)
         written = answer.decode(WireTxnDone)
         if isinstance(written, KvUnavailable):
             return written
-        return TxnPartDone(True, None, written.revision)
+        return TxnPartResult(True, None, written.revision)
 
-    async def grant_lease(self, life_seconds: float) -> LeaseGranted | KvUnavailable:
+    async def grant_lease(self, ttl_seconds: float) -> LeaseGranted | KvUnavailable:
         """Create a lease.
 
         The call is repeatable, also through a peer: if an answer is lost, its lease is unused and
         expires.
         """
-        body = {"ttl_ms": round(life_seconds * 1000)}
+        body = {"ttl_ms": round(ttl_seconds * 1000)}
         answer = await self._call("POST", "/rackswitch/kv-lease", body=body, repeatable=True)
         if isinstance(answer, KvUnavailable):
             return answer
@@ -186,7 +186,7 @@
             return granted
         return LeaseGranted(granted.lease, granted.ttl_ms / 1000)
 
-    async def keep_lease(self, lease_id: int) -> bool | KvUnavailable:
+    async def renew_lease(self, lease_id: int) -> bool | KvUnavailable:
         """Renew a lease; False if it no longer exists."""
         answer = await self._call("POST", f"/rackswitch/kv-keep/{lease_id}", repeatable=True)
         if isinstance(answer, KvUnavailable):
--- a/rackswitch/platform/tests/test_watch_limits.py
+++ b/rackswitch/platform/tests/test_watch_limits.py
@@ -7,7 +7,7 @@
 import pytest
 
 from rackswitch.clients.kv import KvUnavailable
-from rackswitch.daemon.tests.support import run_virtual
+from rackswitch.daemon.tests.support import run_on_virtual_clock
 from rackswitch.platform.store import PlatformKvClient
 from rackswitch.platform.store_messages import StoreAnswer
 
@@ -48,7 +48,7 @@
 def test_a_watch_of_a_slow_service_does_not_fail(delay_seconds):
     assert not any(
         isinstance(answer, KvUnavailable)
-        for answer in run_virtual(watch_three_answers(delay_seconds))
+        for answer in run_on_virtual_clock(watch_three_answers(delay_seconds))
     )
 
 
@@ -58,7 +58,7 @@
         answers = await watch_three_answers(0.004, silent_after_answers=2)
         return answers, asyncio.get_running_loop().time() - started_seconds
 
-    answers, elapsed_seconds = run_virtual(scenario())
+    answers, elapsed_seconds = run_on_virtual_clock(scenario())
     assert isinstance(answers[-1], KvUnavailable)
     assert elapsed_seconds < 2 * 0.7 + 0.3
 
@@ -72,6 +72,6 @@
             calls.append(call)
             return StoreAnswer(200, msgspec.json.encode({"lease": 3, "ttl_ms": 2000}))
 
-    granted = run_virtual(PlatformKvClient(RecordingTransport(0.0)).grant_lease(2.0))
+    granted = run_on_virtual_clock(PlatformKvClient(RecordingTransport(0.0)).grant_lease(2.0))
     assert granted.lease_id == 3
     assert calls[0].repeatable
--- a/rackswitch/samples/ledger.py
+++ b/rackswitch/samples/ledger.py
@@ -116,7 +116,7 @@
     _attempts: int = 0
     _regenerate_last_batch: bool = False
 
-    def learn_plan(self, plan: StepPlan) -> DrawRefused | None:
+    def record_plan(self, plan: StepPlan) -> DrawRefused | None:
         """Record a step's plan; refuse it if it differs from the recorded one."""
         recorded = self.plans.get(plan.step)
         if recorded is not None and recorded != plan:
@@ -124,7 +124,7 @@
         self.plans[plan.step] = plan
         return None
 
-    def set_rules(self, staleness_bound_versions: int, latest_version: int) -> None:
+    def update_staleness(self, staleness_bound_versions: int, latest_version: int) -> None:
         """Update the table's staleness bound and the newest published version."""
         self.staleness_bound_versions = staleness_bound_versions
         self.policy_version = max(self.policy_version, latest_version)
@@ -141,7 +141,7 @@
 
         Notes
         -----
-        After `DrawWrite` the caller writes the record, calls `written` once the write has
+        After `DrawWrite` the caller writes the record, calls `record_write` once the write has
         taken effect, and repeats the draw.
         """
         self.policy_version = max(self.policy_version, draw.policy_version)
@@ -160,7 +160,7 @@
             return self._hand_over(last_batch)
         return DrawRefused(f"batch {last_batch} is the last of step {draw.step}")
 
-    def written(self, record: LedgerRecord) -> None:
+    def record_write(self, record: LedgerRecord) -> None:
         """Record that the write of `record` to the service took effect."""
         handed_over = [index for batch in record.batches for index in batch]
         check_invariant(len(handed_over) == len(set(handed_over)), "no index is in two batches")
@@ -173,7 +173,7 @@
         self._regenerate_last_batch = False
         self._discard_old_steps()
 
-    def finished(self, sample: Sample) -> bool:
+    def record_finished_sample(self, sample: Sample) -> bool:
         """Record a finished sample; return False if it is not expected or is too stale."""
         key = (sample.step, sample.index)
         if self.running.get(key) != sample.attempt:
@@ -190,7 +190,7 @@
             self.forecast.record_length(plan.groups[sample.group].prompt, sample.tokens)
         return True
 
-    def failed(self, order: SampleOrder, unlabelled: bool = False) -> None:
+    def record_failed_order(self, order: SampleOrder, unlabelled: bool = False) -> None:
         """Record that an order failed; its index will be ordered again."""
         key = (order.step, order.index)
         if self.running.get(key) == order.attempt:
--- a/rackswitch/standins/faulty_kv.py
+++ b/rackswitch/standins/faulty_kv.py
@@ -14,7 +14,7 @@
     KvUnavailable,
     LeaseGranted,
     TxnPart,
-    TxnPartDone,
+    TxnPartResult,
     WatchUpdate,
 )
 from rackswitch.standins.kv_store import KvStore
@@ -97,7 +97,7 @@
         later = tuple(entry for entry in read.entries if entry.key > after_key)
         return KvRead(later, read.revision)
 
-    async def txn(self, parts: list[TxnPart]) -> list[TxnPartDone] | KvUnavailable:
+    async def txn(self, parts: list[TxnPart]) -> list[TxnPartResult] | KvUnavailable:
         """Run transaction parts in one call, each under its own conditions."""
         self.calls += 1
         await asyncio.sleep(self.faults.delay_seconds * (0.5 + self._rng.random()))
@@ -115,14 +115,14 @@
         await asyncio.sleep(self.faults.delay_seconds)
         return done
 
-    async def grant_lease(self, life_seconds: float) -> LeaseGranted | KvUnavailable:
+    async def grant_lease(self, ttl_seconds: float) -> LeaseGranted | KvUnavailable:
         """Grant a lease."""
         if not await self._answers():
             return KvUnavailable("no answer", True)
         now_seconds = asyncio.get_running_loop().time()
-        return LeaseGranted(self._store.grant(life_seconds, now_seconds), life_seconds)
+        return LeaseGranted(self._store.grant(ttl_seconds, now_seconds), ttl_seconds)
 
-    async def keep_lease(self, lease_id: int) -> bool | KvUnavailable:
+    async def renew_lease(self, lease_id: int) -> bool | KvUnavailable:
         """Renew a lease; return False if it no longer exists."""
         if not await self._answers():
             return KvUnavailable("no answer", True)
--- a/rackswitch/standins/kv.py
+++ b/rackswitch/standins/kv.py
@@ -10,7 +10,7 @@
 import msgspec
 from blacksheep import Request, Response, StreamedContent
 
-from rackswitch.clients.kv import Compare, KvEntry, Operation, TxnPart, TxnPartDone
+from rackswitch.clients.kv import Compare, KvEntry, Operation, TxnPart, TxnPartResult
 from rackswitch.standins.faults import FaultGate, FaultyApplication
 from rackswitch.standins.kv_store import KvStore
 from rackswitch.web import WebServer
@@ -249,7 +249,7 @@
     return any(len(operation.value or b"") > MAX_VALUE_BYTES for operation in part.operations)
 
 
-def _encode_result(done: TxnPartDone) -> dict[str, Any]:
+def _encode_result(done: TxnPartResult) -> dict[str, Any]:
     responses = []
     if done.present is not None:
         responses.append({"response_range": {"kvs": [_encode_entry(done.present)]}})
--- a/rackswitch/standins/kv_store.py
+++ b/rackswitch/standins/kv_store.py
@@ -9,7 +9,7 @@
     KvRead,
     Operation,
     TxnPart,
-    TxnPartDone,
+    TxnPartResult,
     prefix_end,
 )
 
@@ -50,7 +50,7 @@
             found = [self.keys[key].entry] if key in self.keys else []
         return KvRead(tuple(found), self.revision)
 
-    def txn(self, parts: list[TxnPart]) -> list[TxnPartDone]:
+    def txn(self, parts: list[TxnPart]) -> list[TxnPartResult]:
         """Run transaction parts at one new revision."""
         self.revision += 1
         return [self._apply_part(part) for part in parts]
@@ -84,20 +84,20 @@
         for key in [key for key, stored in self.keys.items() if stored.lease_id == lease_id]:
             self._delete_key(key)
 
-    def _apply_part(self, part: TxnPart) -> TxnPartDone:
+    def _apply_part(self, part: TxnPart) -> TxnPartResult:
         lease_ids = [operation.lease_id for operation in part.operations if operation.lease_id]
         conditions_hold = all(self._condition_holds(compare) for compare in part.compares)
         lease_gone = any(lease_id not in self.leases for lease_id in lease_ids)
         if not conditions_hold or lease_gone:
             found = [self.keys[key].entry for key in part.read_keys if key in self.keys]
             present = found[0] if found else None
-            return TxnPartDone(False, present, self.revision, lease_gone=lease_gone)
+            return TxnPartResult(False, present, self.revision, lease_expired=lease_gone)
         for operation in part.operations:
             if operation.value is None:
                 self._delete_matching(operation)
             else:
                 self._put_key(operation.key, operation.value, operation.lease_id)
-        return TxnPartDone(True, None, self.revision)
+        return TxnPartResult(True, None, self.revision)
 
     def _condition_holds(self, compare: Compare) -> bool:
         stored = self.keys.get(compare.key)
--- a/rackswitch/standins/platform_api.py
+++ b/rackswitch/standins/platform_api.py
@@ -87,6 +87,6 @@
         )
         if self.faults.lost_answers and status == 200:
             self.faults.lost_answers -= 1
-            await exchange.wait_disconnect()
+            await exchange.wait_for_disconnect()
             return
         await exchange.respond(status)
--- a/rackswitch/standins/platform_store.py
+++ b/rackswitch/standins/platform_store.py
@@ -122,7 +122,7 @@
         exchange = Exchange(scope, receive, send)
         self.calls += 1
         if self.faults.down == "silent":
-            await exchange.wait_disconnect()
+            await exchange.wait_for_disconnect()
             return
         if self.faults.down == "busy" or scope["client"][0] in self.faults.turned_away:
             await exchange.respond(503)
@@ -132,7 +132,7 @@
         status, answer = await self._answer(exchange, content)
         if self._drops_answer(exchange.path, content):
             self.faults.lost_answers -= 1
-            await exchange.wait_disconnect()
+            await exchange.wait_for_disconnect()
             return
         await exchange.respond(status, (), msgspec.json.encode(answer))
 
--- a/rackswitch/standins/platform_target.py
+++ b/rackswitch/standins/platform_target.py
@@ -255,10 +255,10 @@
             restart = asyncio.create_task(self.end_and_start_again())
             self._restarts.add(restart)
             restart.add_done_callback(self._restarts.discard)
-            await exchange.wait_disconnect()
+            await exchange.wait_for_disconnect()
             return
         if self.faults.mute:
-            await exchange.wait_disconnect()
+            await exchange.wait_for_disconnect()
             return
         await asyncio.sleep(self.faults.work_seconds)
         headers = [
--- a/rackswitch/table/tests/test_view.py
+++ b/rackswitch/table/tests/test_view.py
@@ -22,7 +22,7 @@
     newest = 0
     for revision in revisions:
         document = TableDocument(revision=revision)
-        was_replaced = view.offer(document)
+        was_replaced = view.replace_if_newer(document)
         assert was_replaced == (revision > newest)
         newest = max(newest, revision)
         assert view.revision == newest
@@ -31,7 +31,7 @@
 
 def test_confirmation_applies_to_the_current_revision_until_its_deadline():
     view = TableView()
-    view.offer(TableDocument(revision=3))
+    view.replace_if_newer(TableDocument(revision=3))
     assert not view.is_confirmed(1.0)
     view.confirm(2, 100.0)
     assert not view.is_confirmed(1.0)
@@ -43,7 +43,7 @@
 
 def view_of(*rows: Row) -> TableView:
     view = TableView()
-    view.offer(TableDocument(1, {row_key(row): StoredRow(1, row) for row in rows}))
+    view.replace_if_newer(TableDocument(1, {row_key(row): StoredRow(1, row) for row in rows}))
     return view
 
 
--- a/rackswitch/table/view.py
+++ b/rackswitch/table/view.py
@@ -31,7 +31,7 @@
         """The current revision; 0 if there is no table."""
         return self.document.revision
 
-    def offer(self, document: TableDocument) -> bool:
+    def replace_if_newer(self, document: TableDocument) -> bool:
         """Replace the table if `document` is newer; return whether it was."""
         if document.revision <= self.revision:
             return False
--- a/rackswitch/usage/counts.py
+++ b/rackswitch/usage/counts.py
@@ -29,7 +29,7 @@
     counted_from_unix_seconds: float
     _counts: dict[int, Counter[str]] = field(default_factory=dict)
 
-    def began(self, tenant: str, at_unix_seconds: float) -> None:
+    def record_start(self, tenant: str, at_unix_seconds: float) -> None:
         """Count a request that began to run at the given time."""
         self.add(self.windows.number_at(at_unix_seconds), {tenant: 1})
 
@@ -39,11 +39,11 @@
         if len(self._counts) > MAX_WINDOWS:
             del self._counts[min(self._counts)]
 
-    def of(self, window: int) -> dict[str, int]:
+    def counts_in(self, window: int) -> dict[str, int]:
         """Return the counts of a window by tenant."""
         return dict(self._counts.get(window, {}))
 
-    def take_since(self, window: int) -> dict[int, dict[str, int]]:
+    def pop_since(self, window: int) -> dict[int, dict[str, int]]:
         """Remove and return the counts of a window and all later ones."""
         removed_windows = [number for number in self._counts if number >= window]
         return {number: dict(self._counts.pop(number)) for number in removed_windows}
--- a/rackswitch/usage/reports.py
+++ b/rackswitch/usage/reports.py
@@ -41,7 +41,7 @@
     last_fixed: int = 0
     open: list[UsageReport] = []
 
-    def next_to_gather(
+    def next_window_to_collect(
         self, windows: UsageWindows, settle_seconds: float, now_unix_seconds: float
     ) -> int | None:
         """Return the next window to collect counts for, or None.
@@ -63,11 +63,11 @@
         next_window = max(self.last_fixed + 1, earliest_in_time)
         return next_window if next_window <= newest_settled else None
 
-    def with_fixed(self, report: UsageReport) -> "UsageReports":
+    def with_stored_report(self, report: UsageReport) -> "UsageReports":
         """Return the state after a report has been stored."""
         open_reports = [*self.open, report][-MAX_OPEN_REPORTS:]
         return UsageReports(report.window, open_reports)
 
-    def taken(self, window: int) -> None:
+    def record_delivered(self, window: int) -> None:
         """Remove a window's report that the platform accepted or permanently refused."""
         self.open = [report for report in self.open if report.window != window]
--- a/rackswitch/usage/tests/test_usage.py
+++ b/rackswitch/usage/tests/test_usage.py
@@ -21,40 +21,40 @@
 def test_each_request_is_counted_once(begun):
     counts = UsageCounts(WINDOWS, 0.0)
     for tenant, at in begun:
-        counts.began(tenant, at)
-    counted = sum(sum(counts.of(window).values()) for window in range(200, 205))
+        counts.record_start(tenant, at)
+    counted = sum(sum(counts.counts_in(window).values()) for window in range(200, 205))
     assert counted == len(begun)
 
 
 def test_handed_over_counts_are_held_by_one_daemon():
     stopping, remaining = UsageCounts(WINDOWS, 0.0), UsageCounts(WINDOWS, 0.0)
-    stopping.began("a", 1001.0)
-    stopping.began("a", 1006.0)
-    for window, counts in stopping.take_since(200).items():
+    stopping.record_start("a", 1001.0)
+    stopping.record_start("a", 1006.0)
+    for window, counts in stopping.pop_since(200).items():
         remaining.add(window, counts)
-    assert stopping.of(200) == stopping.of(201) == {}
-    assert remaining.of(200) == remaining.of(201) == {"a": 1}
+    assert stopping.counts_in(200) == stopping.counts_in(201) == {}
+    assert remaining.counts_in(200) == remaining.counts_in(201) == {"a": 1}
 
 
 def test_old_counts_are_discarded():
     counts = UsageCounts(WINDOWS, 0.0)
     for window in range(100):
-        counts.began("a", window * 5.0)
-    assert counts.of(0) == {}
-    assert counts.of(99) == {"a": 1}
+        counts.record_start("a", window * 5.0)
+    assert counts.counts_in(0) == {}
+    assert counts.counts_in(99) == {"a": 1}
 
 
 def test_windows_are_collected_in_order_after_the_settle_time():
     reports = UsageReports(last_fixed=199)
-    assert reports.next_to_gather(WINDOWS, SETTLE_SECONDS, 1006.7) is None
-    assert reports.next_to_gather(WINDOWS, SETTLE_SECONDS, 1006.9) == 200
-    later = reports.with_fixed(UsageReport(200, {}))
-    assert later.next_to_gather(WINDOWS, SETTLE_SECONDS, 1006.9) is None
+    assert reports.next_window_to_collect(WINDOWS, SETTLE_SECONDS, 1006.7) is None
+    assert reports.next_window_to_collect(WINDOWS, SETTLE_SECONDS, 1006.9) == 200
+    later = reports.with_stored_report(UsageReport(200, {}))
+    assert later.next_window_to_collect(WINDOWS, SETTLE_SECONDS, 1006.9) is None
 
 
 def test_after_an_outage_late_windows_are_skipped():
     reports = UsageReports(last_fixed=190)
-    window = reports.next_to_gather(WINDOWS, SETTLE_SECONDS, 1022.0)
+    window = reports.next_window_to_collect(WINDOWS, SETTLE_SECONDS, 1022.0)
     assert window == 202
     assert WINDOWS.due_at_unix_seconds(window) > 1022.0
     assert WINDOWS.due_at_unix_seconds(window - 1) <= 1022.0
@@ -62,7 +62,7 @@
 
 @given(st.integers(0, 400), UNIX_TIMES)
 def test_no_window_is_collected_twice_or_before_its_end(last_fixed, now):
-    window = UsageReports(last_fixed).next_to_gather(WINDOWS, SETTLE_SECONDS, now)
+    window = UsageReports(last_fixed).next_window_to_collect(WINDOWS, SETTLE_SECONDS, now)
     if window is not None:
         assert window > last_fixed
         assert WINDOWS.ends_at_unix_seconds(window) + SETTLE_SECONDS <= now + 1e-6
@@ -71,8 +71,8 @@
 def test_undelivered_reports_are_kept_up_to_a_limit():
     reports = UsageReports()
     for window in range(1, 100):
-        reports = reports.with_fixed(UsageReport(window, {"a": window}))
+        reports = reports.with_stored_report(UsageReport(window, {"a": window}))
     assert len(reports.open) == 24
-    reports.taken(99)
+    reports.record_delivered(99)
     assert reports.open[-1].window == 98
     assert reports.last_fixed == 99
--- a/rackswitch/web/exchange.py
+++ b/rackswitch/web/exchange.py
@@ -123,7 +123,7 @@
             self.close_connection = True
             return BodyTooSlow()
 
-    async def wait_disconnect(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Wait until the caller disconnects; the body must have been read before."""
         while True:
             message = await self._receive()
