--- a/rackswitch/platform/connections.py
+++ b/rackswitch/platform/connections.py
@@ -55,7 +55,7 @@
 
     Parameters
     ----------
-    word_heard : callable, optional
+    on_load_report : callable, optional
         Called with each load report of a target.
 
     Attributes
